--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/ModelEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/ModelEngine.java
@@ -72,7 +72,7 @@
                 prompts.add(job);
                 computeNext();
             }
-            case HAND_OVER -> transfer(job);
+            case HANDOFF -> transfer(job);
             case WHOLE, PLAIN -> {
                 arriving.add(job);
                 admit();
@@ -173,7 +173,7 @@
         while (next.isPresent() && batch.room(next.get())) {
             EngineJob job = next.get();
             // One that had to yield is read in again.
-            boolean handedOver = job.kind() == WorkKind.HAND_OVER && !job.yielded();
+            boolean handedOver = job.kind() == WorkKind.HANDOFF && !job.yielded();
             if (handedOver ? !job.transferred() : batch.computes()) {
                 return;
             }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/AttemptAnswers.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/AttemptAnswers.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.bench.replay.engine.EngineJob;
 import org.aspenmoor.internal.bench.replay.engine.ModelEngine;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.ReportedLoad;
 import org.aspenmoor.internal.serving.WorkKind;
 
@@ -16,13 +16,13 @@
     private final ReplayEntry entry;
     private final BackendServer server;
     private final WorkKind kind;
-    private final PlacedWork work;
+    private final AssignedWork work;
     private EngineJob job;
     private long lastEventAt;
     private boolean begun;
     private boolean over;
 
-    AttemptAnswers(EntryRequest request, ReplayEntry entry, BackendServer server, WorkKind kind, PlacedWork work) {
+    AttemptAnswers(EntryRequest request, ReplayEntry entry, BackendServer server, WorkKind kind, AssignedWork work) {
         this.request = request;
         this.entry = entry;
         this.server = server;
@@ -48,7 +48,7 @@
         later(() -> {
             if (begun) {
                 Duration pause = Duration.ofNanos(loop().now() - lastEventAt);
-                entry.placer().eventTold(work, pause, loop().now());
+                entry.placer().eventReceived(work, pause, loop().now());
             } else {
                 began();
             }
@@ -68,7 +68,7 @@
     @Override
     public void rejected() {
         later(() -> {
-            entry.placer().rejected(work, loop().now());
+            entry.placer().attemptRejected(work, loop().now());
             end();
             request.rejected(server, kind);
         });
@@ -77,7 +77,7 @@
     @Override
     public void lost() {
         later(() -> {
-            entry.placer().unreachable(work, loop().now());
+            entry.placer().serverUnreachable(work, loop().now());
             end();
             request.lost(kind);
         });
@@ -94,14 +94,14 @@
 
     private void began() {
         begun = true;
-        entry.placer().answerBegan(work, loop().now());
+        entry.placer().answerStarted(work, loop().now());
         ReportedLoad load = entry.engine(server).load();
-        entry.placer().reported(work, load, loop().now());
+        entry.placer().loadReported(work, load, loop().now());
     }
 
     private void end() {
         over = true;
-        entry.placer().ended(work);
+        entry.placer().attemptEnded(work);
     }
 
     private void later(Runnable action) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/EntryRequest.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/EntryRequest.java
@@ -7,10 +7,10 @@
 import org.aspenmoor.internal.bench.replay.engine.EngineJob;
 import org.aspenmoor.internal.bench.replay.engine.ModelEngine;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.Placement;
 import org.aspenmoor.internal.serving.PlacementRequest;
-import org.aspenmoor.internal.serving.WaitingLine;
+import org.aspenmoor.internal.serving.WaitQueue;
 import org.aspenmoor.internal.serving.WorkKind;
 
 /** One request on its way through an entry, as the entry that serves callers sends it. */
@@ -42,7 +42,7 @@
     }
 
     void start() {
-        entry.placer().answerWanted(ReplayRun.SERVICE, ask.prompt(), ask.kind().deadline(), now());
+        entry.placer().answerRequested(ReplayRun.SERVICE, ask.prompt(), ask.kind().deadline(), now());
         entry.loop().after((ask.deadlineAt() - now()) / NANOSECONDS, this::deadlineReached);
         place(entry.line().size() > 0);
     }
@@ -71,35 +71,35 @@
 
     private void place(boolean othersWait) {
         switch (entry.placer().choose(wanted(othersWait), now())) {
-            case Placement.Whole whole -> {
+            case Placement.SingleServer whole -> {
                 departed();
                 int rank = ask.kind().priority();
-                send(whole.server(), WorkKind.WHOLE, whole.promptSeconds(), rank, entry.engine(whole.holder()));
+                send(whole.server(), WorkKind.WHOLE, whole.promptSeconds(), rank, entry.engine(whole.cacheHolder()));
             }
-            case Placement.Staged staged -> {
+            case Placement.Disaggregated staged -> {
                 departed();
-                int rank = staged.promptRank(ask.kind().priority());
+                int rank = staged.promptPriority(ask.kind().priority());
                 send(
                         staged.prefill(),
                         WorkKind.PROMPT_ONLY,
                         staged.promptSeconds(),
                         rank,
-                        entry.engine(staged.holder()));
+                        entry.engine(staged.cacheHolder()));
             }
-            case Placement.Held held ->
-                entry.wait(new WaitingLine.Waiting<>(
+            case Placement.Queued held ->
+                entry.wait(new WaitQueue.QueuedRequest<>(
                         this,
                         held.promptSeconds(),
                         arrivedAt,
                         ask.askedAt() + ask.kind().objective().toNanos(),
                         ask.deadlineAt()));
-            case Placement.Refused refused -> refuse(refused.comeBackAfter());
+            case Placement.Refused refused -> refuse(refused.retryAfter());
         }
     }
 
     private void departed() {
         departedAt = now();
-        entry.line().departed(ask.askedAt() + ask.kind().objective().toNanos(), departedAt);
+        entry.line().dispatched(ask.askedAt() + ask.kind().objective().toNanos(), departedAt);
     }
 
     private void send(
@@ -108,9 +108,9 @@
             tries++;
             avoided.add(server.id());
         }
-        PlacedWork work =
-                entry.placer().placed(server, kind, promptSeconds, ask.kind().objective(), now());
-        entry.placer().promptPlaced(server, ask.prompt(), now());
+        AssignedWork work =
+                entry.placer().attemptStarted(server, kind, promptSeconds, ask.kind().objective(), now());
+        entry.placer().promptAssigned(server, ask.prompt(), now());
         AttemptAnswers answers = new AttemptAnswers(this, entry, server, kind, work);
         EngineJob job =
                 new EngineJob(ask.prompt(), kind, ask.events() - events, rank, holder, entry.nextJob(), answers);
@@ -120,23 +120,23 @@
     }
 
     void promptComputed(BackendServer engine) {
-        Optional<BackendServer> decoder = entry.placer().chooseDecoder(wanted(false), engine, now());
+        Optional<BackendServer> decoder = entry.placer().chooseDecodeEngine(wanted(false), engine, now());
         if (decoder.isEmpty()) {
             refuse(SHORTEST_PAUSE);
             return;
         }
-        send(decoder.get(), WorkKind.HAND_OVER, 0, ask.kind().priority(), Optional.empty());
+        send(decoder.get(), WorkKind.HANDOFF, 0, ask.kind().priority(), Optional.empty());
         entry.roomMayBe();
     }
 
-    void event(PlacedWork work) {
+    void event(AssignedWork work) {
         if (events == 0) {
-            entry.line().answered((now() - departedAt) / NANOSECONDS);
+            entry.line().answerStarted((now() - departedAt) / NANOSECONDS);
         }
         events++;
-        entry.placer().answerTold(ReplayRun.SERVICE, told(), Duration.ofNanos(ask.deadlineAt() - arrivedAt), now());
+        entry.placer().answerStreaming(ReplayRun.SERVICE, told(), Duration.ofNanos(ask.deadlineAt() - arrivedAt), now());
         entry.callers().event(ask);
-        if (entry.placer().answerLeaves(work, now())) {
+        if (entry.placer().shouldMoveAnswer(work, now())) {
             goOnElsewhere();
         }
     }
@@ -157,7 +157,7 @@
 
     void complete() {
         over = true;
-        entry.placer().answerWhole(ReplayRun.SERVICE, ask.prompt(), events);
+        entry.placer().answerCompleted(ReplayRun.SERVICE, ask.prompt(), events);
         entry.callers().complete(ask);
         entry.roomMayBe();
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
@@ -10,15 +10,15 @@
 import org.aspenmoor.internal.bench.replay.engine.EngineJob;
 import org.aspenmoor.internal.bench.replay.engine.ModelEngine;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.LearntSpeed;
+import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerLoads;
 import org.aspenmoor.internal.serving.PeerReport;
-import org.aspenmoor.internal.serving.PlacedPrompt;
+import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.PlacementSettings;
-import org.aspenmoor.internal.serving.Placer;
+import org.aspenmoor.internal.serving.PlacementPolicy;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.ServiceLoad;
-import org.aspenmoor.internal.serving.WaitingLine;
+import org.aspenmoor.internal.serving.WaitQueue;
 
 /** One entry: the decisions that serve, without input and output. */
 final class ReplayEntry {
@@ -32,8 +32,8 @@
     private final Callers callers;
     private final RandomGenerator random;
     private final PeerLoads peers = new PeerLoads();
-    private final Placer placer;
-    private final WaitingLine<EntryRequest> line = new WaitingLine<>();
+    private final PlacementPolicy placer;
+    private final WaitQueue<EntryRequest> line = new WaitQueue<>();
     private long reports;
     private long jobs;
     private boolean looking;
@@ -53,7 +53,7 @@
         this.off = off;
         this.callers = callers;
         this.random = random;
-        this.placer = new Placer(settings, peers, random);
+        this.placer = new PlacementPolicy(settings, peers, random);
     }
 
     /** Takes a request of a caller. */
@@ -63,41 +63,41 @@
 
     /** Learns of a server, or of its changed role. */
     void know(BackendServer server, int cacheTokens) {
-        placer.changed(server, cacheTokens);
+        placer.serverChanged(server, cacheTokens);
     }
 
     /** Learns that an engine has been told to change its role. */
     void changing(RoleChange change) {
-        placer.roleChanging(change, loop.now());
+        placer.roleChangeOrdered(change, loop.now());
     }
 
     void forget(String server) {
-        placer.removed(server);
+        placer.serverRemoved(server);
     }
 
     PeerReport report() {
         reports++;
-        List<PlacedPrompt> prompts = placer.takeUntoldPrompts();
-        List<LearntSpeed> speeds = placer.learntSpeeds();
-        placer.samplePressure(ReplayRun.SERVICE, line.size() > 0, loop.now());
+        List<AssignedPrompt> prompts = placer.takeUnreportedPrompts();
+        List<LearnedSpeed> speeds = placer.learnedSpeeds();
+        placer.samplePromptLoad(ReplayRun.SERVICE, line.size() > 0, loop.now());
         return new PeerReport(
                 name,
                 0,
                 reports,
-                without(Mechanism.PEER_LOADS) ? Map.of() : placer.ownShares(loop.now()),
+                without(Mechanism.PEER_LOADS) ? Map.of() : placer.ownLoads(loop.now()),
                 without(Mechanism.PEER_PROMPTS) ? List.of() : prompts,
                 without(Mechanism.PEER_SPEEDS) ? List.of() : speeds,
-                placer.eventLengths(),
+                placer.eventSizes(),
                 List.of(),
                 List.of(),
                 false);
     }
 
     void hear(PeerReport report) {
-        peers.heard(report, loop.now());
-        report.prompts().forEach(prompt -> placer.promptPlacedByPeer(prompt, loop.now()));
-        report.speeds().forEach(placer::speedHeard);
-        report.lengths().forEach(placer::eventLengthHeard);
+        peers.receive(report, loop.now());
+        report.prompts().forEach(prompt -> placer.promptAssignedByPeer(prompt, loop.now()));
+        report.speeds().forEach(placer::speedReceived);
+        report.eventSizes().forEach(placer::eventSizeReceived);
     }
 
     /** Returns how many requests wait here. */
@@ -113,7 +113,7 @@
         return placer.serviceLoad(ReplayRun.SERVICE, loop.now());
     }
 
-    Placer placer() {
+    PlacementPolicy placer() {
         return placer;
     }
 
@@ -121,7 +121,7 @@
         return callers;
     }
 
-    WaitingLine<EntryRequest> line() {
+    WaitQueue<EntryRequest> line() {
         return line;
     }
 
@@ -152,7 +152,7 @@
         loop.after(ReplayRun.WAY_SECONDS, () -> engine.take(job));
     }
 
-    void wait(WaitingLine.Waiting<EntryRequest> waiting) {
+    void wait(WaitQueue.QueuedRequest<EntryRequest> waiting) {
         line.add(waiting);
         look();
         roomMayBe();
@@ -178,7 +178,7 @@
             return;
         }
         moving = true;
-        line.move(loop::now, EntryRequest::giveUp, EntryRequest::goOn);
+        line.dispatchAndRefuse(loop::now, EntryRequest::giveUp, EntryRequest::goOn);
         moving = false;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacedPrompt.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AssignedPrompt.java
@@ -8,8 +8,8 @@
  * @param server the engine
  * @param parts the prompt's parts in order
  */
-public record PlacedPrompt(String server, List<PromptPart> parts) {
-    public PlacedPrompt {
+public record AssignedPrompt(String server, List<PromptPart> parts) {
+    public AssignedPrompt {
         parts = List.copyOf(parts);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptAccount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptTracker.java
@@ -7,41 +7,41 @@
  * backend server, the narrator would be booked twice. So this account alone decides whether a refusal is true: it is
  * told of each attempt before its first byte leaves and of each end, and forgets nothing.
  */
-public final class AttemptAccount {
+public final class AttemptTracker {
     /** After so many servers that take nothing, the next is unlikely to be better and the caller's time runs. */
-    private static final int MOST_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
-    private final RepeatRule rule;
-    private final int mostBackends;
+    private final RetryRule rule;
+    private final int maxBackends;
     private int attempts;
     private int arrivals;
-    private int mayHaveRunOn;
+    private int possibleRuns;
     private boolean promptComputed;
-    private boolean open;
+    private boolean attemptOpen;
 
-    public AttemptAccount(RepeatRule rule, int mostBackends) {
+    public AttemptTracker(RetryRule rule, int maxBackends) {
         this.rule = rule;
-        this.mostBackends = Math.max(1, mostBackends);
+        this.maxBackends = Math.max(1, maxBackends);
     }
 
     /** Notes that an attempt at a server begins; from now on the request counts as possibly run there. */
-    public void began() {
-        if (open) {
+    public void attemptStarted() {
+        if (attemptOpen) {
             throw new IllegalStateException("An attempt began while another was open.");
         }
-        open = true;
+        attemptOpen = true;
         attempts++;
     }
 
     /** Notes how the open attempt ended and returns what follows; the repeat still has to be granted by the budget. */
-    public NextStep ended(AttemptEnd end) {
-        open = false;
+    public NextStep attemptEnded(AttemptEnd end) {
+        attemptOpen = false;
         return switch (end) {
-            case AttemptEnd.NeverSent neverSent -> afterNoRun();
-            case AttemptEnd.NotExecuted notExecuted -> afterRejection();
-            case AttemptEnd.Misdirected misdirected -> afterRejection();
-            case AttemptEnd.Lost lost -> afterRun(NextStep.REPORT_UNKNOWN);
-            case AttemptEnd.Failed failed -> afterRun(NextStep.PASS_FAILURE_ON);
+            case AttemptEnd.NeverSent neverSent -> stepAfterNoRun();
+            case AttemptEnd.NotExecuted notExecuted -> stepAfterRejection();
+            case AttemptEnd.Misdirected misdirected -> stepAfterRejection();
+            case AttemptEnd.Lost lost -> stepAfterPossibleRun(NextStep.REPORT_UNKNOWN);
+            case AttemptEnd.Failed failed -> stepAfterPossibleRun(NextStep.PASS_FAILURE_ON);
         };
     }
 
@@ -64,23 +64,23 @@
     }
 
     /** Returns what to say where no further attempt is made. */
-    public NextStep conclusion() {
+    public NextStep stepWithoutRetry() {
         return mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE;
     }
 
     /** Returns whether the request may have run anywhere, or may still. */
     public boolean mayHaveRun() {
-        return open || mayHaveRunOn > 0;
+        return attemptOpen || possibleRuns > 0;
     }
 
     /** Returns whether the next attempt would be a repeated arrival, which draws on the shared budget. */
-    public boolean nextIsRepeat() {
+    public boolean nextIsRetry() {
         return arrivals > 0;
     }
 
     /** Returns whether another engine may go on with the answer of the open attempt. */
-    public boolean mayGoOnElsewhere() {
-        return open && rule == RepeatRule.RESUMABLE && mayHaveRunOn + 1 < mostBackends && attempts < MOST_ATTEMPTS;
+    public boolean mayResumeElsewhere() {
+        return attemptOpen && rule == RetryRule.RESUMABLE && possibleRuns + 1 < maxBackends && attempts < MAX_ATTEMPTS;
     }
 
     /** Returns how many attempts began. */
@@ -88,22 +88,22 @@
         return attempts;
     }
 
-    private NextStep afterRejection() {
+    private NextStep stepAfterRejection() {
         arrivals++;
-        return afterNoRun();
+        return stepAfterNoRun();
     }
 
-    private NextStep afterNoRun() {
-        if (attempts >= MOST_ATTEMPTS) {
-            return conclusion();
+    private NextStep stepAfterNoRun() {
+        if (attempts >= MAX_ATTEMPTS) {
+            return stepWithoutRetry();
         }
         return NextStep.REPEAT;
     }
 
-    private NextStep afterRun(NextStep otherwise) {
+    private NextStep stepAfterPossibleRun(NextStep stepWhereNotAllowed) {
         arrivals++;
-        mayHaveRunOn++;
-        boolean allowed = rule != RepeatRule.AT_MOST_ONCE && mayHaveRunOn < mostBackends && attempts < MOST_ATTEMPTS;
-        return allowed ? NextStep.REPEAT : otherwise;
+        possibleRuns++;
+        boolean retryAllowed = rule != RetryRule.AT_MOST_ONCE && possibleRuns < maxBackends && attempts < MAX_ATTEMPTS;
+        return retryAllowed ? NextStep.REPEAT : stepWhereNotAllowed;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -21,17 +21,17 @@
  */
 public final class BackendDirectory {
     /** Interruptions shorter than this let no registration lapse: servers renew about once a second, three may fail. */
-    static final Duration SHORTEST_OUTAGE = Duration.ofMillis(1500);
+    static final Duration MIN_OUTAGE = Duration.ofMillis(1500);
 
     /** Live servers are registered again about two seconds after the store's return, as its operators state. */
-    static final Duration RETURN_TIME = Duration.ofSeconds(2);
+    static final Duration REREGISTRATION_TIME = Duration.ofSeconds(2);
 
     /** Far more than leave within the time in which an older state may be told. */
-    private static final int MOST_LEAVING = 512;
+    private static final int MAX_DRAINING = 512;
 
     private final Map<String, BackendServer> servers = new LinkedHashMap<>();
-    private final Set<ServerStart> leaving = new LinkedHashSet<>();
-    private final Map<String, Long> doubtfulUntil = new LinkedHashMap<>();
+    private final Set<ServerStart> draining = new LinkedHashSet<>();
+    private final Map<String, Long> unconfirmedUntil = new LinkedHashMap<>();
     private long interruptedAt = Long.MIN_VALUE;
     private boolean interrupted;
     private long graceUntil = Long.MIN_VALUE;
@@ -40,27 +40,27 @@
      * Takes a registration in and returns what is believed of the server. One start that has said that it leaves does not
      * stay after all; a registration that calls it ready again is older, as a store that came back from a copy tells it.
      */
-    public BackendServer changed(BackendServer server) {
-        BackendServer believed = leaving.contains(ServerStart.of(server)) ? server.leaving() : server;
-        if (believed.state() == BackendState.DRAINING) {
-            noteLeaving(ServerStart.of(server));
+    public BackendServer registrationChanged(BackendServer server) {
+        BackendServer known = draining.contains(ServerStart.of(server)) ? server.asDraining() : server;
+        if (known.state() == BackendState.DRAINING) {
+            rememberDraining(ServerStart.of(server));
         }
-        servers.put(server.id(), believed);
-        doubtfulUntil.remove(server.id());
-        return believed;
+        servers.put(server.id(), known);
+        unconfirmedUntil.remove(server.id());
+        return known;
     }
 
     /** Notes that the store has come back from an older copy; what is missing there now may be written again. */
-    public void cameBackOlder(long now) {
-        graceUntil = Math.max(graceUntil, now + RETURN_TIME.toNanos());
+    public void storeRolledBack(long now) {
+        graceUntil = Math.max(graceUntil, now + REREGISTRATION_TIME.toNanos());
     }
 
     /** Notes that a registration is missing; returns whether the server counts as gone at once. */
-    public boolean removed(String id, long now) {
-        boolean duringOutage = interrupted && now - interruptedAt >= SHORTEST_OUTAGE.toNanos();
+    public boolean registrationRemoved(String id, long now) {
+        boolean duringOutage = interrupted && now - interruptedAt >= MIN_OUTAGE.toNanos();
         if (duringOutage || now < graceUntil) {
-            long until = Math.max(graceUntil, duringOutage ? now + RETURN_TIME.toNanos() : now);
-            doubtfulUntil.put(id, until);
+            long until = Math.max(graceUntil, duringOutage ? now + REREGISTRATION_TIME.toNanos() : now);
+            unconfirmedUntil.put(id, until);
             return false;
         }
         servers.remove(id);
@@ -68,7 +68,7 @@
     }
 
     /** Notes that changes may be missed from now on. */
-    public void interrupted(long now) {
+    public void watchInterrupted(long now) {
         if (!interrupted) {
             interrupted = true;
             interruptedAt = now;
@@ -76,32 +76,32 @@
     }
 
     /** Notes that all registrations have been told. */
-    public void synchronised(long now) {
-        if (interrupted && now - interruptedAt >= SHORTEST_OUTAGE.toNanos()) {
-            graceUntil = now + RETURN_TIME.toNanos();
+    public void watchSynchronised(long now) {
+        if (interrupted && now - interruptedAt >= MIN_OUTAGE.toNanos()) {
+            graceUntil = now + REREGISTRATION_TIME.toNanos();
         }
         interrupted = false;
     }
 
     /** Drops the doubtful registrations whose time is over and returns them. */
     public List<String> expire(long now) {
-        List<String> gone = new ArrayList<>();
-        doubtfulUntil.forEach((id, until) -> {
+        List<String> expired = new ArrayList<>();
+        unconfirmedUntil.forEach((id, until) -> {
             if (now >= until) {
-                gone.add(id);
+                expired.add(id);
             }
         });
-        for (String id : gone) {
-            doubtfulUntil.remove(id);
+        for (String id : expired) {
+            unconfirmedUntil.remove(id);
             servers.remove(id);
         }
-        return gone;
+        return expired;
     }
 
-    private void noteLeaving(ServerStart start) {
-        leaving.add(start);
-        if (leaving.size() > MOST_LEAVING) {
-            leaving.remove(leaving.iterator().next());
+    private void rememberDraining(ServerStart start) {
+        draining.add(start);
+        if (draining.size() > MAX_DRAINING) {
+            draining.remove(draining.iterator().next());
         }
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendServer.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendServer.java
@@ -26,12 +26,12 @@
         BackendState state,
         EngineRole role) {
     /** Returns the same start as one that takes no new work. */
-    BackendServer leaving() {
+    BackendServer asDraining() {
         return new BackendServer(id, startedAt, service, host, port, dataCentre, slots, BackendState.DRAINING, role);
     }
 
     /** Returns whether the other is the same start at the same address, so that its connections stay good. */
-    public boolean sameStart(BackendServer other) {
+    public boolean sameIncarnation(BackendServer other) {
         return id.equals(other.id)
                 && startedAt == other.startedAt
                 && host.equals(other.host)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ConnectionLimits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ConnectionLimits.java
@@ -10,11 +10,11 @@
  * @param headerTimeout how long a head may take to arrive
  * @param idleTimeout how long a connection may stay open between requests
  */
-public record ConnectionLimits(int mostHeaderBytes, int mostBodyBytes, Duration headerTimeout, Duration idleTimeout) {
+public record ConnectionLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
     private static final int KIBIBYTE = 1024;
 
     /** Returns limits for the time in which no configuration is known: those of the usual HTTP servers. */
-    public static ConnectionLimits usual() {
+    public static ConnectionLimits defaults() {
         return new ConnectionLimits(
                 16 * KIBIBYTE, 4 * KIBIBYTE * KIBIBYTE, Duration.ofSeconds(5), Duration.ofSeconds(15));
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineState.java
@@ -8,4 +8,4 @@
  * @param slowness how many times longer than the others with its role it takes
  * @param changing whether it has been told to change its role
  */
-public record EngineState(BackendServer server, EngineLoad load, double slowness, boolean changing) {}
+public record EngineState(BackendServer server, EngineLoad load, double slowdown, boolean changingRole) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerShare.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryLoad.java
@@ -7,12 +7,12 @@
  * @param requests the requests it has there
  * @param pace the pace that its answers from there show
  */
-public record PeerShare(double unansweredSeconds, int requests, EventPace pace) {
+public record EntryLoad(double unansweredSeconds, int requests, EventIntervals eventIntervals) {
     /** No load. */
-    public static final PeerShare NONE = new PeerShare(0, 0, EventPace.NONE);
+    public static final EntryLoad NONE = new EntryLoad(0, 0, EventIntervals.NONE);
 
-    PeerShare plus(PeerShare other) {
-        return new PeerShare(
-                unansweredSeconds + other.unansweredSeconds, requests + other.requests, pace.plus(other.pace));
+    EntryLoad plus(EntryLoad other) {
+        return new EntryLoad(
+                unansweredSeconds + other.unansweredSeconds, requests + other.requests, eventIntervals.plus(other.eventIntervals));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Pacing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
@@ -5,39 +5,39 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /** Which prompts an entry holds back until an engine has room, and how long prompts may wait at engines. */
-final class Pacing {
+final class EntryQueueing {
     /** Fewer prompts within the tolerated wait leave an engine idle whenever one entry gives way. */
-    private static final double LEAST_PROMPTS_WITHIN_WAIT = 2.5;
+    private static final double MIN_PROMPTS_WITHIN_WAIT = 2.5;
 
     /**
      * Part of a request's objective that it may wait at an engine before this entry sends less there. With less, engines
      * run dry between the reports of their answers; with more, waiting and the answer itself do not fit the objective.
      */
-    private static final double TOLERATED_SHARE = 0.25;
+    private static final double TOLERATED_WAIT_FRACTION = 0.25;
 
     /** Prompts that take less than this part of an answer's fixed time do not wait for room: they hold nobody up. */
-    private static final double LIGHT_SHARE = 0.1;
+    private static final double SHORT_PROMPT_FRACTION = 0.1;
 
-    private static final double NANOSECONDS = 1e9;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    private Pacing() {}
+    private EntryQueueing() {}
 
     /** Returns how long a prompt may wait at an engine before its entry sends less there. */
-    static double toleratedSeconds(Duration objective) {
-        return objective.toNanos() / NANOSECONDS * TOLERATED_SHARE;
+    static double toleratedWaitSeconds(Duration objective) {
+        return objective.toNanos() / NANOSECONDS_PER_SECOND * TOLERATED_WAIT_FRACTION;
     }
 
     /**
      * Returns how many times longer than the settings say an engine takes. Where entries keep queues short it is the engine's
      * learnt speed; else the delay of its answers, without which entries send on to queues that none of them knows.
      */
-    static double slowness(ServerBelief engine, boolean paced) {
-        return paced ? engine.slownessBySettings() : engine.delaySlowness();
+    static double slowdown(ServerEstimate engine, boolean queuedAtEntry) {
+        return queuedAtEntry ? engine.slowdownFromSettings() : engine.delaySlowdown();
     }
 
     /** Returns whether a prompt keeps an engine busy for so long that it holds others up. */
-    static boolean isLong(ServerBelief belief, double workSeconds) {
-        return workSeconds > LIGHT_SHARE * belief.fixedSeconds();
+    static boolean isLongPrompt(ServerEstimate engine, double workSeconds) {
+        return workSeconds > SHORT_PROMPT_FRACTION * engine.fixedSeconds();
     }
 
     /**
@@ -45,14 +45,14 @@
      * waits how many it may send, and does a short queue keep an engine busy. Where one prompt takes as long as the whole
      * wait, each entry sends too few to learn in time: requests waited here for seconds while engines stood idle.
      */
-    static boolean possible(Duration objective, List<ServerBelief> usable) {
-        double tolerated = toleratedSeconds(objective);
-        double usual = usable.stream()
+    static boolean applicable(Duration objective, List<ServerEstimate> usable) {
+        double toleratedSeconds = toleratedWaitSeconds(objective);
+        double typicalPromptSeconds = usable.stream()
                 .filter(each -> each.server().role() != EngineRole.DECODE)
-                .mapToDouble(ServerBelief::usualPromptSeconds)
+                .mapToDouble(ServerEstimate::typicalPromptSeconds)
                 .filter(seconds -> seconds > 0)
                 .average()
                 .orElse(Double.MAX_VALUE);
-        return usual * LEAST_PROMPTS_WITHIN_WAIT <= tolerated;
+        return typicalPromptSeconds * MIN_PROMPTS_WITHIN_WAIT <= toleratedSeconds;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventLength.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventSize.java
@@ -6,4 +6,4 @@
  * @param service the service
  * @param tokens how many tokens an event has
  */
-public record EventLength(String service, double tokens) {}
+public record EventSize(String service, double tokensPerEvent) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LearntSpeed.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LearnedSpeed.java
@@ -10,4 +10,4 @@
  * @param factor how many times longer than the settings say work takes
  * @param fixedSeconds what an answer takes beside its work
  */
-public record LearntSpeed(String service, EngineRole role, double factor, double fixedSeconds) {}
+public record LearnedSpeed(String service, EngineRole role, double factor, double fixedSeconds) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswers.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswerDetector.java
@@ -12,14 +12,14 @@
  * of the largest tenth of the answers a third was complete at its deadline, and the prompts of a burst were computed no
  * sooner. Short answers do not mind: there, engines for answers compute prompts too when all others are full.
  */
-final class LongAnswers {
+final class LongAnswerDetector {
     /** An answer that takes this part of its time to tell may not be complete in time at half the pace, with its wait. */
-    private static final double LONG_SHARE = 0.25;
+    private static final double MIN_TIME_FRACTION = 0.25;
 
     /** How long one such answer counts: an entry sees a part of them only, and they come in phases of some seconds. */
-    private static final Duration MEMORY = Duration.ofSeconds(10);
+    private static final Duration RETENTION = Duration.ofSeconds(10);
 
-    private final Map<String, Long> seenAt = new HashMap<>();
+    private final Map<String, Long> lastSeenAt = new HashMap<>();
 
     /**
      * Notes how long an answer has been told so far.
@@ -27,15 +27,15 @@
      * @param told since its first event
      * @param allowed from its arrival to its deadline
      */
-    void told(String service, Duration told, Duration allowed, long now) {
-        if (told.toNanos() > LONG_SHARE * allowed.toNanos()) {
-            seenAt.put(service, now);
+    void recordStreaming(String service, Duration streamed, Duration allowed, long now) {
+        if (streamed.toNanos() > MIN_TIME_FRACTION * allowed.toNanos()) {
+            lastSeenAt.put(service, now);
         }
     }
 
     /** Returns whether the service probably has long answers under way, from this entry or another. */
-    boolean underWay(String service, long now) {
-        Long seen = seenAt.get(service);
-        return seen != null && now - seen < MEMORY.toNanos();
+    boolean inProgress(String service, long now) {
+        Long seen = lastSeenAt.get(service);
+        return seen != null && now - seen < RETENTION.toNanos();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
@@ -14,41 +14,41 @@
  */
 public final class PeerLoads {
     /** Reports come several times a second; after this time of silence their sender has stopped or is cut off. */
-    static final Duration SILENCE = Duration.ofMillis(1500);
+    static final Duration REPORT_TIMEOUT = Duration.ofMillis(1500);
 
-    private final Map<String, HeardReport> reports = new HashMap<>();
+    private final Map<String, ReceivedReport> reports = new HashMap<>();
 
     /** Takes a report in; one that was overtaken by a newer one is dropped. */
-    public void heard(PeerReport report, long now) {
-        HeardReport before = reports.get(report.entry());
-        boolean overtaken = before != null
-                && before.report().start() == report.start()
-                && before.report().sequence() >= report.sequence();
-        if (overtaken) {
+    public void receive(PeerReport report, long now) {
+        ReceivedReport previous = reports.get(report.entry());
+        boolean outdated = previous != null
+                && previous.report().incarnation() == report.incarnation()
+                && previous.report().sequence() >= report.sequence();
+        if (outdated) {
             return;
         }
         if (report.leaving()) {
             reports.remove(report.entry());
             return;
         }
-        reports.put(report.entry(), new HeardReport(report, now));
+        reports.put(report.entry(), new ReceivedReport(report, now));
     }
 
     /** Forgets the entries that have been silent for too long. */
     public void expire(long now) {
-        Iterator<HeardReport> all = reports.values().iterator();
-        while (all.hasNext()) {
-            if (now - all.next().at() > SILENCE.toNanos()) {
-                all.remove();
+        Iterator<ReceivedReport> received = reports.values().iterator();
+        while (received.hasNext()) {
+            if (now - received.next().receivedAt() > REPORT_TIMEOUT.toNanos()) {
+                received.remove();
             }
         }
     }
 
     /** Returns what all others together have placed on a server. */
-    public PeerShare on(String server) {
-        PeerShare total = PeerShare.NONE;
-        for (HeardReport heard : reports.values()) {
-            total = total.plus(heard.report().shares().getOrDefault(server, PeerShare.NONE));
+    public EntryLoad onServer(String server) {
+        EntryLoad total = EntryLoad.NONE;
+        for (ReceivedReport received : reports.values()) {
+            total = total.plus(received.report().loads().getOrDefault(server, EntryLoad.NONE));
         }
         return total;
     }
@@ -56,18 +56,18 @@
     /** Returns whether no other entry has anything on a server. */
     public boolean idle() {
         return reports.values().stream()
-                .allMatch(heard -> heard.report().shares().isEmpty());
+                .allMatch(received -> received.report().loads().isEmpty());
     }
 
     /** Returns whether no entry that is heard has a name before the given one. */
-    public boolean noneBefore(String entry) {
+    public boolean isFirstByName(String entry) {
         return reports.keySet().stream().allMatch(other -> other.compareTo(entry) > 0);
     }
 
     /** Returns how many other entries are heard. */
-    public int heardEntries() {
+    public int activePeers() {
         return reports.size();
     }
 
-    private record HeardReport(PeerReport report, long at) {}
+    private record ReceivedReport(PeerReport report, long receivedAt) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
@@ -20,21 +20,21 @@
  */
 public record PeerReport(
         String entry,
-        long start,
+        long incarnation,
         long sequence,
-        Map<String, PeerShare> shares,
-        List<PlacedPrompt> prompts,
-        List<LearntSpeed> speeds,
-        List<EventLength> lengths,
-        List<RoleChange> changes,
-        List<ServerEnd> ends,
+        Map<String, EntryLoad> loads,
+        List<AssignedPrompt> prompts,
+        List<LearnedSpeed> speeds,
+        List<EventSize> eventSizes,
+        List<RoleChange> roleChanges,
+        List<ServerEnd> serverTerminations,
         boolean leaving) {
     public PeerReport {
-        shares = Map.copyOf(shares);
+        loads = Map.copyOf(loads);
         prompts = List.copyOf(prompts);
         speeds = List.copyOf(speeds);
-        lengths = List.copyOf(lengths);
-        changes = List.copyOf(changes);
-        ends = List.copyOf(ends);
+        eventSizes = List.copyOf(eventSizes);
+        roleChanges = List.copyOf(roleChanges);
+        serverTerminations = List.copyOf(serverTerminations);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Placement.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Placement.java
@@ -14,12 +14,12 @@
      * @param queueSeconds how long the request should wait at the server before that
      * @param expectedSeconds when the answer should begin, counted from now
      */
-    record Whole(
+    record SingleServer(
             BackendServer server,
-            Optional<BackendServer> holder,
+            Optional<BackendServer> cacheHolder,
             double promptSeconds,
             double queueSeconds,
-            double expectedSeconds)
+            double answerStartSeconds)
             implements Placement {}
 
     /**
@@ -33,19 +33,19 @@
      * @param ordered whether who goes first was decided at the entry, so that the first engine need not go by ranks: there,
      *     short prompts of a less urgent kind waited for 0.3 to 1.8 s behind long ones
      */
-    record Staged(
+    record Disaggregated(
             BackendServer prefill,
-            Optional<BackendServer> holder,
+            Optional<BackendServer> cacheHolder,
             double promptSeconds,
             double queueSeconds,
-            double expectedSeconds,
-            boolean ordered)
+            double answerStartSeconds,
+            boolean orderedAtEntry)
             implements Placement {
-        private static final int FIRST_RANK = 0;
+        private static final int HIGHEST_PRIORITY = 0;
 
         /** Returns the rank of the prompt at the first engine, given that of its route. */
-        public int promptRank(int routeRank) {
-            return ordered ? FIRST_RANK : routeRank;
+        public int promptPriority(int routePriority) {
+            return orderedAtEntry ? HIGHEST_PRIORITY : routePriority;
         }
     }
 
@@ -54,7 +54,7 @@
      *
      * @param promptSeconds how long the engine that needs least for it should compute
      */
-    record Held(double promptSeconds) implements Placement {}
+    record Queued(double promptSeconds) implements Placement {}
 
     /**
      * No server can answer in time, or there is none.
@@ -62,5 +62,5 @@
      * @param reason one sentence for the log
      * @param comeBackAfter when it may be better
      */
-    record Refused(String reason, Duration comeBackAfter) implements Placement {}
+    record Refused(String reason, Duration retryAfter) implements Placement {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementRequest.java
@@ -22,8 +22,8 @@
         Optional<Prompt> prompt,
         Duration timeLeft,
         Duration objective,
-        boolean answerBegun,
-        Set<String> avoided,
-        boolean mayStage,
-        boolean mayWait,
-        boolean othersWait) {}
+        boolean answerStarted,
+        Set<String> excludedServers,
+        boolean mayDisaggregate,
+        boolean mayQueue,
+        boolean othersQueued) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementSettings.java
@@ -11,4 +11,4 @@
  * @param secondsPerMegapair what attention adds for each million pairs of a computed token and one before it
  */
 public record PlacementSettings(
-        String dataCentre, EngineSpeed speed, double ownPromptShare, double secondsPerMegapair) {}
+        String dataCentre, EngineSpeed engineSpeed, double decodePrefillFraction, double attentionSecondsPerMegapair) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
@@ -15,8 +15,8 @@
 public record Prompt(
         String model,
         int promptTokens,
-        int mostOutputTokens,
-        Optional<Integer> likelyOutputTokens,
+        int maxOutputTokens,
+        Optional<Integer> statedOutputTokens,
         List<PromptPart> parts) {
     public Prompt {
         parts = List.copyOf(parts);
@@ -24,20 +24,20 @@
 
     /** Returns how many tokens its answer is expected to have, no more than may be generated; empty where none said so. */
     public Optional<Integer> expectedOutputTokens() {
-        return likelyOutputTokens.map(likely -> Math.clamp(likely, 1, Math.max(1, mostOutputTokens)));
+        return statedOutputTokens.map(stated -> Math.clamp(stated, 1, Math.max(1, maxOutputTokens)));
     }
 
     /** Returns the identity that requests with the same shared beginning have in common. */
-    public String sharedIdentity() {
+    public String sharedPrefixIdentity() {
         if (parts.isEmpty()) {
             return "";
         }
-        int last = Math.max(0, parts.size() - 2);
-        return parts.get(last).identity();
+        int lastShared = Math.max(0, parts.size() - 2);
+        return parts.get(lastShared).identity();
     }
 
     /** Returns how many tokens of the prompt other requests may share. */
-    public int sharedTokens() {
+    public int sharedPrefixTokens() {
         int shared = 0;
         for (int index = 0; index < parts.size() - 1; index++) {
             shared += parts.get(index).tokens();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -8,7 +8,7 @@
 /** What one prompt costs at each of the engines that may take it, given what they keep of it. */
 final class PromptCosts {
     /** Shorter parts are computed about as fast as a transfer is set up. */
-    private static final int LEAST_FETCHED_TOKENS = 1024;
+    private static final int MIN_TRANSFER_TOKENS = 1024;
 
     /** Transfers between data centres take twice as long. */
     private static final double REMOTE_TRANSFER_FACTOR = 2;
@@ -17,90 +17,90 @@
      * Added where a prompt that no engine keeps is computed away from its home, in seconds: entries that meet the same new
      * prompt at the same moment should not compute it at two engines.
      */
-    private static final double AWAY_SECONDS = 0.02;
+    private static final double NOT_PREFERRED_SECONDS = 0.02;
 
-    private static final double PAIRS_OF_MEGAPAIR = 1e6;
+    private static final double PAIRS_PER_MEGAPAIR = 1e6;
 
     private final PlacementSettings settings;
     private final Prompt prompt;
-    private final boolean paced;
-    private final ServerBelief home;
-    private final Optional<HeldPrompt> held;
+    private final boolean queuedAtEntry;
+    private final ServerEstimate preferredEngine;
+    private final Optional<CachedPrefix> longestCachedPrefix;
 
     /**
      * Makes the costs of a prompt at engines, of which there is one at least.
      *
      * @param paced whether entries keep the engines' queues short, so that their own speed is what counts
      */
-    PromptCosts(PlacementSettings settings, Prompt prompt, List<ServerBelief> engines, boolean paced, long now) {
+    PromptCosts(PlacementSettings settings, Prompt prompt, List<ServerEstimate> engines, boolean queuedAtEntry, long now) {
         this.settings = settings;
         this.prompt = prompt;
-        this.paced = paced;
-        this.home = home(engines);
-        this.held = held(engines, now);
+        this.queuedAtEntry = queuedAtEntry;
+        this.preferredEngine = preferredEngine(engines);
+        this.longestCachedPrefix = longestCachedPrefix(engines, now);
     }
 
     /**
      * Returns what an engine has to do for the prompt. Parts that it lacks are fetched from an engine that keeps them:
      * moving them takes milliseconds, computing them again a tenth of a second and more.
      */
-    PromptWork at(ServerBelief engine) {
-        int believed = engine.cache().cachedTokens(prompt);
-        double away = believed > 0 || engine.equals(home) ? 0 : AWAY_SECONDS;
-        int fetched = held.map(HeldPrompt::tokens).orElse(0) - believed;
-        if (fetched < LEAST_FETCHED_TOKENS) {
-            return new PromptWork(computeSeconds(engine, believed) + away, Optional.empty());
+    EngineWork workAt(ServerEstimate engine) {
+        int cached = engine.cache().cachedTokens(prompt);
+        double penaltySeconds = cached > 0 || engine.equals(preferredEngine) ? 0 : NOT_PREFERRED_SECONDS;
+        int transferred = longestCachedPrefix.map(CachedPrefix::tokens).orElse(0) - cached;
+        if (transferred < MIN_TRANSFER_TOKENS) {
+            return new EngineWork(computeSeconds(engine, cached) + penaltySeconds, Optional.empty());
         }
-        ServerBelief holder = held.orElseThrow().holder();
-        double fetch = transferSeconds(settings, fetched, holder.server().dataCentre(), engine);
-        double compute = computeSeconds(engine, believed + fetched);
-        return new PromptWork(fetch + compute, Optional.of(holder.server()));
+        ServerEstimate holder = longestCachedPrefix.orElseThrow().holder();
+        double transferSeconds = transferSeconds(settings, transferred, holder.server().dataCentre(), engine);
+        double computeSeconds = computeSeconds(engine, cached + transferred);
+        return new EngineWork(transferSeconds + computeSeconds, Optional.of(holder.server()));
     }
 
     /** Returns how long moving the cache of so many tokens to an engine takes. */
-    static double transferSeconds(PlacementSettings settings, int tokens, String from, ServerBelief to) {
-        double factor = to.server().dataCentre().equals(from) ? 1 : REMOTE_TRANSFER_FACTOR;
-        return factor * settings.speed().handOverSeconds(tokens);
+    static double transferSeconds(PlacementSettings settings, int tokens, String sourceDataCentre, ServerEstimate to) {
+        double factor = to.server().dataCentre().equals(sourceDataCentre) ? 1 : REMOTE_TRANSFER_FACTOR;
+        return factor * settings.engineSpeed().handOverSeconds(tokens);
     }
 
     /** Returns the engine that keeps most of the prompt. */
-    private Optional<HeldPrompt> held(List<ServerBelief> engines, long now) {
-        HeldPrompt most = null;
-        for (ServerBelief engine : engines) {
-            int tokens = engine.cache().fetchableTokens(prompt, now);
-            if (tokens > 0 && (most == null || tokens > most.tokens())) {
-                most = new HeldPrompt(engine, tokens);
+    private Optional<CachedPrefix> longestCachedPrefix(List<ServerEstimate> engines, long now) {
+        CachedPrefix longest = null;
+        for (ServerEstimate engine : engines) {
+            int tokens = engine.cache().transferableTokens(prompt, now);
+            if (tokens > 0 && (longest == null || tokens > longest.tokens())) {
+                longest = new CachedPrefix(engine, tokens);
             }
         }
-        return Optional.ofNullable(most);
+        return Optional.ofNullable(longest);
     }
 
-    private double computeSeconds(ServerBelief engine, int cached) {
+    private double computeSeconds(ServerEstimate engine, int cached) {
         double computed = prompt.promptTokens() - cached;
-        double megapairs = computed * (cached + computed / 2) / PAIRS_OF_MEGAPAIR;
-        double seconds = settings.speed().prefillSeconds(computed) + megapairs * settings.secondsPerMegapair();
-        return seconds * Pacing.slowness(engine, paced) / prefillShare(engine.server());
+        double megapairs = computed * (cached + computed / 2) / PAIRS_PER_MEGAPAIR;
+        double seconds = settings.engineSpeed().prefillSeconds(computed) + megapairs * settings.attentionSecondsPerMegapair();
+        return seconds * EntryQueueing.slowdown(engine, queuedAtEntry) / prefillRateFraction(engine.server());
     }
 
-    private double prefillShare(BackendServer server) {
-        return server.role() == EngineRole.DECODE ? settings.ownPromptShare() : 1;
+    private double prefillRateFraction(BackendServer server) {
+        return server.role() == EngineRole.DECODE ? settings.decodePrefillFraction() : 1;
     }
 
     /** Weighted rendezvous hashing: each engine draws a number that depends only on it and the prompt. */
-    private ServerBelief home(List<ServerBelief> engines) {
-        String shared = prompt.sharedIdentity();
-        ServerBelief drawnBest = engines.getFirst();
-        double best = Double.NEGATIVE_INFINITY;
-        for (ServerBelief engine : engines) {
-            long hash = StableHash.of(shared, engine.server().id());
-            double drawn = ((hash >>> 11) + 0.5) * 0x1.0p-53;
-            double score = -prefillShare(engine.server()) / Math.log(drawn);
-            if (score > best) {
-                best = score;
-                drawnBest = engine;
+    private ServerEstimate preferredEngine(List<ServerEstimate> engines) {
+        String prefix = prompt.sharedPrefixIdentity();
+        ServerEstimate preferred = engines.getFirst();
+        double bestScore = Double.NEGATIVE_INFINITY;
+        for (ServerEstimate engine : engines) {
+            long hash = StableHash.of(prefix, engine.server().id());
+            double uniform = ((hash >>> 11) + 0.5) * 0x1.0p-53;
+            double score = -prefillRateFraction(engine.server()) / Math.log(uniform);
+            if (score > bestScore) {
+                bestScore = score;
+                preferred = engine;
             }
         }
-        return drawnBest;
+        return preferred;
     }
 
     /**
@@ -109,7 +109,7 @@
      * @param seconds how long that takes
      * @param holder the engine to fetch a part of it from
      */
-    record PromptWork(double seconds, Optional<BackendServer> holder) {}
+    record EngineWork(double seconds, Optional<BackendServer> cacheHolder) {}
 
-    private record HeldPrompt(ServerBelief holder, int tokens) {}
+    private record CachedPrefix(ServerEstimate holder, int tokens) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
@@ -12,61 +12,61 @@
  * each entry is too much, an entry pauses between its prompts.
  */
 final class PromptWindow {
-    private static final double FIRST = 1;
+    private static final double INITIAL_WINDOW = 1;
 
     /** One prompt in sixteen times as long as it took: enough for as many entries as share an engine at one time. */
-    private static final double LEAST = 1.0 / 16;
+    private static final double MIN_WINDOW = 1.0 / 16;
 
-    private static final double MOST = 64;
+    private static final double MAX_WINDOW = 64;
 
     /** What a window keeps when a prompt has waited for too long; halving leaves engines idle between. */
-    private static final double KEPT_SHARE = 0.8;
+    private static final double DECREASE_FACTOR = 0.8;
 
     /** What a full window gains with each prompt that has not waited for too long. */
-    private static final double GAIN = 0.25;
+    private static final double INCREASE = 0.25;
 
     /** The window of an engine that has turned a prompt away: one prompt after a pause. */
-    private static final double AFTER_REJECTION = 0.5;
+    private static final double WINDOW_AFTER_REJECTION = 0.5;
 
     /** About a tenth of the time for which an engine that changes its role turns prompts away. */
     private static final long REJECTION_PAUSE_NANOSECONDS = 300_000_000L;
 
-    private double window = FIRST;
-    private int prompts;
-    private long lessenedAt = Long.MIN_VALUE;
+    private double window = INITIAL_WINDOW;
+    private int promptsAtEngine;
+    private long decreasedAt = Long.MIN_VALUE;
     private long pausedUntil = Long.MIN_VALUE;
-    private long rejectingUntil = Long.MIN_VALUE;
+    private long rejectedUntil = Long.MIN_VALUE;
 
-    boolean room(long now) {
-        return prompts + 1 <= window || (prompts == 0 && now >= pausedUntil);
+    boolean hasRoom(long now) {
+        return promptsAtEngine + 1 <= window || (promptsAtEngine == 0 && now >= pausedUntil);
     }
 
     /** Returns whether the engine has turned a prompt away a moment ago. */
-    boolean rejecting(long now) {
-        return now < rejectingUntil;
+    boolean recentlyRejected(long now) {
+        return now < rejectedUntil;
     }
 
     /** Returns whether no prompt of this entry is at the engine. */
-    boolean empty() {
-        return prompts == 0;
+    boolean isEmpty() {
+        return promptsAtEngine == 0;
     }
 
-    void placed() {
-        prompts++;
+    void promptSent() {
+        promptsAtEngine++;
     }
 
-    void ended() {
-        prompts = Math.max(0, prompts - 1);
+    void promptEnded() {
+        promptsAtEngine = Math.max(0, promptsAtEngine - 1);
     }
 
     /**
      * Notes that the engine turned a prompt away: it is full, or does something else for a while. It looks idle then, and
      * without a pause would be sent every prompt that no other engine has room for.
      */
-    void rejected(long now) {
-        window = Math.min(window, AFTER_REJECTION);
-        rejectingUntil = now + REJECTION_PAUSE_NANOSECONDS;
-        pausedUntil = rejectingUntil;
+    void promptRejected(long now) {
+        window = Math.min(window, WINDOW_AFTER_REJECTION);
+        rejectedUntil = now + REJECTION_PAUSE_NANOSECONDS;
+        pausedUntil = rejectedUntil;
     }
 
     /**
@@ -77,16 +77,16 @@
      * @param waitedSeconds how long it waited before the engine turned to it
      * @param toleratedSeconds how long it might have
      */
-    void computed(long placedAt, long now, double waitedSeconds, double toleratedSeconds) {
+    void promptComputed(long sentAt, long now, double waitedSeconds, double toleratedSeconds) {
         if (waitedSeconds <= toleratedSeconds) {
-            boolean full = prompts + 1 > window;
-            window = full ? Math.min(MOST, window + GAIN) : window;
-        } else if (placedAt > lessenedAt) {
+            boolean full = promptsAtEngine + 1 > window;
+            window = full ? Math.min(MAX_WINDOW, window + INCREASE) : window;
+        } else if (sentAt > decreasedAt) {
             // Prompts that were sent before the last change tell of the queue that led to it.
-            window = Math.max(LEAST, window * KEPT_SHARE);
-            lessenedAt = now;
+            window = Math.max(MIN_WINDOW, window * DECREASE_FACTOR);
+            decreasedAt = now;
         }
-        double pause = window >= 1 ? 0 : (now - placedAt) * (1 / window - 1);
+        double pause = window >= 1 ? 0 : (now - sentAt) * (1 / window - 1);
         pausedUntil = now + (long) pause;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
@@ -12,55 +12,55 @@
  */
 final class QueueLimit {
     /** The longest queue, in objectives. With one, engines idle after a burst while refused callers are away. */
-    private static final double MOST_OBJECTIVES = 1.5;
+    private static final double MAX_OBJECTIVES = 1.5;
 
     /** Part of its own work by which a prompt may wait less: a long one queues only where few would wait behind it. */
-    private static final double OWN_WORK_SHARE = 0.5;
+    private static final double OWN_WORK_FRACTION = 0.5;
 
-    private static final double NANOSECONDS = 1e9;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     private QueueLimit() {}
 
     /** Returns the placement, or a refusal where it cannot answer in time or the queue is too long. */
-    static Placement applied(Placement placement, PlacementRequest request) {
+    static Placement applyTo(Placement placement, PlacementRequest request) {
         return switch (placement) {
-            case Placement.Whole whole -> {
-                double most = mostQueueSeconds(request, whole.promptSeconds());
-                yield limited(whole, whole.queueSeconds(), most, whole.expectedSeconds(), request);
+            case Placement.SingleServer single -> {
+                double maxQueueSeconds = maxQueueSeconds(request, single.promptSeconds());
+                yield limit(single, single.queueSeconds(), maxQueueSeconds, single.answerStartSeconds(), request);
             }
-            case Placement.Staged staged -> {
-                double most = mostQueueSeconds(request, staged.promptSeconds());
-                yield limited(staged, staged.queueSeconds(), most, staged.expectedSeconds(), request);
+            case Placement.Disaggregated disaggregated -> {
+                double maxQueueSeconds = maxQueueSeconds(request, disaggregated.promptSeconds());
+                yield limit(disaggregated, disaggregated.queueSeconds(), maxQueueSeconds, disaggregated.answerStartSeconds(), request);
             }
-            case Placement.Held held -> held;
+            case Placement.Queued queued -> queued;
             case Placement.Refused refused -> refused;
         };
     }
 
     /** An answer that has begun is not broken off for the sake of others. */
-    private static double mostQueueSeconds(PlacementRequest request, double promptSeconds) {
-        if (request.answerBegun() || request.prompt().isEmpty()) {
+    private static double maxQueueSeconds(PlacementRequest request, double promptSeconds) {
+        if (request.answerStarted() || request.prompt().isEmpty()) {
             return Double.MAX_VALUE;
         }
-        double objective = request.objective().toNanos() / NANOSECONDS;
-        return Math.max(0, MOST_OBJECTIVES * objective - OWN_WORK_SHARE * promptSeconds);
+        double objective = request.objective().toNanos() / NANOSECONDS_PER_SECOND;
+        return Math.max(0, MAX_OBJECTIVES * objective - OWN_WORK_FRACTION * promptSeconds);
     }
 
-    private static Placement limited(
-            Placement placement, double queue, double mostQueue, double expected, PlacementRequest request) {
-        double left = request.timeLeft().toNanos() / NANOSECONDS;
-        if (expected > left) {
-            String reason = String.format("the answer would begin in %.2f s and %.2f s are left", expected, left);
-            return new Placement.Refused(reason, duration(Math.max(queue, expected - left)));
+    private static Placement limit(
+            Placement placement, double queueSeconds, double maxQueueSeconds, double answerStartSeconds, PlacementRequest request) {
+        double secondsLeft = request.timeLeft().toNanos() / NANOSECONDS_PER_SECOND;
+        if (answerStartSeconds > secondsLeft) {
+            String reason = String.format("the answer would begin in %.2f s and %.2f s are left", answerStartSeconds, secondsLeft);
+            return new Placement.Refused(reason, duration(Math.max(queueSeconds, answerStartSeconds - secondsLeft)));
         }
-        if (queue > mostQueue) {
-            String reason = String.format("%.2f s of work wait at the least busy server, %.2f s may", queue, mostQueue);
-            return new Placement.Refused(reason, duration(queue));
+        if (queueSeconds > maxQueueSeconds) {
+            String reason = String.format("%.2f s of work wait at the least busy server, %.2f s may", queueSeconds, maxQueueSeconds);
+            return new Placement.Refused(reason, duration(queueSeconds));
         }
         return placement;
     }
 
     private static Duration duration(double seconds) {
-        return Duration.ofNanos((long) (seconds * NANOSECONDS));
+        return Duration.ofNanos((long) (seconds * NANOSECONDS_PER_SECOND));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
@@ -6,28 +6,28 @@
 final class RecentMaximum {
     private static final long SPAN_NANOSECONDS = Duration.ofSeconds(10).toNanos();
 
-    private long spanFrom;
-    private double inSpan;
-    private double inSpanBefore;
+    private long spanStart;
+    private double currentMaximum;
+    private double previousMaximum;
 
-    void note(double value, long now) {
-        turn(now);
-        inSpan = Math.max(inSpan, value);
+    void add(double value, long now) {
+        rotate(now);
+        currentMaximum = Math.max(currentMaximum, value);
     }
 
     /** Returns the largest value; zero where none was noted lately. */
-    double most(long now) {
-        turn(now);
-        return Math.max(inSpan, inSpanBefore);
+    double maximum(long now) {
+        rotate(now);
+        return Math.max(currentMaximum, previousMaximum);
     }
 
-    private void turn(long now) {
-        long spans = (now - spanFrom) / SPAN_NANOSECONDS;
+    private void rotate(long now) {
+        long spans = (now - spanStart) / SPAN_NANOSECONDS;
         if (spans <= 0) {
             return;
         }
-        inSpanBefore = spans == 1 ? inSpan : 0;
-        inSpan = 0;
-        spanFrom += spans * SPAN_NANOSECONDS;
+        previousMaximum = spans == 1 ? currentMaximum : 0;
+        currentMaximum = 0;
+        spanStart += spans * SPAN_NANOSECONDS;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestTimes.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestDeadlines.java
@@ -5,14 +5,14 @@
 import java.util.OptionalLong;
 
 /** Until when a request's answer is on time, wanted, and allowed; all in nanoseconds of the steady clock. */
-public final class RequestTimes {
+public final class RequestDeadlines {
     /** Callers differ in patience by a sixth; who brings less of the route's time than this, in percent, was here before. */
-    private static final int RETURNED_PERCENT = 75;
+    private static final int MIN_FIRST_ATTEMPT_PERCENT = 75;
 
     private final long arrivedAt;
     private final Route route;
     private final long deadline;
-    private final long aimAt;
+    private final long objectiveDeadline;
 
     /**
      * Makes the times of a request.
@@ -21,15 +21,15 @@
      * @param patience how long its caller said it would wait
      * @param route where it goes
      */
-    public RequestTimes(long arrivedAt, Optional<Duration> patience, Route route) {
+    public RequestDeadlines(long arrivedAt, Optional<Duration> waitLimit, Route route) {
         this.arrivedAt = arrivedAt;
         this.route = route;
         Duration allowed =
-                patience.filter(time -> time.compareTo(route.timeout()) < 0).orElse(route.timeout());
+                waitLimit.filter(time -> time.compareTo(route.timeout()) < 0).orElse(route.timeout());
         this.deadline = arrivedAt + allowed.toNanos();
-        Duration least = route.timeout().multipliedBy(RETURNED_PERCENT).dividedBy(100);
-        Duration gone = allowed.compareTo(least) < 0 ? route.timeout().minus(allowed) : Duration.ZERO;
-        this.aimAt = arrivedAt + route.objective().minus(gone).toNanos();
+        Duration minAllowed = route.timeout().multipliedBy(MIN_FIRST_ATTEMPT_PERCENT).dividedBy(100);
+        Duration alreadyUsed = allowed.compareTo(minAllowed) < 0 ? route.timeout().minus(allowed) : Duration.ZERO;
+        this.objectiveDeadline = arrivedAt + route.objective().minus(alreadyUsed).toNanos();
     }
 
     /** Returns when the request arrived. */
@@ -51,8 +51,8 @@
      * Returns until when the answer must begin to be on time. A caller that comes back after a refusal has less time than
      * the route allows; what is gone of it is gone of the objective too.
      */
-    public long aimAt() {
-        return aimAt;
+    public long objectiveDeadline() {
+        return objectiveDeadline;
     }
 
     /**
@@ -61,8 +61,8 @@
      *
      * @param lastEventAt when the caller last got something
      */
-    public long wantedBy(OptionalLong lastEventAt) {
-        long heardAt = lastEventAt.orElse(arrivedAt);
-        return Math.min(deadline, heardAt + route.longestSilence().toNanos());
+    public long callerWaitsUntil(OptionalLong lastEventAt) {
+        long lastSentAt = lastEventAt.orElse(arrivedAt);
+        return Math.min(deadline, lastSentAt + route.callerIdleTimeout().toNanos());
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RepeatAllowance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
@@ -10,11 +10,11 @@
  * recovers. One would see arrivals grow while answers fall. All entries share one bound without asking each other: a
  * share of the requests each sees itself, plus an even part of the fixed slack. With too high a number of entries
  * assumed, less is repeated than allowed; with one too low, the fixed part is exceeded by that factor at most, against
- * which {@link #SAFETY_SHARE} stands.
+ * which {@link RetryAllowance#SAFETY_FACTOR} stands.
  */
-public final class RepeatAllowance {
+public final class RetryAllowance {
     /** Part of the bound that is used; the rest covers uneven callers and a number of entries that lags behind. */
-    static final double SAFETY_SHARE = 0.6;
+    static final double SAFETY_FACTOR = 0.6;
 
     private static final int BUCKETS = 10;
 
@@ -23,8 +23,8 @@
     private final double slack;
     private final long bucketNanoseconds;
     private final int[] requests = new int[BUCKETS];
-    private final int[] repeats = new int[BUCKETS];
-    private long current;
+    private final int[] retries = new int[BUCKETS];
+    private long currentBucket;
 
     /**
      * Makes an allowance.
@@ -34,39 +34,39 @@
      * @param slack repeats in each window beyond that, over all entries
      * @param window how far back requests and repeats count
      */
-    public RepeatAllowance(TimeSource time, double ratio, double slack, Duration window) {
+    public RetryAllowance(TimeSource time, double ratio, double slack, Duration window) {
         this.time = time;
         this.ratio = ratio;
         this.slack = slack;
         this.bucketNanoseconds = window.toNanos() / BUCKETS;
-        this.current = time.monotonicNanoseconds() / bucketNanoseconds;
+        this.currentBucket = time.monotonicNanoseconds() / bucketNanoseconds;
     }
 
     /** Notes a request for the service. */
-    public void requested() {
-        roll();
-        requests[index(current)]++;
+    public void recordRequest() {
+        advance();
+        requests[index(currentBucket)]++;
     }
 
     /** Takes one repeat, given how many entries share the slack. */
-    public boolean take(int entries) {
-        roll();
-        double allowed = SAFETY_SHARE * (ratio * sum(requests) + slack / Math.max(1, entries));
-        if (sum(repeats) + 1 > allowed) {
+    public boolean tryTakeRetry(int entries) {
+        advance();
+        double maxRetries = SAFETY_FACTOR * (ratio * sum(requests) + slack / Math.max(1, entries));
+        if (sum(retries) + 1 > maxRetries) {
             return false;
         }
-        repeats[index(current)]++;
+        retries[index(currentBucket)]++;
         return true;
     }
 
-    private void roll() {
+    private void advance() {
         long now = time.monotonicNanoseconds() / bucketNanoseconds;
-        long steps = Math.min(BUCKETS, now - current);
+        long steps = Math.min(BUCKETS, now - currentBucket);
         for (long step = 1; step <= steps; step++) {
-            requests[index(current + step)] = 0;
-            repeats[index(current + step)] = 0;
+            requests[index(currentBucket + step)] = 0;
+            retries[index(currentBucket + step)] = 0;
         }
-        current = now;
+        currentBucket = now;
     }
 
     private static int index(long bucket) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RepeatRule.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryRule.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.serving;
 
 /** What may happen to a request whose first run had no usable end. */
-public enum RepeatRule {
+public enum RetryRule {
     /** It is idempotent: another backend server may run it again. */
     REPEATABLE,
     /** It may run once at most. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Route.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Route.java
@@ -22,12 +22,12 @@
         String name,
         String host,
         String pathPrefix,
-        RepeatRule repeatRule,
+        RetryRule retryRule,
         boolean streamed,
         Duration timeout,
         Duration objective,
-        Duration longestSilence,
-        int mostBackends,
+        Duration callerIdleTimeout,
+        int maxBackends,
         int priority,
         List<RouteTarget> targets) {
     public Route {
@@ -35,12 +35,12 @@
     }
 
     /** Returns the service of a request, by a number drawn evenly from 0 to 1. */
-    public String serviceFor(double drawn) {
-        int total = targets.stream().mapToInt(RouteTarget::weight).sum();
-        double left = drawn * total;
+    public String serviceFor(double uniform) {
+        int totalWeight = targets.stream().mapToInt(RouteTarget::weight).sum();
+        double remaining = uniform * totalWeight;
         for (RouteTarget target : targets) {
-            left -= target.weight();
-            if (left < 0) {
+            remaining -= target.weight();
+            if (remaining < 0) {
                 return target.service();
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
@@ -13,58 +13,58 @@
     /** First pause after a connection could not be opened; about the time in which a crashed server is reported. */
     private static final long FIRST_PAUSE_NANOSECONDS = Duration.ofMillis(400).toNanos();
 
-    private static final long LONGEST_PAUSE_NANOSECONDS = Duration.ofSeconds(4).toNanos();
-    private static final int MOST_DOUBLINGS = 4;
-    private static final int FAILURES_IN_A_ROW = 3;
+    private static final long MAX_PAUSE_NANOSECONDS = Duration.ofSeconds(4).toNanos();
+    private static final int MAX_DOUBLINGS = 4;
+    private static final int CONSECUTIVE_FAILURES_BEFORE_PAUSE = 3;
 
     /** Weight of one more answer in the failure share: about the last ten answers count. */
-    private static final double LEARNING_SHARE = 0.1;
+    private static final double FAILURE_WEIGHT = 0.1;
 
-    private int unreachableInARow;
-    private int failuresInARow;
+    private int consecutiveUnreachable;
+    private int consecutiveFailures;
     private long pausedUntil = Long.MIN_VALUE;
-    private double failureShare;
+    private double failureFraction;
 
     void answered() {
-        unreachableInARow = 0;
-        failuresInARow = 0;
+        consecutiveUnreachable = 0;
+        consecutiveFailures = 0;
         pausedUntil = Long.MIN_VALUE;
-        failureShare -= LEARNING_SHARE * failureShare;
+        failureFraction -= FAILURE_WEIGHT * failureFraction;
     }
 
     /** The server answered with a failure of its own, or its answer was lost. */
     void failed(long now) {
-        unreachableInARow = 0;
-        failureShare += LEARNING_SHARE * (1 - failureShare);
-        failuresInARow++;
-        if (failuresInARow >= FAILURES_IN_A_ROW) {
-            pause(now, failuresInARow - FAILURES_IN_A_ROW);
+        consecutiveUnreachable = 0;
+        failureFraction += FAILURE_WEIGHT * (1 - failureFraction);
+        consecutiveFailures++;
+        if (consecutiveFailures >= CONSECUTIVE_FAILURES_BEFORE_PAUSE) {
+            pause(now, consecutiveFailures - CONSECUTIVE_FAILURES_BEFORE_PAUSE);
         }
     }
 
     /** The server does other work now; that it turned requests away before says nothing of it any more. */
     void roleChanged() {
-        unreachableInARow = 0;
+        consecutiveUnreachable = 0;
         pausedUntil = Long.MIN_VALUE;
     }
 
     /** No connection came about, or the server at the address is another one. */
     void unreachable(long now) {
-        failureShare += LEARNING_SHARE * (1 - failureShare);
-        pause(now, unreachableInARow);
-        unreachableInARow++;
+        failureFraction += FAILURE_WEIGHT * (1 - failureFraction);
+        pause(now, consecutiveUnreachable);
+        consecutiveUnreachable++;
     }
 
     boolean paused(long now) {
         return now < pausedUntil;
     }
 
-    double failureShare() {
-        return failureShare;
+    double failureFraction() {
+        return failureFraction;
     }
 
     private void pause(long now, int doublings) {
-        long pause = FIRST_PAUSE_NANOSECONDS << Math.min(doublings, MOST_DOUBLINGS);
-        pausedUntil = now + Math.min(pause, LONGEST_PAUSE_NANOSECONDS);
+        long pause = FIRST_PAUSE_NANOSECONDS << Math.min(doublings, MAX_DOUBLINGS);
+        pausedUntil = now + Math.min(pause, MAX_PAUSE_NANOSECONDS);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerSummary.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerSummary.java
@@ -18,8 +18,8 @@
         double waitSeconds,
         EngineLoad load,
         int ownRequests,
-        double slowness,
-        double failureShare,
-        boolean changing,
+        double slowdown,
+        double failureFraction,
+        boolean changingRole,
         boolean paused,
         int cachedTokens) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceLoad.java
@@ -11,7 +11,7 @@
  * @param neededPace the seconds from one event to the next at which the longest answers are whole in time
  * @param prompts how much prompts press
  */
-public record ServiceLoad(String name, List<EngineState> engines, Optional<Double> neededPace, PromptLoad prompts) {
+public record ServiceLoad(String name, List<EngineState> engines, Optional<Double> requiredEventSeconds, PromptLoad promptLoad) {
     public ServiceLoad {
         engines = List.copyOf(engines);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceTraits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceTraits.java
@@ -9,4 +9,4 @@
  * @param mostConnections how many connections one backend server accepts from all callers together
  * @param generation what its model engines can do; empty where the service runs no model
  */
-public record ServiceTraits(String name, int mostConnections, Optional<GenerationTraits> generation) {}
+public record ServiceTraits(String name, int maxConnections, Optional<GenerationTraits> generation) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitingLine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -22,17 +22,17 @@
  *
  * @param <T> a request
  */
-public final class WaitingLine<T> {
-    private static final double NANOSECONDS = 1e9;
+public final class WaitQueue<T> {
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     /** Weight of one more answer in what an answer usually takes: about the last twenty count. */
-    private static final double LEARNING_SHARE = 0.05;
+    private static final double ANSWER_TIME_WEIGHT = 0.05;
 
     /** Until answers are seen, in seconds: some tens of milliseconds for the prompt and the first token each. */
-    private static final double FIRST_USUAL_SECONDS = 0.1;
+    private static final double INITIAL_ANSWER_SECONDS = 0.1;
 
     /** Weight of one more departure in the pace of the line: a burst brings that many within a second. */
-    private static final double PACE_SHARE = 0.1;
+    private static final double DISPATCH_INTERVAL_WEIGHT = 0.1;
 
     /**
      * A request lets others go first that came up to so many times its own computing later. Without it, the longest tenth
@@ -44,84 +44,84 @@
     /** The same for requests that are late already, counted from their deadlines. */
     private static final double LATE_WORK_WEIGHT = 100;
 
-    private final List<Waiting<T>> waiting = new ArrayList<>();
-    private final DepartureRate lateDepartures = new DepartureRate();
-    private double usualSeconds = FIRST_USUAL_SECONDS;
-    private double secondsEach;
-    private long lastDeparture = Long.MIN_VALUE;
+    private final List<QueuedRequest<T>> queued = new ArrayList<>();
+    private final DispatchRate lateDispatches = new DispatchRate();
+    private double typicalAnswerSeconds = INITIAL_ANSWER_SECONDS;
+    private double dispatchIntervalSeconds;
+    private long lastDispatchAt = Long.MIN_VALUE;
 
     /** Takes a request in. */
-    public void add(Waiting<T> request) {
-        if (waiting.isEmpty()) {
-            lastDeparture = Long.MIN_VALUE;
+    public void add(QueuedRequest<T> request) {
+        if (queued.isEmpty()) {
+            lastDispatchAt = Long.MIN_VALUE;
         }
-        waiting.add(request);
+        queued.add(request);
     }
 
     /** Drops a request that waits no longer; nothing happens where it does not wait. */
     public void remove(T request) {
-        waiting.removeIf(each -> each.request().equals(request));
+        queued.removeIf(each -> each.request().equals(request));
     }
 
     /** Returns how many requests wait. */
     public int size() {
-        return waiting.size();
+        return queued.size();
     }
 
     /** Notes how long an answer took from its departure to its first byte. */
-    public void answered(double seconds) {
-        usualSeconds += LEARNING_SHARE * (seconds - usualSeconds);
+    public void answerStarted(double answerSeconds) {
+        typicalAnswerSeconds += ANSWER_TIME_WEIGHT * (answerSeconds - typicalAnswerSeconds);
     }
 
     /** Notes that a request that should be answered by some time left for an engine; the pace counts while others wait. */
-    public void departed(long aimAt, long now) {
-        if (!inTime(aimAt, now)) {
-            lateDepartures.add(now);
+    public void dispatched(long objectiveDeadline, long now) {
+        if (!canBeOnTime(objectiveDeadline, now)) {
+            lateDispatches.add(now);
         }
-        if (waiting.isEmpty()) {
+        if (queued.isEmpty()) {
             return;
         }
-        if (lastDeparture != Long.MIN_VALUE) {
-            double gap = (now - lastDeparture) / NANOSECONDS;
-            secondsEach += PACE_SHARE * (gap - secondsEach);
+        if (lastDispatchAt != Long.MIN_VALUE) {
+            double intervalSeconds = (now - lastDispatchAt) / NANOSECONDS_PER_SECOND;
+            dispatchIntervalSeconds += DISPATCH_INTERVAL_WEIGHT * (intervalSeconds - dispatchIntervalSeconds);
         }
-        lastDeparture = now;
+        lastDispatchAt = now;
     }
 
     /** Returns who goes next and takes it out of the line. */
-    public Optional<Waiting<T>> next(long now) {
-        Optional<Waiting<T>> next = waiting.stream()
-                .filter(each -> inTime(each.aimAt(), now))
-                .min(byTime(WaitingLine::turn))
-                .or(() -> waiting.stream().min(byTime(WaitingLine::lateTurn)));
-        next.ifPresent(waiting::remove);
+    public Optional<QueuedRequest<T>> takeNext(long now) {
+        Optional<QueuedRequest<T>> next = queued.stream()
+                .filter(each -> canBeOnTime(each.objectiveDeadline(), now))
+                .min(byTime(WaitQueue::rank))
+                .or(() -> queued.stream().min(byTime(WaitQueue::lateRank)));
+        next.ifPresent(queued::remove);
         return next;
     }
 
     /** Takes those out of the line that cannot be answered before their deadline at the pace of the line. */
-    public List<T> takeHopeless(long now) {
-        List<Waiting<T>> late = late(now);
-        late.sort(byTime(WaitingLine::lateTurn));
+    public List<T> takeUnservable(long now) {
+        List<QueuedRequest<T>> late = lateRequests(now);
+        late.sort(byTime(WaitQueue::lateRank));
         // At the begin of a burst no late one has left yet, and most bursts are over before their deadlines: so late
         // ones
         // may count on all departures, or on more where more of them left lately.
-        double secondsEachLate = secondsEach;
-        double lately = lateDepartures.perSecond(now);
-        if (lately > 0) {
-            secondsEachLate = Math.min(secondsEachLate, 1 / lately);
+        double lateIntervalSeconds = dispatchIntervalSeconds;
+        double lateDispatchesPerSecond = lateDispatches.perSecond(now);
+        if (lateDispatchesPerSecond > 0) {
+            lateIntervalSeconds = Math.min(lateIntervalSeconds, 1 / lateDispatchesPerSecond);
         }
-        List<T> hopeless = new ArrayList<>();
+        List<T> unservable = new ArrayList<>();
         int ahead = 0;
-        for (Waiting<T> each : late) {
-            double needed = usualSeconds + ahead * secondsEachLate;
-            if ((each.deadlineAt() - now) / NANOSECONDS < needed) {
-                hopeless.add(each.request());
-                waiting.remove(each);
+        for (QueuedRequest<T> each : late) {
+            double neededSeconds = typicalAnswerSeconds + ahead * lateIntervalSeconds;
+            if ((each.deadline() - now) / NANOSECONDS_PER_SECOND < neededSeconds) {
+                unservable.add(each.request());
+                queued.remove(each);
             } else {
                 ahead++;
             }
         }
-        return hopeless;
+        return unservable;
     }
 
     /**
@@ -132,28 +132,28 @@
      * @param giveUp told of each that is given up, and after how long it may come back
      * @param sendOn told of each whose turn it is
      */
-    public void move(LongSupplier clock, BiConsumer<T, Duration> giveUp, Consumer<T> sendOn) {
-        Duration comeBackAfter = Duration.ofNanos((long) (drainSeconds() * NANOSECONDS));
-        takeHopeless(clock.getAsLong()).forEach(request -> giveUp.accept(request, comeBackAfter));
-        int before = size() + 1;
-        while (size() > 0 && size() < before) {
-            before = size();
-            next(clock.getAsLong()).ifPresent(turn -> sendOn.accept(turn.request()));
+    public void dispatchAndRefuse(LongSupplier clock, BiConsumer<T, Duration> refuse, Consumer<T> dispatch) {
+        Duration retryAfter = Duration.ofNanos((long) (drainSeconds() * NANOSECONDS_PER_SECOND));
+        takeUnservable(clock.getAsLong()).forEach(request -> refuse.accept(request, retryAfter));
+        int previousSize = size() + 1;
+        while (size() > 0 && size() < previousSize) {
+            previousSize = size();
+            takeNext(clock.getAsLong()).ifPresent(next -> dispatch.accept(next.request()));
         }
     }
 
     /** Returns after how long the line is probably empty. */
     double drainSeconds() {
-        return waiting.size() * secondsEach;
+        return queued.size() * dispatchIntervalSeconds;
     }
 
     /** Returns those that will not be on time, by the pace of the line. */
-    private List<Waiting<T>> late(long now) {
-        List<Waiting<T>> late = new ArrayList<>();
+    private List<QueuedRequest<T>> lateRequests(long now) {
+        List<QueuedRequest<T>> late = new ArrayList<>();
         int ahead = 0;
-        waiting.sort(byTime(WaitingLine::turn));
-        for (Waiting<T> each : waiting) {
-            if (inTime(each.aimAt(), now + (long) (ahead * secondsEach * NANOSECONDS))) {
+        queued.sort(byTime(WaitQueue::rank));
+        for (QueuedRequest<T> each : queued) {
+            if (canBeOnTime(each.objectiveDeadline(), now + (long) (ahead * dispatchIntervalSeconds * NANOSECONDS_PER_SECOND))) {
                 ahead++;
             } else {
                 late.add(each);
@@ -163,20 +163,20 @@
     }
 
     /** Returns the moment by which a request that can be on time is ordered among its like. */
-    private static long turn(Waiting<?> each) {
-        return each.arrivedAt() + (long) (WORK_WEIGHT * each.promptSeconds() * NANOSECONDS);
+    private static long rank(QueuedRequest<?> each) {
+        return each.arrivedAt() + (long) (WORK_WEIGHT * each.promptSeconds() * NANOSECONDS_PER_SECOND);
     }
 
     /** Returns the moment by which a late request is ordered among its like. */
-    private static long lateTurn(Waiting<?> each) {
-        return each.deadlineAt() + (long) (LATE_WORK_WEIGHT * each.promptSeconds() * NANOSECONDS);
+    private static long lateRank(QueuedRequest<?> each) {
+        return each.deadline() + (long) (LATE_WORK_WEIGHT * each.promptSeconds() * NANOSECONDS_PER_SECOND);
     }
 
-    private boolean inTime(long at, long now) {
-        return (at - now) / NANOSECONDS >= usualSeconds;
+    private boolean canBeOnTime(long deadline, long now) {
+        return (deadline - now) / NANOSECONDS_PER_SECOND >= typicalAnswerSeconds;
     }
 
-    private static <T> Comparator<Waiting<T>> byTime(ToLongFunction<Waiting<T>> time) {
+    private static <T> Comparator<QueuedRequest<T>> byTime(ToLongFunction<QueuedRequest<T>> time) {
         return Comparator.comparingLong(time);
     }
 
@@ -189,5 +189,5 @@
      * @param aimAt until when its answer must begin to be on time
      * @param deadlineAt until when its answer must begin at all
      */
-    public record Waiting<T>(T request, double promptSeconds, long arrivedAt, long aimAt, long deadlineAt) {}
+    public record QueuedRequest<T>(T request, double promptSeconds, long arrivedAt, long objectiveDeadline, long deadline) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WorkKind.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WorkKind.java
@@ -9,5 +9,5 @@
     /** An engine computes the prompt and answers. */
     WHOLE,
     /** An engine takes a computed prompt over and answers. */
-    HAND_OVER
+    HANDOFF
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadFollower.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadFollower.java
@@ -42,19 +42,19 @@
     /** Returns the change that is due; to be asked at even intervals while there is traffic. */
     public Optional<RoleMove> move(ServiceLoad service) {
         looksSinceChange++;
-        boolean changing = service.engines().stream().anyMatch(EngineState::changing);
-        if (changing || looksSinceChange < LEAST_LOOKS || service.neededPace().isEmpty()) {
+        boolean changing = service.engines().stream().anyMatch(EngineState::changingRole);
+        if (changing || looksSinceChange < LEAST_LOOKS || service.requiredEventSeconds().isEmpty()) {
             return Optional.empty();
         }
         List<EngineState> answering = with(EngineRole.DECODE, service);
         List<EngineState> computing = with(EngineRole.PREFILL, service);
         int usual = RoleBalance.wantedDecoders(answering.size() + computing.size());
-        double needed = service.neededPace().get();
+        double needed = service.requiredEventSeconds().get();
         boolean lend = answering.size() >= usual && answering.size() < computing.size();
-        if (lend && service.prompts() == PromptLoad.EASY && tooSlow(answering, needed)) {
+        if (lend && service.promptLoad() == PromptLoad.EASY && tooSlow(answering, needed)) {
             return quickest(computing);
         }
-        boolean takeBack = answering.size() > usual && mayTake(service.prompts(), answering, needed);
+        boolean takeBack = answering.size() > usual && mayTake(service.promptLoad(), answering, needed);
         return takeBack ? slowest(answering) : Optional.empty();
     }
 
@@ -96,7 +96,7 @@
 
     private static Optional<RoleMove> quickest(List<EngineState> engines) {
         return engines.stream()
-                .min(Comparator.comparingDouble(EngineState::slowness).thenComparing(LoadFollower::id))
+                .min(Comparator.comparingDouble(EngineState::slowdown).thenComparing(LoadFollower::id))
                 .map(engine -> new RoleMove(engine.server(), EngineRole.DECODE));
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/BackendDirectoryTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/BackendDirectoryTest.java
@@ -21,9 +21,9 @@
 
     @Test
     public void should_drop_a_server_that_left_while_the_store_served() {
-        directory.changed(TestServers.plain("one"));
+        directory.registrationChanged(TestServers.plain("one"));
 
-        assertTrue(directory.removed("one", SECOND));
+        assertTrue(directory.registrationRemoved("one", SECOND));
         assertTrue(directory.find("one").isEmpty());
     }
 
@@ -32,11 +32,11 @@
     // after its return would be refused though every server is up.
     @Test
     public void should_keep_servers_for_a_while_that_are_missing_after_an_outage() {
-        directory.changed(TestServers.plain("one"));
-        directory.interrupted(0);
+        directory.registrationChanged(TestServers.plain("one"));
+        directory.watchInterrupted(0);
 
-        assertFalse(directory.removed("one", 4 * SECOND));
-        directory.synchronised(4 * SECOND);
+        assertFalse(directory.registrationRemoved("one", 4 * SECOND));
+        directory.watchSynchronised(4 * SECOND);
         assertTrue(directory.find("one").isPresent());
         assertEquals(directory.expire(5 * SECOND), List.of());
         assertEquals(directory.expire(6 * SECOND), List.of("one"));
@@ -45,11 +45,11 @@
 
     @Test
     public void should_keep_a_server_that_registers_again_after_an_outage() {
-        directory.changed(TestServers.plain("one"));
-        directory.interrupted(0);
-        directory.removed("one", 4 * SECOND);
-        directory.synchronised(4 * SECOND);
-        directory.changed(TestServers.plain("one"));
+        directory.registrationChanged(TestServers.plain("one"));
+        directory.watchInterrupted(0);
+        directory.registrationRemoved("one", 4 * SECOND);
+        directory.watchSynchronised(4 * SECOND);
+        directory.registrationChanged(TestServers.plain("one"));
 
         assertEquals(directory.expire(9 * SECOND), List.of());
         assertTrue(directory.find("one").isPresent());
@@ -59,28 +59,28 @@
     // while, so the server has really left and work sent to it would be cut.
     @Test
     public void should_drop_a_server_at_once_that_is_missing_after_a_short_gap() {
-        directory.changed(TestServers.plain("one"));
-        directory.interrupted(SECOND);
+        directory.registrationChanged(TestServers.plain("one"));
+        directory.watchInterrupted(SECOND);
 
-        assertTrue(directory.removed("one", SECOND + SECOND / 10));
+        assertTrue(directory.registrationRemoved("one", SECOND + SECOND / 10));
     }
 
     @Test
     public void should_drop_a_server_at_once_long_after_an_outage() {
-        directory.changed(TestServers.plain("one"));
-        directory.interrupted(0);
-        directory.synchronised(4 * SECOND);
+        directory.registrationChanged(TestServers.plain("one"));
+        directory.watchInterrupted(0);
+        directory.watchSynchronised(4 * SECOND);
 
-        assertTrue(directory.removed("one", 7 * SECOND));
+        assertTrue(directory.registrationRemoved("one", 7 * SECOND));
     }
 
     // Guards against servers that are dropped although they live, since the store has lost their registrations.
     @Test
     public void should_keep_servers_for_a_while_that_are_missing_where_the_store_came_back_older() {
-        directory.changed(TestServers.plain("one"));
-        directory.cameBackOlder(SECOND);
+        directory.registrationChanged(TestServers.plain("one"));
+        directory.storeRolledBack(SECOND);
 
-        assertFalse(directory.removed("one", SECOND));
+        assertFalse(directory.registrationRemoved("one", SECOND));
         assertEquals(directory.expire(2 * SECOND), List.of());
         assertEquals(directory.expire(3 * SECOND), List.of("one"));
     }
@@ -89,10 +89,10 @@
     @Test
     public void should_not_believe_that_a_server_is_ready_again_which_has_said_that_it_leaves() {
         BackendServer server = TestServers.plain("one");
-        directory.changed(server);
-        directory.changed(server.leaving());
+        directory.registrationChanged(server);
+        directory.registrationChanged(server.asDraining());
 
-        assertEquals(directory.changed(server).state(), BackendState.DRAINING);
+        assertEquals(directory.registrationChanged(server).state(), BackendState.DRAINING);
         assertEquals(directory.find("one").orElseThrow().state(), BackendState.DRAINING);
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/CacheBeliefTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/CacheEstimateTest.java
@@ -7,18 +7,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class CacheBeliefTest {
-    private CacheBelief cache;
+public class CacheEstimateTest {
+    private CacheEstimate cache;
 
     @BeforeMethod
     public void start() {
-        cache = new CacheBelief();
-        cache.limit(1000);
+        cache = new CacheEstimate();
+        cache.setCapacity(1000);
     }
 
     @Test
     public void should_count_the_parts_from_the_beginning_on() {
-        cache.placed(prompt("a", "b").parts(), 0);
+        cache.promptAssigned(prompt("a", "b").parts(), 0);
 
         assertEquals(cache.cachedTokens(prompt("a", "b", "c")), 200);
         assertEquals(cache.cachedTokens(prompt("a", "x", "b")), 100);
@@ -29,10 +29,10 @@
     @Test
     public void should_forget_what_was_used_least_recently() {
         for (int number = 0; number < 10; number++) {
-            cache.placed(prompt("part-" + number).parts(), 0);
+            cache.promptAssigned(prompt("part-" + number).parts(), 0);
         }
         cache.cachedTokens(prompt("part-0"));
-        cache.placed(prompt("one-more").parts(), 0);
+        cache.promptAssigned(prompt("one-more").parts(), 0);
 
         assertEquals(cache.cachedTokens(prompt("part-0")), 100);
         assertEquals(cache.cachedTokens(prompt("part-1")), 0);
@@ -42,13 +42,13 @@
     // it, nothing would come and it would be computed a second time.
     @Test
     public void should_not_offer_a_part_that_is_still_being_computed() {
-        cache.placed(prompt("a").parts(), 500);
+        cache.promptAssigned(prompt("a").parts(), 500);
 
         assertEquals(cache.cachedTokens(prompt("a")), 100);
-        assertEquals(cache.fetchableTokens(prompt("a"), 499), 0);
-        assertEquals(cache.fetchableTokens(prompt("a"), 500), 100);
-        cache.placed(prompt("a").parts(), 900);
-        assertEquals(cache.fetchableTokens(prompt("a"), 500), 100, "it is still kept while it is placed again");
+        assertEquals(cache.transferableTokens(prompt("a"), 499), 0);
+        assertEquals(cache.transferableTokens(prompt("a"), 500), 100);
+        cache.promptAssigned(prompt("a").parts(), 900);
+        assertEquals(cache.transferableTokens(prompt("a"), 500), 100, "it is still kept while it is placed again");
     }
 
     private static Prompt prompt(String... parts) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PaceMeterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/EventIntervalMeterTest.java
@@ -6,47 +6,47 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public final class PaceMeterTest {
+public final class EventIntervalMeterTest {
     private static final long SECOND = 1_000_000_000L;
 
-    private PaceMeter meter;
+    private EventIntervalMeter meter;
 
     @BeforeMethod
     public void startWithNothing() {
-        meter = new PaceMeter();
+        meter = new EventIntervalMeter();
     }
 
     @Test
     public void should_know_no_pace_before_some_events_were_seen() {
-        meter.event(0.1, SECOND);
+        meter.recordEvent(0.1, SECOND);
 
-        assertEquals(meter.seen(SECOND).secondsPerEvent(), Optional.empty());
+        assertEquals(meter.intervals(SECOND).secondsPerEvent(), Optional.empty());
     }
 
     @Test
     public void should_follow_an_engine_that_turns_slow_within_seconds() {
         for (int event = 0; event < 20; event++) {
-            meter.event(0.05, SECOND);
+            meter.recordEvent(0.05, SECOND);
         }
         for (int event = 0; event < 20; event++) {
-            meter.event(0.1, 4 * SECOND);
+            meter.recordEvent(0.1, 4 * SECOND);
         }
 
-        assertEquals(meter.seen(4 * SECOND).secondsPerEvent().orElseThrow(), 0.1, 0.01);
+        assertEquals(meter.intervals(4 * SECOND).secondsPerEvent().orElseThrow(), 0.1, 0.01);
     }
 
     @Test
     public void should_forget_the_pace_of_an_engine_that_answers_nobody() {
         for (int event = 0; event < 20; event++) {
-            meter.event(0.05, SECOND);
+            meter.recordEvent(0.05, SECOND);
         }
 
-        assertEquals(meter.seen(20 * SECOND).secondsPerEvent(), Optional.empty());
+        assertEquals(meter.intervals(20 * SECOND).secondsPerEvent(), Optional.empty());
     }
 
     @Test
     public void should_add_up_what_two_entries_have_seen() {
-        EventPace both = new EventPace(1, 0.1).plus(new EventPace(3, 0.1));
+        EventIntervals both = new EventIntervals(1, 0.1).plus(new EventIntervals(3, 0.1));
 
         assertEquals(both.secondsPerEvent(), Optional.of(0.05));
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptPressureTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptLoadMeterTest.java
@@ -5,19 +5,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public final class PromptPressureTest {
+public final class PromptLoadMeterTest {
     private static final long SAMPLE = 100_000_000L;
     private static final int ENTRIES = 8;
     private static final int ENGINES = 4;
     private static final int SAMPLES_OF_TEN_SECONDS = 100;
 
-    private PromptPressure pressure;
+    private PromptLoadMeter pressure;
     private long now;
     private boolean paced;
 
     @BeforeMethod
     public void startAnew() {
-        pressure = new PromptPressure();
+        pressure = new PromptLoadMeter();
         now = SAMPLE;
         paced = true;
     }
@@ -72,7 +72,7 @@
     /** Lets this entry send its part of what takes so much of all engines' time. */
     private void sample(double load, boolean waiting, int times) {
         for (int sample = 0; sample < times; sample++) {
-            pressure.sent(load * ENGINES / ENTRIES / 10, paced);
+            pressure.promptSent(load * ENGINES / ENTRIES / 10, paced);
             now += SAMPLE;
             pressure.sample(ENTRIES, ENGINES, waiting, now);
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
@@ -37,12 +37,12 @@
     @Test
     public void should_pause_where_the_engine_turns_prompts_away() {
         PromptWindow window = new PromptWindow();
-        window.placed();
-        window.rejected(MILLISECOND);
-        window.ended();
+        window.promptSent();
+        window.promptRejected(MILLISECOND);
+        window.promptEnded();
 
-        assertFalse(window.room(2 * MILLISECOND));
-        assertTrue(window.room(1000 * MILLISECOND), "it is tried again");
+        assertFalse(window.hasRoom(2 * MILLISECOND));
+        assertTrue(window.hasRoom(1000 * MILLISECOND), "it is tried again");
     }
 
     /** Entries that always have a prompt to send, and one engine that computes them first come first served. */
@@ -65,8 +65,8 @@
                 // Entries take turns in who looks first.
                 for (int turn = 0; turn < windows.size(); turn++) {
                     PromptWindow window = windows.get((int) ((now + turn) % windows.size()));
-                    if (window.room(now * MILLISECOND)) {
-                        window.placed();
+                    if (window.hasRoom(now * MILLISECOND)) {
+                        window.promptSent();
                         queue.addLast(new Sent(window, now));
                     }
                 }
@@ -98,8 +98,8 @@
             Sent done = queue.removeFirst();
             long waited = now - done.at() - PROMPT_MILLISECONDS;
             waits.add(waited);
-            done.window().computed(done.at() * MILLISECOND, now * MILLISECOND, waited / 1000.0, TOLERATED_SECONDS);
-            done.window().ended();
+            done.window().promptComputed(done.at() * MILLISECOND, now * MILLISECOND, waited / 1000.0, TOLERATED_SECONDS);
+            done.window().promptEnded();
         }
 
         private record Sent(PromptWindow window, long at) {}
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/QueueLimitTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/QueueLimitTest.java
@@ -19,14 +19,14 @@
     // instead of half of one, and callers who could have been served elsewhere or later wait for nothing.
     @Test
     public void should_refuse_at_once_what_would_wait_for_several_objectives() {
-        Placement.Refused refused = (Placement.Refused) QueueLimit.applied(placed(0.1, 2.0), request(false));
+        Placement.Refused refused = (Placement.Refused) QueueLimit.applyTo(placed(0.1, 2.0), request(false));
 
-        assertEquals(refused.comeBackAfter(), Duration.ofSeconds(2));
+        assertEquals(refused.retryAfter(), Duration.ofSeconds(2));
     }
 
     @Test
     public void should_take_what_waits_for_about_an_objective() {
-        assertTrue(QueueLimit.applied(placed(0.1, 0.5), request(false)) instanceof Placement.Whole);
+        assertTrue(QueueLimit.applyTo(placed(0.1, 0.5), request(false)) instanceof Placement.SingleServer);
     }
 
     // Few callers bring prompts of fifty thousand tokens. Measured by the same queue as the others, or refused for
@@ -34,31 +34,31 @@
     // own length, they would never be served.
     @Test
     public void should_take_the_longest_prompt_where_nothing_waits() {
-        assertTrue(QueueLimit.applied(placed(3.0, 0), request(false)) instanceof Placement.Whole);
+        assertTrue(QueueLimit.applyTo(placed(3.0, 0), request(false)) instanceof Placement.SingleServer);
     }
 
     @Test
     public void should_let_a_long_prompt_queue_less_than_a_short_one() {
-        assertTrue(QueueLimit.applied(placed(0.05, 0.7), request(false)) instanceof Placement.Whole);
-        assertTrue(QueueLimit.applied(placed(0.8, 0.7), request(false)) instanceof Placement.Refused);
+        assertTrue(QueueLimit.applyTo(placed(0.05, 0.7), request(false)) instanceof Placement.SingleServer);
+        assertTrue(QueueLimit.applyTo(placed(0.8, 0.7), request(false)) instanceof Placement.Refused);
     }
 
     // An engine is lost in the middle of a draft while the others are busy. Refused now, the caller is left with half a
     // draft.
     @Test
     public void should_go_on_with_an_answer_that_has_begun_whatever_waits() {
-        assertTrue(QueueLimit.applied(placed(0.1, 2.0), request(true)) instanceof Placement.Whole);
+        assertTrue(QueueLimit.applyTo(placed(0.1, 2.0), request(true)) instanceof Placement.SingleServer);
     }
 
     @Test
     public void should_refuse_what_cannot_begin_in_time() {
-        Placement.Refused refused = (Placement.Refused) QueueLimit.applied(placed(5.5, 0), request(true));
+        Placement.Refused refused = (Placement.Refused) QueueLimit.applyTo(placed(5.5, 0), request(true));
 
-        assertTrue(refused.comeBackAfter().compareTo(Duration.ofMillis(400)) > 0, refused.toString());
+        assertTrue(refused.retryAfter().compareTo(Duration.ofMillis(400)) > 0, refused.toString());
     }
 
     private static Placement placed(double promptSeconds, double queueSeconds) {
-        return new Placement.Whole(ENGINE, Optional.empty(), promptSeconds, queueSeconds, promptSeconds + queueSeconds);
+        return new Placement.SingleServer(ENGINE, Optional.empty(), promptSeconds, queueSeconds, promptSeconds + queueSeconds);
     }
 
     private static PlacementRequest request(boolean answerBegun) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RequestTimesTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RequestDeadlinesTest.java
@@ -8,13 +8,13 @@
 import java.util.OptionalLong;
 import org.testng.annotations.Test;
 
-public class RequestTimesTest {
+public class RequestDeadlinesTest {
     private static final long ARRIVED_AT = Duration.ofSeconds(100).toNanos();
     private static final Route ROUTE = new Route(
             "drafts",
             "house.example",
             "/drafts/",
-            RepeatRule.RESUMABLE,
+            RetryRule.RESUMABLE,
             true,
             Duration.ofSeconds(15),
             Duration.ofMillis(200),
@@ -25,8 +25,8 @@
 
     @Test
     public void should_count_the_objective_from_the_arrival() {
-        assertEquals(times(Optional.empty()).aimAt(), after(Duration.ofMillis(200)));
-        assertEquals(times(Optional.of(Duration.ofSeconds(13))).aimAt(), after(Duration.ofMillis(200)));
+        assertEquals(times(Optional.empty()).objectiveDeadline(), after(Duration.ofMillis(200)));
+        assertEquals(times(Optional.of(Duration.ofSeconds(13))).objectiveDeadline(), after(Duration.ofMillis(200)));
     }
 
     @Test
@@ -40,7 +40,7 @@
     // fresh one it would go before another that can.
     @Test
     public void should_not_take_a_caller_that_returns_for_one_that_can_be_on_time() {
-        assertEquals(times(Optional.of(Duration.ofSeconds(10))).aimAt(), after(Duration.ofMillis(200 - 5000)));
+        assertEquals(times(Optional.of(Duration.ofSeconds(10))).objectiveDeadline(), after(Duration.ofMillis(200 - 5000)));
     }
 
     // An engine is lost three seconds into a stream, whose caller would wait for two seconds from the last event on.
@@ -48,17 +48,17 @@
     // go on.
     @Test
     public void should_count_a_callers_silence_from_the_last_event() {
-        RequestTimes times = times(Optional.empty());
+        RequestDeadlines times = times(Optional.empty());
 
-        assertEquals(times.wantedBy(OptionalLong.empty()), after(Duration.ofSeconds(2)));
+        assertEquals(times.callerWaitsUntil(OptionalLong.empty()), after(Duration.ofSeconds(2)));
         long lastEventAt = after(Duration.ofSeconds(3));
-        assertEquals(times.wantedBy(OptionalLong.of(lastEventAt)), after(Duration.ofSeconds(5)));
+        assertEquals(times.callerWaitsUntil(OptionalLong.of(lastEventAt)), after(Duration.ofSeconds(5)));
         long lateEventAt = after(Duration.ofSeconds(14));
-        assertEquals(times.wantedBy(OptionalLong.of(lateEventAt)), times.deadline());
+        assertEquals(times.callerWaitsUntil(OptionalLong.of(lateEventAt)), times.deadline());
     }
 
-    private static RequestTimes times(Optional<Duration> patience) {
-        return new RequestTimes(ARRIVED_AT, patience, ROUTE);
+    private static RequestDeadlines times(Optional<Duration> patience) {
+        return new RequestDeadlines(ARRIVED_AT, patience, ROUTE);
     }
 
     private static long after(Duration time) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RepeatAllowanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RetryAllowanceTest.java
@@ -8,36 +8,36 @@
 import org.aspenmoor.internal.time.ManualTimeSource;
 import org.testng.annotations.Test;
 
-public class RepeatAllowanceTest {
+public class RetryAllowanceTest {
     private static final Duration WINDOW = Duration.ofSeconds(10);
 
     private final ManualTimeSource time = new ManualTimeSource();
 
     @Test
     public void should_grant_a_part_of_the_requests() {
-        RepeatAllowance allowance = new RepeatAllowance(time, 0.2, 0, WINDOW);
+        RetryAllowance allowance = new RetryAllowance(time, 0.2, 0, WINDOW);
         for (int request = 0; request < 100; request++) {
-            allowance.requested();
+            allowance.recordRequest();
         }
 
-        assertEquals(granted(allowance, 8), (int) (RepeatAllowance.SAFETY_SHARE * 20));
+        assertEquals(granted(allowance, 8), (int) (RetryAllowance.SAFETY_FACTOR * 20));
     }
 
     @Test
     public void should_divide_the_slack_among_the_entries() {
-        assertEquals(granted(new RepeatAllowance(time, 0.2, 100, WINDOW), 1), 60);
-        assertEquals(granted(new RepeatAllowance(time, 0.2, 100, WINDOW), 10), 6);
+        assertEquals(granted(new RetryAllowance(time, 0.2, 100, WINDOW), 1), 60);
+        assertEquals(granted(new RetryAllowance(time, 0.2, 100, WINDOW), 10), 6);
     }
 
     @Test
     public void should_grant_again_once_the_window_has_passed() {
-        RepeatAllowance allowance = new RepeatAllowance(time, 0.2, 10, WINDOW);
+        RetryAllowance allowance = new RetryAllowance(time, 0.2, 10, WINDOW);
         granted(allowance, 1);
         time.advance(Duration.ofSeconds(9));
-        assertFalse(allowance.take(1));
+        assertFalse(allowance.tryTakeRetry(1));
         time.advance(Duration.ofSeconds(2));
 
-        assertTrue(allowance.take(1));
+        assertTrue(allowance.tryTakeRetry(1));
     }
 
     // All engines of a service fail at once and every request would be repeated. Eight entries, each with an uneven
@@ -47,10 +47,10 @@
     @Test
     public void should_stay_below_the_shared_bound_while_everything_fails() {
         double[] parts = {0.30, 0.20, 0.15, 0.10, 0.10, 0.05, 0.05, 0.05};
-        RepeatAllowance[] entries = new RepeatAllowance[parts.length];
+        RetryAllowance[] entries = new RetryAllowance[parts.length];
         double[] owed = new double[parts.length];
         for (int entry = 0; entry < parts.length; entry++) {
-            entries[entry] = new RepeatAllowance(time, 0.2, 108, WINDOW);
+            entries[entry] = new RetryAllowance(time, 0.2, 108, WINDOW);
         }
         int requestsInTenSeconds = 650;
         int repeats = 0;
@@ -59,8 +59,8 @@
                 owed[entry] += parts[entry] * requestsInTenSeconds / 100;
                 while (owed[entry] >= 1) {
                     owed[entry]--;
-                    entries[entry].requested();
-                    repeats += entries[entry].take(parts.length) ? 1 : 0;
+                    entries[entry].recordRequest();
+                    repeats += entries[entry].tryTakeRetry(parts.length) ? 1 : 0;
                 }
             }
             time.advance(Duration.ofMillis(100));
@@ -70,9 +70,9 @@
         assertTrue(repeats > 0.1 * requestsInTenSeconds, "repeats: " + repeats);
     }
 
-    private static int granted(RepeatAllowance allowance, int entries) {
+    private static int granted(RetryAllowance allowance, int entries) {
         int granted = 0;
-        while (allowance.take(entries)) {
+        while (allowance.tryTakeRetry(entries)) {
             granted++;
         }
         return granted;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RoleChangePlacementTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RoleChangePlacementTest.java
@@ -20,20 +20,20 @@
     private static final EngineSpeed SPEED =
             new EngineSpeed(112_000, 0.003_41, 0.000_097, 0.25, 2048, 0.008, 2_300_000);
 
-    private Placer placer;
+    private PlacementPolicy placer;
 
     @BeforeMethod
     public void start() {
-        placer = new Placer(new PlacementSettings("here", SPEED, 0.42, 0), new PeerLoads(), new Random(1));
-        placer.changed(TestServers.engine("prefill", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
-        placer.changed(TestServers.engine("leaving", EngineRole.DECODE), TestServers.CACHE_TOKENS);
-        placer.changed(TestServers.engine("staying", EngineRole.DECODE), TestServers.CACHE_TOKENS);
+        placer = new PlacementPolicy(new PlacementSettings("here", SPEED, 0.42, 0), new PeerLoads(), new Random(1));
+        placer.serverChanged(TestServers.engine("prefill", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
+        placer.serverChanged(TestServers.engine("leaving", EngineRole.DECODE), TestServers.CACHE_TOKENS);
+        placer.serverChanged(TestServers.engine("staying", EngineRole.DECODE), TestServers.CACHE_TOKENS);
     }
 
     // Guards against requests that an engine rejects for seconds because it is changing its role.
     @Test
     public void should_place_nothing_at_an_engine_that_changes_its_role() {
-        placer.roleChanging(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
 
         for (int choice = 0; choice < 20; choice++) {
             assertEquals(answering(SECOND), "staying");
@@ -42,39 +42,39 @@
 
     @Test
     public void should_use_an_engine_again_that_has_changed_its_role() {
-        placer.roleChanging(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
-        placer.changed(TestServers.engine("leaving", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
+        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        placer.serverChanged(TestServers.engine("leaving", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
 
-        assertFalse(placer.changing("leaving", SECOND));
+        assertFalse(placer.changingRole("leaving", SECOND));
     }
 
     // Guards against an engine that is left alone for good since its order was lost on the way.
     @Test
     public void should_use_an_engine_again_that_has_not_changed_its_role_for_long() {
-        placer.roleChanging(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
 
-        assertFalse(placer.changing("leaving", 30 * SECOND));
+        assertFalse(placer.changingRole("leaving", 30 * SECOND));
     }
 
     // Guards against an engine that is left alone because an entry hears late of a change that has been made.
     @Test
     public void should_pass_over_a_change_that_has_been_made_already() {
-        placer.roleChanging(new RoleChange("staying", EngineRole.DECODE), SECOND);
+        placer.roleChangeOrdered(new RoleChange("staying", EngineRole.DECODE), SECOND);
 
-        assertFalse(placer.changing("staying", SECOND));
+        assertFalse(placer.changingRole("staying", SECOND));
     }
 
     @Test
     public void should_let_answers_leave_only_an_engine_that_will_answer_nobody() {
-        PlacedWork answer = placer.placed(
-                TestServers.engine("leaving", EngineRole.DECODE), WorkKind.HAND_OVER, 0, OBJECTIVE, SECOND);
-        PlacedWork prompt = placer.placed(
+        AssignedWork answer = placer.attemptStarted(
+                TestServers.engine("leaving", EngineRole.DECODE), WorkKind.HANDOFF, 0, OBJECTIVE, SECOND);
+        AssignedWork prompt = placer.attemptStarted(
                 TestServers.engine("prefill", EngineRole.PREFILL), WorkKind.PROMPT_ONLY, 0.02, OBJECTIVE, SECOND);
-        placer.roleChanging(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
-        placer.roleChanging(new RoleChange("prefill", EngineRole.DECODE), SECOND);
+        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        placer.roleChangeOrdered(new RoleChange("prefill", EngineRole.DECODE), SECOND);
 
-        assertTrue(placer.leavesAnswers(answer, SECOND));
-        assertFalse(placer.leavesAnswers(prompt, SECOND));
+        assertTrue(placer.mustMoveAnswers(answer, SECOND));
+        assertFalse(placer.mustMoveAnswers(prompt, SECOND));
     }
 
     private String answering(long now) {
@@ -90,6 +90,6 @@
                 false,
                 false);
         BackendServer prefill = TestServers.engine("prefill", EngineRole.PREFILL);
-        return placer.chooseDecoder(request, prefill, now).orElseThrow().id();
+        return placer.chooseDecodeEngine(request, prefill, now).orElseThrow().id();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/ServingConfigurationTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/ServingConfigurationTest.java
@@ -12,7 +12,7 @@
             3,
             List.of(route("short", "/a/"), route("long", "/a/b/"), route("other", "/c/")),
             List.of(),
-            ConnectionLimits.usual());
+            ConnectionLimits.defaults());
 
     @Test
     public void should_match_the_longest_prefix_of_the_host() {
@@ -34,7 +34,7 @@
                 "split",
                 "house.example",
                 "/s/",
-                RepeatRule.REPEATABLE,
+                RetryRule.REPEATABLE,
                 false,
                 Duration.ofSeconds(1),
                 Duration.ofSeconds(1),
@@ -54,7 +54,7 @@
                 name,
                 "house.example",
                 prefix,
-                RepeatRule.REPEATABLE,
+                RetryRule.REPEATABLE,
                 false,
                 Duration.ofSeconds(1),
                 Duration.ofSeconds(1),
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/SpeedEstimateTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/SpeedEstimateTest.java
@@ -56,11 +56,11 @@
     public void should_go_by_what_another_entry_has_found_until_it_knows() {
         SpeedEstimate speed = new SpeedEstimate();
         assertFalse(speed.known());
-        speed.heard(0.25, FIXED_SECONDS);
+        speed.learnFromPeer(0.25, FIXED_SECONDS);
 
         assertTrue(speed.known());
         assertEquals(speed.factor(), 0.25, 1e-9);
-        speed.heard(10, FIXED_SECONDS);
+        speed.learnFromPeer(10, FIXED_SECONDS);
         assertTrue(speed.factor() < 0.5, "one report moves what is known only a little");
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitingLineWorkTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueuePromptLengthTest.java
@@ -9,15 +9,15 @@
 import java.util.random.RandomGenerator;
 import org.testng.annotations.Test;
 
-public class WaitingLineWorkTest {
+public class WaitQueuePromptLengthTest {
     private static final long MILLISECOND = 1_000_000;
     private static final int SEEDS = 20;
 
     @Test
     public void should_send_a_short_prompt_before_a_long_one_that_came_a_little_earlier() {
-        WaitingLine<String> line = new WaitingLine<>();
-        line.add(new WaitingLine.Waiting<>("long", 0.08, 0, 400 * MILLISECOND, 2000 * MILLISECOND));
-        line.add(new WaitingLine.Waiting<>("short", 0.005, 50 * MILLISECOND, 450 * MILLISECOND, 2050 * MILLISECOND));
+        WaitQueue<String> line = new WaitQueue<>();
+        line.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 400 * MILLISECOND, 2000 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>("short", 0.005, 50 * MILLISECOND, 450 * MILLISECOND, 2050 * MILLISECOND));
 
         assertEquals(next(line, 60), "short");
         assertEquals(next(line, 60), "long");
@@ -25,9 +25,9 @@
 
     @Test
     public void should_send_a_late_short_prompt_before_a_late_long_one() {
-        WaitingLine<String> line = new WaitingLine<>();
-        line.add(new WaitingLine.Waiting<>("long", 0.08, 0, 0, 2000 * MILLISECOND));
-        line.add(new WaitingLine.Waiting<>("short", 0.005, 0, 0, 2100 * MILLISECOND));
+        WaitQueue<String> line = new WaitQueue<>();
+        line.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 0, 2000 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>("short", 0.005, 0, 0, 2100 * MILLISECOND));
 
         assertEquals(next(line, 500), "short");
     }
@@ -62,8 +62,8 @@
         assertTrue(longOnes > all / 2, longOnes / SEEDS + " of the long ones, " + all / SEEDS + " of all");
     }
 
-    private static String next(WaitingLine<String> line, long milliseconds) {
-        return line.next(milliseconds * MILLISECOND).orElseThrow().request();
+    private static String next(WaitQueue<String> line, long milliseconds) {
+        return line.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
     }
 
     /** Prompts of two lengths, for a while more than one engine computes. */
@@ -78,7 +78,7 @@
         private static final long TO = 4000;
         private static final long END = 9000;
 
-        private final WaitingLine<Integer> line = new WaitingLine<>();
+        private final WaitQueue<Integer> line = new WaitQueue<>();
         private final List<Long> works = new ArrayList<>();
         private final RandomGenerator random;
         private final double toldShare;
@@ -99,7 +99,7 @@
                 if (random.nextDouble() < load / MEAN) {
                     arrive(now);
                 }
-                line.takeHopeless(now * MILLISECOND);
+                line.takeUnservable(now * MILLISECOND);
                 if (now >= freeFrom && line.size() > 0) {
                     depart(now);
                 }
@@ -118,7 +118,7 @@
         private void arrive(long now) {
             long work = random.nextDouble() < LONG_SHARE ? LONG : SHORT;
             longOnes += work == LONG ? 1 : 0;
-            line.add(new WaitingLine.Waiting<>(
+            line.add(new WaitQueue.QueuedRequest<>(
                     works.size(),
                     toldShare * work / 1000,
                     now * MILLISECOND,
@@ -128,10 +128,10 @@
         }
 
         private void depart(long now) {
-            WaitingLine.Waiting<Integer> next = line.next(now * MILLISECOND).orElseThrow();
+            WaitQueue.QueuedRequest<Integer> next = line.takeNext(now * MILLISECOND).orElseThrow();
             long work = works.get(next.request());
-            line.departed(next.aimAt(), now * MILLISECOND);
-            line.answered(work / 1000.0);
+            line.dispatched(next.objectiveDeadline(), now * MILLISECOND);
+            line.answerStarted(work / 1000.0);
             freeFrom = now + work;
             served++;
             longServed += work == LONG ? 1 : 0;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitingLineTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class WaitingLineTest {
+public class WaitQueueTest {
     private static final long MILLISECOND = 1_000_000;
     private static final long AIM_MILLISECONDS = 200;
     private static final long DEADLINE_MILLISECONDS = 2000;
@@ -22,11 +22,11 @@
     private static final long BURST_TO = 6_000;
     private static final long END = 12_000;
 
-    private WaitingLine<Integer> line;
+    private WaitQueue<Integer> line;
 
     @BeforeMethod
     public void start() {
-        line = new WaitingLine<>();
+        line = new WaitQueue<>();
     }
 
     @Test
@@ -42,8 +42,8 @@
 
     @Test
     public void should_send_late_ones_in_the_order_of_their_deadlines() {
-        line.add(new WaitingLine.Waiting<>(1, 0.01, 0, 0, 900 * MILLISECOND));
-        line.add(new WaitingLine.Waiting<>(2, 0.01, 0, 0, 800 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 900 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 800 * MILLISECOND));
 
         assertEquals(next(400), 2);
         assertEquals(next(400), 1);
@@ -52,10 +52,10 @@
     // What cannot be answered before its deadline only keeps its caller waiting for a refusal that is certain already.
     @Test
     public void should_give_up_at_once_what_cannot_be_answered_before_its_deadline() {
-        line.add(new WaitingLine.Waiting<>(1, 0.01, 0, 0, 50 * MILLISECOND));
-        line.add(new WaitingLine.Waiting<>(2, 0.01, 0, 0, 500 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 50 * MILLISECOND));
+        line.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 500 * MILLISECOND));
 
-        assertEquals(line.takeHopeless(10 * MILLISECOND), List.of(1));
+        assertEquals(line.takeUnservable(10 * MILLISECOND), List.of(1));
         assertEquals(line.size(), 1);
     }
 
@@ -65,7 +65,7 @@
         line.remove(1);
 
         assertEquals(line.size(), 0);
-        assertTrue(line.next(0).isEmpty());
+        assertTrue(line.takeNext(0).isEmpty());
     }
 
     // For three seconds 1.8 times as many prompts come as can be computed, then less than half. First come first
@@ -104,11 +104,11 @@
     }
 
     private int next(long milliseconds) {
-        return line.next(milliseconds * MILLISECOND).orElseThrow().request();
+        return line.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
     }
 
-    private static WaitingLine.Waiting<Integer> waiting(int request, long arrived, long aim) {
-        return new WaitingLine.Waiting<>(
+    private static WaitQueue.QueuedRequest<Integer> waiting(int request, long arrived, long aim) {
+        return new WaitQueue.QueuedRequest<>(
                 request,
                 0.01,
                 arrived * MILLISECOND,
@@ -120,7 +120,7 @@
     private static final class Replay {
         static final long SERVICE_MILLISECONDS = 28;
 
-        private final WaitingLine<Integer> line = new WaitingLine<>();
+        private final WaitQueue<Integer> line = new WaitQueue<>();
         private final List<Long> arrivals = new ArrayList<>();
         private final Random random = new Random(7);
         private final double burst;
@@ -145,7 +145,7 @@
                 if (random.nextDouble() < (bursting ? burst : calm) / SERVICE_MILLISECONDS) {
                     arrive(now, bursting);
                 }
-                for (int hopeless : line.takeHopeless(now * MILLISECOND)) {
+                for (int hopeless : line.takeUnservable(now * MILLISECOND)) {
                     refused++;
                     heldPastDeadline += now - arrivals.get(hopeless) >= DEADLINE_MILLISECONDS ? 1 : 0;
                 }
@@ -164,9 +164,9 @@
         }
 
         private void depart(long now) {
-            WaitingLine.Waiting<Integer> next = line.next(now * MILLISECOND).orElseThrow();
-            line.departed(next.aimAt(), now * MILLISECOND);
-            line.answered(ANSWER_MILLISECONDS / 1000.0);
+            WaitQueue.QueuedRequest<Integer> next = line.takeNext(now * MILLISECOND).orElseThrow();
+            line.dispatched(next.objectiveDeadline(), now * MILLISECOND);
+            line.answerStarted(ANSWER_MILLISECONDS / 1000.0);
             freeFrom = now + SERVICE_MILLISECONDS;
             long arrived = arrivals.get(next.request());
             long took = now + ANSWER_MILLISECONDS - arrived;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -218,7 +218,7 @@
 
     private void heard(PeerReport report) {
         state.peerHeard(report, time.monotonicNanoseconds());
-        fatalRequests.heard(report.ends(), report.entry());
+        fatalRequests.heard(report.serverTerminations(), report.entry());
     }
 
     private void tellPeers() {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -68,9 +68,9 @@
         node.put("requests", Math.round(summary.load().requests()));
         summary.load().secondsPerEvent().ifPresent(pace -> node.put("millisecondsPerEvent", pace * MILLISECONDS));
         node.put("ownRequests", summary.ownRequests());
-        node.put("slowness", summary.slowness());
-        node.put("failureShare", summary.failureShare());
-        node.put("changing", summary.changing());
+        node.put("slowness", summary.slowdown());
+        node.put("failureShare", summary.failureFraction());
+        node.put("changing", summary.changingRole());
         node.put("paused", summary.paused());
         node.put("cachedTokens", summary.cachedTokens());
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
@@ -43,7 +43,7 @@
     }
 
     boolean leadTo(BackendServer other) {
-        return server.sameStart(other);
+        return server.sameIncarnation(other);
     }
 
     /** Sends a request, over a new connection only while fewer than the given number are open. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -200,7 +200,7 @@
             refuse(HttpResponseStatus.BAD_REQUEST, "The request names more than one host.");
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > service.limits().mostBodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > service.limits().maxBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
@@ -219,7 +219,7 @@
             return;
         }
         int bytes = content.content().readableBytes();
-        if (body.readableBytes() + bytes > service.limits().mostBodyBytes()) {
+        if (body.readableBytes() + bytes > service.limits().maxBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
@@ -97,7 +97,7 @@
         channel.closeFuture().addListener(closed -> connections.remove(connection));
         channel.pipeline()
                 .addLast(new ArrivalHandler(connection))
-                .addLast(new HttpServerCodec(MOST_INITIAL_LINE, service.limits().mostHeaderBytes(), CHUNK_BYTES))
+                .addLast(new HttpServerCodec(MOST_INITIAL_LINE, service.limits().maxHeaderBytes(), CHUNK_BYTES))
                 .addLast(connection);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 import java.util.Optional;
 import org.aspenmoor.internal.engine.EngineRole;
-import org.aspenmoor.internal.serving.EventLength;
-import org.aspenmoor.internal.serving.EventPace;
-import org.aspenmoor.internal.serving.LearntSpeed;
+import org.aspenmoor.internal.serving.EventSize;
+import org.aspenmoor.internal.serving.EventIntervals;
+import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerReport;
-import org.aspenmoor.internal.serving.PeerShare;
-import org.aspenmoor.internal.serving.PlacedPrompt;
+import org.aspenmoor.internal.serving.EntryLoad;
+import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.PromptPart;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
@@ -31,17 +31,17 @@
     static byte[] write(PeerReport report) {
         PeerLoad.Builder message = PeerLoad.newBuilder()
                 .setEntry(report.entry())
-                .setStart(report.start())
+                .setStart(report.incarnation())
                 .setSequence(report.sequence())
                 .setLeaving(report.leaving());
-        report.shares()
+        report.loads()
                 .forEach((server, share) -> message.addShares(PeerLoad.Share.newBuilder()
                         .setServer(server)
                         .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROSECONDS))
                         .setRequests(share.requests())
-                        .setPaceEvents((float) share.pace().events())
-                        .setPaceSeconds((float) share.pace().seconds())));
-        for (PlacedPrompt placed : report.prompts()) {
+                        .setPaceEvents((float) share.eventIntervals().events())
+                        .setPaceSeconds((float) share.eventIntervals().seconds())));
+        for (AssignedPrompt placed : report.prompts()) {
             PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placed.server());
             for (PromptPart part : placed.parts()) {
                 prompt.addParts(part.identity()).addTokens(part.tokens());
@@ -54,15 +54,15 @@
                         .setRole(speed.role().ordinal())
                         .setFactor((float) speed.factor())
                         .setFixedSeconds((float) speed.fixedSeconds())));
-        report.lengths()
+        report.eventSizes()
                 .forEach(length -> message.addLengths(PeerLoad.EventLength.newBuilder()
                         .setService(length.service())
-                        .setTokens((float) length.tokens())));
-        report.changes()
+                        .setTokens((float) length.tokensPerEvent())));
+        report.roleChanges()
                 .forEach(change -> message.addChanges(PeerLoad.Change.newBuilder()
                         .setServer(change.server())
                         .setRole(change.role().ordinal())));
-        report.ends().forEach(end -> message.addEnds(write(end)));
+        report.serverTerminations().forEach(end -> message.addEnds(write(end)));
         return message.build().toByteArray();
     }
 
@@ -89,16 +89,16 @@
         return ends;
     }
 
-    private static EventPace readPace(PeerLoad.Share share) {
+    private static EventIntervals readPace(PeerLoad.Share share) {
         boolean usable = Float.isFinite(share.getPaceEvents())
                 && Float.isFinite(share.getPaceSeconds())
                 && share.getPaceEvents() >= 0
                 && share.getPaceSeconds() >= 0;
-        return usable ? new EventPace(share.getPaceEvents(), share.getPaceSeconds()) : EventPace.NONE;
+        return usable ? new EventIntervals(share.getPaceEvents(), share.getPaceSeconds()) : EventIntervals.NONE;
     }
 
-    private static List<LearntSpeed> readSpeeds(PeerLoad message) {
-        List<LearntSpeed> speeds = new ArrayList<>();
+    private static List<LearnedSpeed> readSpeeds(PeerLoad message) {
+        List<LearnedSpeed> speeds = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Speed speed : message.getSpeedsList()) {
             boolean usable = Float.isFinite(speed.getFactor())
@@ -107,16 +107,16 @@
                     && speed.getRole() < roles.length;
             if (usable) {
                 EngineRole role = roles[speed.getRole()];
-                speeds.add(new LearntSpeed(speed.getService(), role, speed.getFactor(), speed.getFixedSeconds()));
+                speeds.add(new LearnedSpeed(speed.getService(), role, speed.getFactor(), speed.getFixedSeconds()));
             }
         }
         return speeds;
     }
 
-    private static List<EventLength> readLengths(PeerLoad message) {
+    private static List<EventSize> readLengths(PeerLoad message) {
         return message.getLengthsList().stream()
                 .filter(length -> Float.isFinite(length.getTokens()) && length.getTokens() > 0)
-                .map(length -> new EventLength(length.getService(), length.getTokens()))
+                .map(length -> new EventSize(length.getService(), length.getTokens()))
                 .toList();
     }
 
@@ -131,15 +131,15 @@
         return changes;
     }
 
-    private static List<PlacedPrompt> readPrompts(PeerLoad message) {
-        List<PlacedPrompt> prompts = new ArrayList<>();
+    private static List<AssignedPrompt> readPrompts(PeerLoad message) {
+        List<AssignedPrompt> prompts = new ArrayList<>();
         for (PeerLoad.Prompt prompt : message.getPromptsList()) {
             List<PromptPart> parts = new ArrayList<>();
             int complete = Math.min(prompt.getPartsCount(), prompt.getTokensCount());
             for (int index = 0; index < complete; index++) {
                 parts.add(new PromptPart(prompt.getParts(index), prompt.getTokens(index)));
             }
-            prompts.add(new PlacedPrompt(prompt.getServer(), parts));
+            prompts.add(new AssignedPrompt(prompt.getServer(), parts));
         }
         return prompts;
     }
@@ -151,10 +151,10 @@
             if (message.getEntry().isEmpty()) {
                 return Optional.empty();
             }
-            Map<String, PeerShare> shares = new HashMap<>();
+            Map<String, EntryLoad> shares = new HashMap<>();
             for (PeerLoad.Share share : message.getSharesList()) {
                 double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROSECONDS;
-                shares.put(share.getServer(), new PeerShare(seconds, share.getRequests(), readPace(share)));
+                shares.put(share.getServer(), new EntryLoad(seconds, share.getRequests(), readPace(share)));
             }
             return Optional.of(new PeerReport(
                     message.getEntry(),
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -20,11 +20,11 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.gateway.caller.ListeningPort;
 import org.aspenmoor.internal.gateway.log.DecisionLog;
-import org.aspenmoor.internal.serving.EventLength;
-import org.aspenmoor.internal.serving.LearntSpeed;
+import org.aspenmoor.internal.serving.EventSize;
+import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerReport;
-import org.aspenmoor.internal.serving.PeerShare;
-import org.aspenmoor.internal.serving.PlacedPrompt;
+import org.aspenmoor.internal.serving.EntryLoad;
+import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.ServerEnd;
 import org.aspenmoor.internal.time.TimeSource;
@@ -89,10 +89,10 @@
 
     /** Sends a report to all others. */
     public void tell(
-            Map<String, PeerShare> shares,
-            List<PlacedPrompt> prompts,
-            List<LearntSpeed> speeds,
-            List<EventLength> lengths,
+            Map<String, EntryLoad> shares,
+            List<AssignedPrompt> prompts,
+            List<LearnedSpeed> speeds,
+            List<EventSize> lengths,
             List<RoleChange> changes,
             List<ServerEnd> ends,
             boolean leaving) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 
 /**
  * One attempt to have a request answered by one backend server.
@@ -25,7 +25,7 @@
 
     private final ServedRequest request;
     private final BackendServer server;
-    private final PlacedWork work;
+    private final AssignedWork work;
     private final boolean streamed;
     private final ByteBuf kept = Unpooled.buffer();
     private final EventSplitter events = new EventSplitter();
@@ -36,7 +36,7 @@
     private long heardAt;
     private boolean over;
 
-    AnswerAttempt(ServedRequest request, BackendServer server, PlacedWork work, boolean streamed) {
+    AnswerAttempt(ServedRequest request, BackendServer server, AssignedWork work, boolean streamed) {
         this.request = request;
         this.server = server;
         this.work = work;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public PlacedWork work() {
+    public AssignedWork work() {
         return work;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -27,14 +27,14 @@
     }
 
     /** Returns the message that has only the prompt computed. */
-    FullHttpRequest prompt(Placement.Staged staged, Optional<String> lastEvent, long now) {
+    FullHttpRequest prompt(Placement.Disaggregated staged, Optional<String> lastEvent, long now) {
         return message(new Delivery(
                 staged.prefill().id(),
                 left(now),
-                staged.promptRank(route.priority()),
+                staged.promptPriority(route.priority()),
                 WantedWork.PROMPT_ONLY,
                 Optional.empty(),
-                staged.holder(),
+                staged.cacheHolder(),
                 lastEvent));
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.aspenmoor.internal.gateway.backend.Exchange;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.WorkKind;
 
 /** The attempt that a request has open at a server, of which there is one at most. Confined to the event loop. */
@@ -11,7 +11,7 @@
     private final RequestTools tools;
     private final String service;
     private final Duration objective;
-    private PlacedWork work;
+    private AssignedWork work;
     private Exchange exchange;
 
     CurrentAttempt(RequestTools tools, String service, Duration objective) {
@@ -21,9 +21,9 @@
     }
 
     /** Notes that an attempt begins. */
-    PlacedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
+    AssignedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
         long now = tools.state().time().monotonicNanoseconds();
-        work = tools.state().placer().placed(server, kind, promptSeconds, objective, now);
+        work = tools.state().placer().attemptStarted(server, kind, promptSeconds, objective, now);
         return work;
     }
 
@@ -32,15 +32,15 @@
      * for the current one, the ended exchange would be cancelled in place of the other, whose answer then met a request
      * that had gone on.
      */
-    void sent(PlacedWork of, Exchange sent) {
+    void sent(AssignedWork of, Exchange sent) {
         if (of.equals(work)) {
             exchange = sent;
         }
     }
 
     /** Notes that an attempt is over; its server has room for another request. */
-    void end(PlacedWork ended) {
-        tools.state().placer().ended(ended);
+    void end(AssignedWork ended) {
+        tools.state().placer().attemptEnded(ended);
         if (ended.equals(work)) {
             work = null;
             exchange = null;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
@@ -1,18 +1,18 @@
 package org.aspenmoor.internal.gateway.request;
 
 import org.aspenmoor.internal.serving.Placement;
-import org.aspenmoor.internal.serving.RequestTimes;
-import org.aspenmoor.internal.serving.WaitingLine;
+import org.aspenmoor.internal.serving.RequestDeadlines;
+import org.aspenmoor.internal.serving.WaitQueue;
 
 /** One request's dealings with the line of its service: waiting, leaving for an engine, what that took. */
 final class LinePlace {
     private final RequestTools tools;
     private final ServedRequest request;
-    private final RequestTimes times;
+    private final RequestDeadlines times;
     private final RequestTrace trace;
     private long departedAt;
 
-    LinePlace(RequestTools tools, ServedRequest request, RequestTimes times, RequestTrace trace) {
+    LinePlace(RequestTools tools, ServedRequest request, RequestDeadlines times, RequestTrace trace) {
         this.tools = tools;
         this.request = request;
         this.times = times;
@@ -20,18 +20,18 @@
     }
 
     /** Waits until an engine has room; an answer that begins later than wanted is of no use. */
-    void take(Placement.Held held, long wantedBy) {
+    void take(Placement.Queued held, long wantedBy) {
         trace.waits(now());
         tools.lines()
-                .add(new WaitingLine.Waiting<>(
-                        request, held.promptSeconds(), times.arrivedAt(), times.aimAt(), wantedBy));
+                .add(new WaitQueue.QueuedRequest<>(
+                        request, held.promptSeconds(), times.arrivedAt(), times.objectiveDeadline(), wantedBy));
     }
 
     /** Notes that the request leaves for an engine. */
     void departed() {
         departedAt = now();
         trace.departed(departedAt);
-        tools.lines().departed(request.service(), times.aimAt(), departedAt);
+        tools.lines().departed(request.service(), times.objectiveDeadline(), departedAt);
     }
 
     /** Notes the first byte of the answer. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.aspenmoor.internal.gateway.protocol.CallerRequest;
 import org.aspenmoor.internal.serving.PlacementRequest;
-import org.aspenmoor.internal.serving.RequestTimes;
+import org.aspenmoor.internal.serving.RequestDeadlines;
 import org.aspenmoor.internal.serving.Route;
 
 /** Says what one request asks of its next placement. */
@@ -11,7 +11,7 @@
     private final String service;
     private final CallerRequest caller;
     private final Route route;
-    private final RequestTimes times;
+    private final RequestDeadlines times;
     private final RequestTrace trace;
     private final CallerStream stream;
     private final TriedServers tried;
@@ -20,7 +20,7 @@
             String service,
             CallerRequest caller,
             Route route,
-            RequestTimes times,
+            RequestDeadlines times,
             RequestTrace trace,
             CallerStream stream,
             TriedServers tried) {
@@ -34,7 +34,7 @@
     }
 
     PlacementRequest next(boolean othersWait, long now) {
-        Duration left = Duration.ofNanos(times.wantedBy(trace.lastEvent()) - now);
+        Duration left = Duration.ofNanos(times.callerWaitsUntil(trace.lastEvent()) - now);
         return new PlacementRequest(
                 service,
                 caller.prompt(),
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
 import org.aspenmoor.internal.serving.AttemptEnd;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.Placement;
 
 /** The first stage of a generation: one engine computes the prompt and keeps it for another. */
@@ -21,13 +21,13 @@
 
     private final ServedRequest request;
     private final BackendProtocol protocol;
-    private final Placement.Staged placement;
-    private final PlacedWork work;
+    private final Placement.Disaggregated placement;
+    private final AssignedWork work;
     private final StringBuilder body = new StringBuilder();
     private HttpResponseStatus status;
     private boolean rejected;
 
-    PrefillAttempt(ServedRequest request, BackendProtocol protocol, Placement.Staged placement, PlacedWork work) {
+    PrefillAttempt(ServedRequest request, BackendProtocol protocol, Placement.Disaggregated placement, AssignedWork work) {
         this.request = request;
         this.protocol = protocol;
         this.placement = placement;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public PlacedWork work() {
+    public AssignedWork work() {
         return work;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -136,7 +136,7 @@
 
     @Override
     public ConnectionLimits limits() {
-        return tools.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.usual());
+        return tools.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.defaults());
     }
 
     @Override
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -159,10 +159,10 @@
                 .with("attempts", attempts)
                 .with("way", way)
                 .with("promptTokens", caller.prompt().map(Prompt::promptTokens).orElse(0))
-                .with("sharedTokens", caller.prompt().map(Prompt::sharedTokens).orElse(0))
+                .with("sharedTokens", caller.prompt().map(Prompt::sharedPrefixTokens).orElse(0))
                 .with(
                         "mostTokens",
-                        caller.prompt().map(Prompt::mostOutputTokens).orElse(0))
+                        caller.prompt().map(Prompt::maxOutputTokens).orElse(0))
                 .with("expectedMs", Math.round(expectedSeconds * MILLISECONDS))
                 .with("heldFromMs", sinceArrival(waitedFrom))
                 .with("departedMs", sinceArrival(departedAt))
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -15,15 +15,15 @@
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
 import org.aspenmoor.internal.gateway.protocol.CallerRequest;
-import org.aspenmoor.internal.serving.AttemptAccount;
+import org.aspenmoor.internal.serving.AttemptTracker;
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.NextStep;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.Placement;
 import org.aspenmoor.internal.serving.PlacementRequest;
-import org.aspenmoor.internal.serving.RepeatRule;
-import org.aspenmoor.internal.serving.RequestTimes;
+import org.aspenmoor.internal.serving.RetryRule;
+import org.aspenmoor.internal.serving.RequestDeadlines;
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.WorkKind;
 
@@ -41,12 +41,12 @@
     private final CallerStream stream;
     private final Route route;
     private final String service;
-    private final RequestTimes times;
+    private final RequestDeadlines times;
     private final RequestTrace trace;
     private final AttemptMessages messages;
     private final AnswerProgress progress;
     private final LinePlace line;
-    private final AttemptAccount account;
+    private final AttemptTracker account;
     private final CurrentAttempt current;
     private final RepeatPermit permit;
     private final StallWatch stallWatch;
@@ -73,10 +73,10 @@
         this.stream = new CallerStream(link);
         this.route = route;
         this.service = service;
-        this.account = new AttemptAccount(route.repeatRule(), route.mostBackends());
+        this.account = new AttemptTracker(route.retryRule(), route.maxBackends());
         this.current = new CurrentAttempt(tools, service, route.objective());
         this.stallWatch = new StallWatch(tools, route, link::writable, this::stalled);
-        this.times = new RequestTimes(incoming.arrivedAt(), caller.patience(), route);
+        this.times = new RequestDeadlines(incoming.arrivedAt(), caller.patience(), route);
         this.trace =
                 new RequestTrace(caller, route, service, configurationVersion, incoming.arrivedAt(), times.deadline());
         this.messages = new AttemptMessages(incoming, tools.protocol(), route, times.deadline());
@@ -104,7 +104,7 @@
     /** Ends without having run: its turn cannot come before its deadline. */
     void giveUp(Duration comeBackAfter) {
         trace.because("no engine has room before the deadline");
-        conclude(account.conclusion(), comeBackAfter);
+        conclude(account.stepWithoutRetry(), comeBackAfter);
     }
 
     String service() {
@@ -133,22 +133,22 @@
             return;
         }
         switch (tools.state().placer().choose(wanted, now())) {
-            case Placement.Whole whole -> {
-                trace.placed("whole", whole.expectedSeconds());
+            case Placement.SingleServer whole -> {
+                trace.placed("whole", whole.answerStartSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
                     line.departed();
                 }
-                send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.holder());
+                send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.cacheHolder());
             }
-            case Placement.Staged staged -> {
-                trace.placed("staged", staged.expectedSeconds());
+            case Placement.Disaggregated staged -> {
+                trace.placed("staged", staged.answerStartSeconds());
                 prefill(staged);
             }
-            case Placement.Held held -> line.take(held, times.wantedBy(trace.lastEvent()));
+            case Placement.Queued held -> line.take(held, times.callerWaitsUntil(trace.lastEvent()));
             case Placement.Refused refused -> {
                 trace.because(refused.reason());
-                conclude(account.conclusion(), refused.comeBackAfter());
+                conclude(account.stepWithoutRetry(), refused.retryAfter());
             }
         }
     }
@@ -156,15 +156,15 @@
     /** Ends the request if it is kept from servers; returns whether it is. */
     private boolean keptFromServers() {
         Optional<Duration> term = serverEnds.quarantined();
-        term.ifPresent(left -> conclude(account.conclusion(), left));
+        term.ifPresent(left -> conclude(account.stepWithoutRetry(), left));
         return term.isPresent();
     }
 
-    private void prefill(Placement.Staged staged) {
+    private void prefill(Placement.Disaggregated staged) {
         line.departed();
         trace.sentTo(staged.prefill());
-        PlacedWork work = current.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptPlaced(staged.prefill(), prompt, now()));
+        AssignedWork work = current.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
+        caller.prompt().ifPresent(prompt -> tools.state().placer().promptAssigned(staged.prefill(), prompt, now()));
         FullHttpRequest message = messages.prompt(staged, stream.lastEvent(), now());
         PrefillAttempt prefill = new PrefillAttempt(this, tools.protocol(), staged, work);
         stallWatch.watch(prefill);
@@ -177,15 +177,15 @@
             double promptSeconds,
             Optional<CacheSource> source,
             Optional<BackendServer> holder) {
-        account.began();
+        account.attemptStarted();
         trace.answerAsked(tools.state().placer().load(server.id(), now()), now());
         tried.add(server);
         trace.sentTo(server);
-        PlacedWork work = current.begin(server, kind, promptSeconds);
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptPlaced(server, prompt, now()));
+        AssignedWork work = current.begin(server, kind, promptSeconds);
+        caller.prompt().ifPresent(prompt -> tools.state().placer().promptAssigned(server, prompt, now()));
         attempt = new AnswerAttempt(this, server, work, route.streamed());
         FullHttpRequest message = messages.answer(server, source, holder, stream.lastEvent(), now());
-        if (route.repeatRule() == RepeatRule.AT_MOST_ONCE || route.mostBackends() == 1) {
+        if (route.retryRule() == RetryRule.AT_MOST_ONCE || route.maxBackends() == 1) {
             stallWatch.cancel();
         } else {
             stallWatch.watch(attempt);
@@ -203,7 +203,7 @@
         }
         switch (watched) {
             case AnswerAttempt answer
-            when account.attempts() < route.mostBackends() -> {
+            when account.attempts() < route.maxBackends() -> {
                 answer.release();
                 current.cancel();
                 String reason = answer.begun() ? "the server went quiet" : "no answer began in time";
@@ -217,12 +217,12 @@
         }
     }
 
-    void loadReported(PlacedWork work, AnswerFacts facts) {
-        facts.load().ifPresent(load -> tools.state().placer().reported(work, load, now()));
+    void loadReported(AssignedWork work, AnswerFacts facts) {
+        facts.load().ifPresent(load -> tools.state().placer().loadReported(work, load, now()));
     }
 
-    void prefilled(Placement.Staged placement, PlacedWork work, CacheSource source) {
-        tools.state().placer().answerBegan(work, now());
+    void prefilled(Placement.Disaggregated placement, AssignedWork work, CacheSource source) {
+        tools.state().placer().answerStarted(work, now());
         current.end(work);
         if (over) {
             return;
@@ -233,7 +233,7 @@
         unfetched.computed(computed);
         tools.metrics().attempted(service, "prefilled");
         if (!permit.granted()) {
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
             return;
         }
         handOver(computed);
@@ -244,17 +244,17 @@
             return;
         }
         Optional<BackendServer> decoder =
-                tools.state().placer().chooseDecoder(placements.next(false, now()), computed.engine(), now());
+                tools.state().placer().chooseDecodeEngine(placements.next(false, now()), computed.engine(), now());
         if (decoder.isEmpty()) {
             trace.because("no engine that may answer is known");
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
             return;
         }
-        send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(computed.source()), Optional.empty());
+        send(decoder.get(), WorkKind.HANDOFF, 0, Optional.of(computed.source()), Optional.empty());
     }
 
     /** A computed prompt is only a help: where none came about, one engine does both parts. */
-    void prefillEnded(Placement.Staged placement, PlacedWork work, AttemptEnd end, String reason) {
+    void prefillEnded(Placement.Disaggregated placement, AssignedWork work, AttemptEnd end, String reason) {
         tools.state().attemptEnded(work, end);
         current.end(work);
         if (over) {
@@ -266,14 +266,14 @@
         trace.prefillFailed(tools.state().log(), placement.prefill(), reason);
         tried.stageFailed(placement.prefill());
         if (!permit.granted()) {
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
             return;
         }
         place();
     }
 
-    void answerBegan(PlacedWork work) {
-        tools.state().placer().answerBegan(work, now());
+    void answerBegan(AssignedWork work) {
+        tools.state().placer().answerStarted(work, now());
         unfetched.fetched();
         stallWatch.begun(attempt);
         if (!stream.begun()) {
@@ -289,27 +289,27 @@
         if (!link.writable()) {
             current.read(false);
         }
-        if (tools.state().placer().answerLeaves(attempt.work(), now())) {
+        if (tools.state().placer().shouldMoveAnswer(attempt.work(), now())) {
             goOnElsewhere();
         }
     }
 
     /** Goes on at another engine after the last event, where that is allowed; else this one tells the answer to its end. */
     private void goOnElsewhere() {
-        if (!account.mayGoOnElsewhere() || !tools.state().takeRepeat(service)) {
+        if (!account.mayResumeElsewhere() || !tools.state().takeRepeat(service)) {
             return;
         }
-        PlacedWork left = attempt.work();
+        AssignedWork left = attempt.work();
         attempt.release();
         current.cancel();
         current.end(left);
-        account.ended(new AttemptEnd.Lost());
+        account.attemptEnded(new AttemptEnd.Lost());
         tools.metrics().attempted(service, "moved");
         trace.because("the engine leaves its answers to others");
         place();
     }
 
-    void streamComplete(PlacedWork work, boolean begun) {
+    void streamComplete(AssignedWork work, boolean begun) {
         current.end(work);
         if (!stream.begun()) {
             attemptEndedAfterWork(new AttemptEnd.Lost(), begun ? "no event came" : "the stream was empty");
@@ -320,7 +320,7 @@
         link.end();
     }
 
-    void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
+    void answerComplete(AssignedWork work, HttpResponse head, ByteBuf body) {
         current.end(work);
         if (stream.begun()) {
             // A stream was to be continued and this is no stream; written now, it would stand in the middle of the
@@ -336,11 +336,11 @@
     }
 
     /** The server's own failure: tried elsewhere where the request may be repeated, else passed on as it is. */
-    void failureCame(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
+    void failureCame(AssignedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
         AttemptEnd end = new AttemptEnd.Failed();
         tools.state().attemptEnded(work, end);
         current.end(work);
-        NextStep next = account.ended(end);
+        NextStep next = account.attemptEnded(end);
         trace.because("the server failed with status " + head.status().code());
         tools.metrics().attempted(service, "failed");
         if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.granted()) {
@@ -357,7 +357,7 @@
         link.answer(OutgoingMessage.answer(head, body));
     }
 
-    void attemptEnded(PlacedWork work, AttemptEnd end, String reason) {
+    void attemptEnded(AssignedWork work, AttemptEnd end, String reason) {
         tools.state().attemptEnded(work, end);
         current.end(work);
         attemptEndedAfterWork(end, reason);
@@ -369,12 +369,12 @@
         }
         trace.because(reason);
         tools.metrics().attempted(service, end.getClass().getSimpleName());
-        NextStep next = account.ended(end);
+        NextStep next = account.attemptEnded(end);
         trace.attemptEnded(tools.state().log(), end, next);
         if (next == NextStep.REPEAT && times.deadline() > now() && serverEnds.mayRepeat() && permit.granted()) {
             tryElsewhere(end);
         } else {
-            conclude(next == NextStep.REPEAT ? account.conclusion() : next, SHORTEST_PAUSE);
+            conclude(next == NextStep.REPEAT ? account.stepWithoutRetry() : next, SHORTEST_PAUSE);
         }
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
 import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
 import org.aspenmoor.internal.serving.BackendServer;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.quarantine.Quarantine;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
 import org.aspenmoor.internal.serving.quarantine.ServerStart;
@@ -75,8 +75,8 @@
      *
      * @param told how long the answer had been told
      */
-    void connectionBroke(BackendServer server, PlacedWork work, Duration told) {
-        Duration asked = Duration.ofNanos(tools.state().time().monotonicNanoseconds() - work.atNanoseconds());
+    void connectionBroke(BackendServer server, AssignedWork work, Duration told) {
+        Duration asked = Duration.ofNanos(tools.state().time().monotonicNanoseconds() - work.startedAtNanos());
         BrokenRun run = new BrokenRun(request, digest(), server, asked, told);
         unconfirmed++;
         tools.connections().probe(server, ended -> probed(run, ended));
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -18,18 +18,18 @@
 import org.aspenmoor.internal.serving.BackendDirectory;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.BackendState;
-import org.aspenmoor.internal.serving.EventLength;
+import org.aspenmoor.internal.serving.EventSize;
 import org.aspenmoor.internal.serving.GenerationTraits;
-import org.aspenmoor.internal.serving.LearntSpeed;
+import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerLoads;
 import org.aspenmoor.internal.serving.PeerReport;
-import org.aspenmoor.internal.serving.PeerShare;
-import org.aspenmoor.internal.serving.PlacedPrompt;
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.EntryLoad;
+import org.aspenmoor.internal.serving.AssignedPrompt;
+import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.PlacementSettings;
-import org.aspenmoor.internal.serving.Placer;
+import org.aspenmoor.internal.serving.PlacementPolicy;
 import org.aspenmoor.internal.serving.PromptPart;
-import org.aspenmoor.internal.serving.RepeatAllowance;
+import org.aspenmoor.internal.serving.RetryAllowance;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.ServerSummary;
 import org.aspenmoor.internal.serving.ServiceLoad;
@@ -46,11 +46,11 @@
     private final RandomGenerator random;
     private final DecisionLog log;
     private final BackendDirectory directory = new BackendDirectory();
-    private final Placer placer;
+    private final PlacementPolicy placer;
     private final PeerLoads peers;
     private final Set<String> listed = new HashSet<>();
     private final Map<String, RoleChange> ordered = new HashMap<>();
-    private final Map<String, RepeatAllowance> allowances = new HashMap<>();
+    private final Map<String, RetryAllowance> allowances = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
     private RepeatSettings repeats;
     private boolean serversKnown;
@@ -69,7 +69,7 @@
         this.lastRequestAt = time.monotonicNanoseconds() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
-        this.placer = new Placer(placement, peers, random);
+        this.placer = new PlacementPolicy(placement, peers, random);
     }
 
     /** Takes changed settings up. */
@@ -92,14 +92,14 @@
                 .with("routes", newer.routeCount())
                 .write();
         configuration = Optional.of(newer);
-        directory.servers().forEach(server -> placer.changed(server, cacheTokens(server)));
+        directory.servers().forEach(server -> placer.serverChanged(server, cacheTokens(server)));
         return true;
     }
 
     /** Takes a server's registration in. */
     public void serverChanged(BackendServer told) {
         Optional<BackendServer> before = directory.find(told.id());
-        BackendServer server = directory.changed(told);
+        BackendServer server = directory.registrationChanged(told);
         if (server.state() != told.state()) {
             log.notable("server-not-believed")
                     .with("server", told.id())
@@ -107,7 +107,7 @@
                     .with("reason", "this start has said that it leaves")
                     .write();
         }
-        placer.changed(server, cacheTokens(server));
+        placer.serverChanged(server, cacheTokens(server));
         if (before.isEmpty() || !before.get().equals(server)) {
             log.notable("server-known")
                     .with("server", server.id())
@@ -123,27 +123,27 @@
 
     /** Notes that a registration is missing; returns whether the server is gone. */
     public boolean serverMissing(String id, long now) {
-        boolean gone = directory.removed(id, now);
+        boolean gone = directory.registrationRemoved(id, now);
         log.notable(gone ? "server-gone" : "server-doubtful").with("server", id).write();
         if (gone) {
-            placer.removed(id);
+            placer.serverRemoved(id);
         }
         return gone;
     }
 
     /** Notes that the store has come back from an older copy, in which servers may be missing that live. */
     public void storeCameBackOlder(long now) {
-        directory.cameBackOlder(now);
+        directory.storeRolledBack(now);
     }
 
     /** Notes that the list of servers may miss changes from now on. */
     public void serversInterrupted(long now) {
-        directory.interrupted(now);
+        directory.watchInterrupted(now);
     }
 
     /** Notes that the list of servers is complete. */
     public void serversSynchronised(long now) {
-        directory.synchronised(now);
+        directory.watchSynchronised(now);
         serversKnown = true;
     }
 
@@ -156,7 +156,7 @@
     public Iterable<String> expireServers(long now) {
         Iterable<String> gone = directory.expire(now);
         for (String id : gone) {
-            placer.removed(id);
+            placer.serverRemoved(id);
             log.notable("server-gone")
                     .with("server", id)
                     .with("reason", "not back after an outage of the store")
@@ -167,40 +167,40 @@
 
     /** Takes another entry's report in. */
     public void peerHeard(PeerReport report, long now) {
-        peers.heard(report, now);
-        report.prompts().forEach(prompt -> placer.promptPlacedByPeer(prompt, now));
-        report.speeds().forEach(placer::speedHeard);
-        report.lengths().forEach(placer::eventLengthHeard);
-        report.changes().forEach(change -> placer.roleChanging(change, now));
+        peers.receive(report, now);
+        report.prompts().forEach(prompt -> placer.promptAssignedByPeer(prompt, now));
+        report.speeds().forEach(placer::speedReceived);
+        report.eventSizes().forEach(placer::eventSizeReceived);
+        report.roleChanges().forEach(change -> placer.roleChangeOrdered(change, now));
     }
 
     /** Notes that an engine has accepted this entry's order to change its role. */
     public void roleOrdered(RoleChange change) {
         ordered.put(change.server(), change);
-        placer.roleChanging(change, time.monotonicNanoseconds());
+        placer.roleChangeOrdered(change, time.monotonicNanoseconds());
     }
 
     /** Returns the orders of this entry that engines are still carrying out, for the other entries. */
     public List<RoleChange> roleChanges() {
         long now = time.monotonicNanoseconds();
-        ordered.keySet().removeIf(server -> !placer.changing(server, now));
+        ordered.keySet().removeIf(server -> !placer.changingRole(server, now));
         return List.copyOf(ordered.values());
     }
 
     /** Samples how much prompts press on the engines, given whether requests of a service wait at this entry. */
     public void samplePressure(Predicate<String> waiting) {
         long now = time.monotonicNanoseconds();
-        modelServices().forEach(service -> placer.samplePressure(service, waiting.test(service), now));
+        modelServices().forEach(service -> placer.samplePromptLoad(service, waiting.test(service), now));
     }
 
     /** Returns how fast this entry has found the engines, for the other entries. */
-    public List<LearntSpeed> learntSpeeds() {
-        return placer.learntSpeeds();
+    public List<LearnedSpeed> learntSpeeds() {
+        return placer.learnedSpeeds();
     }
 
     /** Returns how long this entry has found the events of answers, for the other entries. */
-    public List<EventLength> eventLengths() {
-        return placer.eventLengths();
+    public List<EventSize> eventLengths() {
+        return placer.eventSizes();
     }
 
     /** Forgets entries that have been silent for too long. */
@@ -209,13 +209,13 @@
     }
 
     /** Returns this entry's own part of the load. */
-    public Map<String, PeerShare> ownShares() {
-        return placer.ownShares(time.monotonicNanoseconds());
+    public Map<String, EntryLoad> ownShares() {
+        return placer.ownLoads(time.monotonicNanoseconds());
     }
 
     /** Returns the prompts that this entry has placed since it was last asked. */
-    public List<PlacedPrompt> takeUntoldPrompts() {
-        return placer.takeUntoldPrompts();
+    public List<AssignedPrompt> takeUntoldPrompts() {
+        return placer.takeUnreportedPrompts();
     }
 
     /**
@@ -223,7 +223,7 @@
      * number stands, since a process that has just started may be one of many.
      */
     public int entries() {
-        int heard = peers.heardEntries();
+        int heard = peers.activePeers();
         return heard == 0 ? repeats.assumedEntries() : heard + 1;
     }
 
@@ -231,7 +231,7 @@
     public int connectionShare(String service) {
         return configuration
                 .flatMap(known -> known.service(service))
-                .map(traits -> Math.max(1, traits.mostConnections() / entries()))
+                .map(traits -> Math.max(1, traits.maxConnections() / entries()))
                 .orElse(Integer.MAX_VALUE);
     }
 
@@ -242,7 +242,7 @@
 
     /** Returns how many other entries are heard. */
     public int heardEntries() {
-        return peers.heardEntries();
+        return peers.activePeers();
     }
 
     /** Returns what is believed of each backend server. */
@@ -255,7 +255,7 @@
         return configuration;
     }
 
-    Placer placer() {
+    PlacementPolicy placer() {
         return placer;
     }
 
@@ -275,7 +275,7 @@
 
     /** Notes which prompt parts an engine says that it keeps. */
     public void cacheListed(BackendServer engine, List<PromptPart> parts, long now) {
-        placer.cacheListed(engine.id(), parts, now);
+        placer.cacheReported(engine.id(), parts, now);
         log.notable("cache-listed")
                 .with("server", engine.id())
                 .with("parts", parts.size())
@@ -289,7 +289,7 @@
                 .map(service -> placer.serviceLoad(service, now))
                 .toList();
         boolean idle = now - lastRequestAt > IDLE_AFTER.toNanos() && peers.idle();
-        return new FleetSnapshot(services, idle, peers.noneBefore(entry));
+        return new FleetSnapshot(services, idle, peers.isFirstByName(entry));
     }
 
     private Set<String> modelServices() {
@@ -305,23 +305,23 @@
     /** Notes a request for a service, which earns a part of a repeat. */
     void requested(String service) {
         lastRequestAt = time.monotonicNanoseconds();
-        allowance(service).requested();
+        allowance(service).recordRequest();
     }
 
     /** Takes a repeat out of the service's budget. */
     boolean takeRepeat(String service) {
-        return allowance(service).take(entries());
+        return allowance(service).tryTakeRetry(entries());
     }
 
     /** Notes what the end of an attempt says of its server. */
-    void attemptEnded(PlacedWork work, AttemptEnd end) {
+    void attemptEnded(AssignedWork work, AttemptEnd end) {
         long now = time.monotonicNanoseconds();
         switch (end) {
-            case AttemptEnd.NeverSent neverSent -> placer.unreachable(work, now);
-            case AttemptEnd.Misdirected misdirected -> placer.unreachable(work, now);
-            case AttemptEnd.NotExecuted notExecuted -> placer.rejected(work, now);
-            case AttemptEnd.Lost lost -> placer.failed(work, now);
-            case AttemptEnd.Failed failed -> placer.failed(work, now);
+            case AttemptEnd.NeverSent neverSent -> placer.serverUnreachable(work, now);
+            case AttemptEnd.Misdirected misdirected -> placer.serverUnreachable(work, now);
+            case AttemptEnd.NotExecuted notExecuted -> placer.attemptRejected(work, now);
+            case AttemptEnd.Lost lost -> placer.attemptFailed(work, now);
+            case AttemptEnd.Failed failed -> placer.attemptFailed(work, now);
         }
     }
 
@@ -329,7 +329,7 @@
     boolean takesWork(BackendServer server) {
         return directory
                 .find(server.id())
-                .filter(known -> known.sameStart(server) && known.state() == BackendState.READY)
+                .filter(known -> known.sameIncarnation(server) && known.state() == BackendState.READY)
                 .isPresent();
     }
 
@@ -350,9 +350,9 @@
         return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
     }
 
-    private RepeatAllowance allowance(String service) {
+    private RetryAllowance allowance(String service) {
         return allowances.computeIfAbsent(
-                service, name -> new RepeatAllowance(time, repeats.ratio(), repeats.slack(), repeats.window()));
+                service, name -> new RetryAllowance(time, repeats.ratio(), repeats.slack(), repeats.window()));
     }
 
     private int cacheTokens(BackendServer server) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
@@ -47,7 +47,7 @@
         this.reading = reading;
         this.objective = route.objective();
         this.tellingPatience =
-                route.longestSilence().multipliedBy(QUIET_PERCENT).dividedBy(100);
+                route.callerIdleTimeout().multipliedBy(QUIET_PERCENT).dividedBy(100);
         this.stalled = stalled;
     }
 
@@ -56,7 +56,7 @@
      * see no answer of the engine for its length.
      */
     void watch(WatchedAttempt attempt) {
-        Duration queue = Duration.ofNanos((long) (QUEUE_MARGIN * attempt.work().answerSeconds() * NANOSECONDS));
+        Duration queue = Duration.ofNanos((long) (QUEUE_MARGIN * attempt.work().expectedAnswerSeconds() * NANOSECONDS));
         watch(attempt, objective.multipliedBy(STALLED_OBJECTIVES).plus(queue));
     }
 
@@ -87,7 +87,7 @@
         if (attempt.begun()) {
             return;
         }
-        if (!tools.state().placer().silentSince(attempt.work())) {
+        if (!tools.state().placer().noAnswerSinceStart(attempt.work())) {
             // It answers others: the request waits in a queue, and would wait in another one too.
             watch(attempt, patience);
             return;
@@ -108,7 +108,7 @@
             watch(answer, Duration.ofNanos(heardAt - quietFrom));
             return;
         }
-        if (tools.state().placer().nothingHeardSince(answer.work(), quietFrom)) {
+        if (tools.state().placer().nothingReceivedSince(answer.work(), quietFrom)) {
             stalled.accept(answer);
             return;
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.aspenmoor.internal.serving.WaitingLine;
+import org.aspenmoor.internal.serving.WaitQueue;
 import org.aspenmoor.internal.time.TimeSource;
 
 /** The requests that wait at this entry for room at an engine, by service. Confined to the event loop. */
@@ -18,7 +18,7 @@
 
     private final TimeSource time;
     private final EventLoop eventLoop;
-    private final Map<String, WaitingLine<ServedRequest>> lines = new HashMap<>();
+    private final Map<String, WaitQueue<ServedRequest>> lines = new HashMap<>();
     private Future<?> look;
     private boolean moving;
 
@@ -27,7 +27,7 @@
         this.eventLoop = eventLoop;
     }
 
-    void add(WaitingLine.Waiting<ServedRequest> waiting) {
+    void add(WaitQueue.QueuedRequest<ServedRequest> waiting) {
         String service = waiting.request().service();
         line(service).add(waiting);
         if (look == null) {
@@ -47,25 +47,25 @@
     }
 
     void departed(String service, long aimAt, long now) {
-        line(service).departed(aimAt, now);
+        line(service).dispatched(aimAt, now);
     }
 
     /** Notes the first byte of an answer. */
     void answered(String service, long departedAt, long now) {
         if (departedAt > 0) {
-            line(service).answered((now - departedAt) / NANOSECONDS);
+            line(service).answerStarted((now - departedAt) / NANOSECONDS);
         }
     }
 
     /** Sends on who is next, as long as there is room. */
     void roomMayBe(String service) {
-        WaitingLine<ServedRequest> line = line(service);
+        WaitQueue<ServedRequest> line = line(service);
         if (moving || line.size() == 0) {
             return;
         }
         moving = true;
         try {
-            line.move(time::monotonicNanoseconds, ServedRequest::giveUp, ServedRequest::goOn);
+            line.dispatchAndRefuse(time::monotonicNanoseconds, ServedRequest::giveUp, ServedRequest::goOn);
         } finally {
             moving = false;
         }
@@ -79,7 +79,7 @@
         }
     }
 
-    private WaitingLine<ServedRequest> line(String service) {
-        return lines.computeIfAbsent(service, name -> new WaitingLine<>());
+    private WaitQueue<ServedRequest> line(String service) {
+        return lines.computeIfAbsent(service, name -> new WaitQueue<>());
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WatchedAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WatchedAttempt.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.gateway.request;
 
-import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.AssignedWork;
 
 /** An attempt that may turn out to have stalled. */
 sealed interface WatchedAttempt permits AnswerAttempt, PrefillAttempt {
     /** Returns whether any part of an answer came. */
     boolean begun();
 
-    PlacedWork work();
+    AssignedWork work();
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
@@ -124,8 +124,8 @@
                 log.notable("role-follows-load")
                         .with("server", move.get().server().id())
                         .with("role", move.get().role().name())
-                        .with("neededPaceMs", Math.round(service.neededPace().orElse(0.0) * MILLISECONDS))
-                        .with("prompts", service.prompts().name())
+                        .with("neededPaceMs", Math.round(service.requiredEventSeconds().orElse(0.0) * MILLISECONDS))
+                        .with("prompts", service.promptLoad().name())
                         .write();
                 if (order(List.of(move.get())) > 0) {
                     follower.changed();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.gateway.log.DecisionLog;
-import org.aspenmoor.internal.serving.EventLength;
-import org.aspenmoor.internal.serving.EventPace;
-import org.aspenmoor.internal.serving.LearntSpeed;
+import org.aspenmoor.internal.serving.EventSize;
+import org.aspenmoor.internal.serving.EventIntervals;
+import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerReport;
-import org.aspenmoor.internal.serving.PeerShare;
-import org.aspenmoor.internal.serving.PlacedPrompt;
+import org.aspenmoor.internal.serving.EntryLoad;
+import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.PromptPart;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
@@ -40,15 +40,15 @@
 
 public class PeerExchangeTest {
     private static final long PATIENCE_SECONDS = 20;
-    private static final List<EventLength> LENGTHS = List.of(new EventLength("drafting", 55));
+    private static final List<EventSize> LENGTHS = List.of(new EventSize("drafting", 55));
     private static final List<RoleChange> CHANGES = List.of(new RoleChange("server", EngineRole.PREFILL));
-    private static final Map<String, PeerShare> SHARES =
-            Map.of("server", new PeerShare(0.25, 3, new EventPace(2, 0.125)));
-    private static final List<PlacedPrompt> PROMPTS =
-            List.of(new PlacedPrompt("server", List.of(new PromptPart("5c1e", 800), new PromptPart("91bd", 410))));
+    private static final Map<String, EntryLoad> SHARES =
+            Map.of("server", new EntryLoad(0.25, 3, new EventIntervals(2, 0.125)));
+    private static final List<AssignedPrompt> PROMPTS =
+            List.of(new AssignedPrompt("server", List.of(new PromptPart("5c1e", 800), new PromptPart("91bd", 410))));
 
-    private static final List<LearntSpeed> SPEEDS =
-            List.of(new LearntSpeed("drafting", EngineRole.DECODE, 0.25, 0.015625));
+    private static final List<LearnedSpeed> SPEEDS =
+            List.of(new LearnedSpeed("drafting", EngineRole.DECODE, 0.25, 0.015625));
 
     private static final List<ServerEnd> ENDS = List.of(new ServerEnd(
             new RequestDigest(-1, 5), new ServerStart("server", 1_786_504_654_297L), Duration.ofMillis(250), true));
@@ -97,7 +97,7 @@
 
         PeerReport heard = heardByOld.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
         assertEquals(heard.entry(), "young");
-        assertEquals(heard.shares(), SHARES);
+        assertEquals(heard.loads(), SHARES);
         assertEquals(heard.prompts(), PROMPTS);
 
         group.next()
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -28,7 +28,7 @@
 import org.aspenmoor.internal.serving.ConnectionLimits;
 import org.aspenmoor.internal.serving.GenerationTraits;
 import org.aspenmoor.internal.serving.PlacementSettings;
-import org.aspenmoor.internal.serving.RepeatRule;
+import org.aspenmoor.internal.serving.RetryRule;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.RouteTarget;
@@ -105,13 +105,13 @@
     }
 
     /** Adds a route to a service; it is in force after {@link #publish}. */
-    public TestGateway route(String path, RepeatRule rule, boolean streamed, int mostBackends, String service) {
+    public TestGateway route(String path, RetryRule rule, boolean streamed, int mostBackends, String service) {
         return route(path, rule, streamed, mostBackends, service, TIMEOUT);
     }
 
     /** Adds a route whose callers leave after a silence; it is in force after {@link #publish}. */
     public TestGateway route(
-            String path, RepeatRule rule, boolean streamed, int mostBackends, String service, Duration silence) {
+            String path, RetryRule rule, boolean streamed, int mostBackends, String service, Duration silence) {
         routes.add(new Route(
                 "route-" + path,
                 HOST,
@@ -172,7 +172,7 @@
     /** Puts the routes in force and waits until requests are served. */
     public void publish() throws StoreException, IOException {
         services.add(new ServiceTraits("model", 100, Optional.of(new GenerationTraits(100_000))));
-        ServingConfiguration configuration = new ServingConfiguration(7, routes, services, ConnectionLimits.usual());
+        ServingConfiguration configuration = new ServingConfiguration(7, routes, services, ConnectionLimits.defaults());
         configurations.put("main", configuration);
         store.create(new ObjectKey(ObjectKind.SERVING_CONFIGURATION, ObjectKey.PLATFORM_NAMESPACE, "main"), "{}");
         awaitReady();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.gateway.standin.TestCaller;
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
-import org.aspenmoor.internal.serving.RepeatRule;
+import org.aspenmoor.internal.serving.RetryRule;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -42,9 +42,9 @@
     @BeforeMethod
     public void start() throws Exception {
         gateway = new TestGateway();
-        gateway.route("/book/", RepeatRule.AT_MOST_ONCE, false, 1, PLAIN);
-        gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, PLAIN);
-        gateway.route("/draft/", RepeatRule.RESUMABLE, true, 2, MODEL);
+        gateway.route("/book/", RetryRule.AT_MOST_ONCE, false, 1, PLAIN);
+        gateway.route("/read/", RetryRule.REPEATABLE, false, 2, PLAIN);
+        gateway.route("/draft/", RetryRule.RESUMABLE, true, 2, MODEL);
     }
 
     @AfterMethod
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.gateway.standin.TestCaller;
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
-import org.aspenmoor.internal.serving.RepeatRule;
+import org.aspenmoor.internal.serving.RetryRule;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -27,8 +27,8 @@
     @BeforeMethod
     public void start() throws Exception {
         gateway = new TestGateway();
-        gateway.route("/book/", RepeatRule.AT_MOST_ONCE, false, 1, SERVICE);
-        gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, SERVICE);
+        gateway.route("/book/", RetryRule.AT_MOST_ONCE, false, 1, SERVICE);
+        gateway.route("/read/", RetryRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.gateway.standin.TestCaller;
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
-import org.aspenmoor.internal.serving.RepeatRule;
+import org.aspenmoor.internal.serving.RetryRule;
 import org.aspenmoor.internal.store.StoredObject;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -25,7 +25,7 @@
     @BeforeMethod
     public void start() throws Exception {
         gateway = new TestGateway();
-        gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, SERVICE);
+        gateway.route("/read/", RetryRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -23,7 +23,7 @@
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
 import org.aspenmoor.internal.gateway.standin.Waiting;
-import org.aspenmoor.internal.serving.RepeatRule;
+import org.aspenmoor.internal.serving.RetryRule;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -42,8 +42,8 @@
     @BeforeMethod
     public void start() throws Exception {
         gateway = new TestGateway();
-        gateway.route("/once/", RepeatRule.AT_MOST_ONCE, true, 1, SERVICE);
-        gateway.route("/resume/", RepeatRule.RESUMABLE, true, 2, SERVICE);
+        gateway.route("/once/", RetryRule.AT_MOST_ONCE, true, 1, SERVICE);
+        gateway.route("/resume/", RetryRule.RESUMABLE, true, 2, SERVICE);
     }
 
     @AfterMethod
@@ -124,7 +124,7 @@
     // Guards against callers who leave in the middle of an answer because its engine has gone dark.
     @Test
     public void should_go_on_elsewhere_where_an_engine_goes_quiet_within_an_answer() throws Exception {
-        gateway.route("/quiet/", RepeatRule.RESUMABLE, true, 2, SERVICE, Duration.ofSeconds(1));
+        gateway.route("/quiet/", RetryRule.RESUMABLE, true, 2, SERVICE, Duration.ofSeconds(1));
         CountDownLatch never = new CountDownLatch(1);
         Script quietUnlessResumed = request -> request.header(TestProtocols.AFTER)
                 .map(after -> Reply.of(HEAD + event(2) + event(3) + HttpText.END_OF_CHUNKS))
