--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AssignedWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AssignedWork.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.serving;
 
-/** One attempt at one backend server, as the placement expected it. Compared by identity. */
+/** One attempt at one backend server with its expected durations. Compared by identity. */
 public final class AssignedWork {
     private final String server;
     private final WorkKind kind;
@@ -37,17 +37,17 @@
         return kind;
     }
 
-    /** Returns how long it may wait at the server before this entry sends less there. */
+    /** Returns how long the work may wait at the server, in seconds, before this entry sends less work there. */
     double toleratedWaitSeconds() {
         return toleratedWaitSeconds;
     }
 
-    /** Returns whether it is a prompt that keeps an engine busy for longer than an answer's start. */
+    /** Returns whether the work is a prompt that occupies an engine long enough to delay other requests. */
     boolean longPrompt() {
         return longPrompt;
     }
 
-    /** Returns whether nothing else was known at the server when it was placed. */
+    /** Returns whether no other work was known at the server when the attempt started. */
     boolean serverWasIdle() {
         return serverWasIdle;
     }
@@ -56,22 +56,25 @@
         return server;
     }
 
-    /** Returns when the attempt began, on the monotonic clock. */
+    /** Returns the start of the attempt on the monotonic clock. */
     public long startedAtNanos() {
         return startedAtNanos;
     }
 
-    /** Returns how long the server was expected to work before its answer begins. */
+    /** Returns how long the server was expected to work before its answer starts. */
     double expectedWorkSeconds() {
         return expectedWorkSeconds;
     }
 
-    /** Returns how long the work takes at the learnt speed. */
+    /** Returns how long the work takes at the learned speed. */
     double learnedWorkSeconds() {
         return learnedWorkSeconds;
     }
 
-    /** Returns when the answer was expected to begin, with what waits before it. */
+    /**
+     * Returns the expected time from the start of the attempt to the start of the answer, in seconds, including the
+     * wait.
+     */
     public double expectedAnswerSeconds() {
         return expectedAnswerSeconds;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptEnd.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptEnd.java
@@ -1,22 +1,22 @@
 package org.aspenmoor.internal.serving;
 
-/** How one attempt at one backend server ended without an answer for the caller. */
+/** How an attempt at a backend server ended without an answer for the caller. */
 public sealed interface AttemptEnd {
-    /** No connection came about, so no byte of the request left this process. */
+    /** No connection was established, so no byte of the request left this process. */
     record NeverSent() implements AttemptEnd {}
 
-    /** The backend server said that it did not run the request and will not. */
+    /** The backend server responded that it did not run the request and will not run it. */
     record NotExecuted() implements AttemptEnd {}
 
     /**
-     * The request was not run because the server at the address is another one, or does another part of the work, than
-     * this process believed.
+     * The request was not run because the server at the address is a different one, or has a different role, than this
+     * process expected.
      */
     record Misdirected() implements AttemptEnd {}
 
-    /** The request was sent and nothing usable came back: whether it ran is not known. */
+    /** The request was sent and no usable response arrived. It is unknown whether the request ran. */
     record Lost() implements AttemptEnd {}
 
-    /** The backend server answered that it failed. */
+    /** The backend server responded with a failure. */
     record Failed() implements AttemptEnd {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptTracker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptTracker.java
@@ -1,14 +1,15 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * What is known of where one request has been, and so what may truthfully be said of it.
+ * Tracks the attempts of one request and decides what may be reported about it.
  *
- * <p>A caller that is told "not run" sends a booking again. Were that said of a request whose bytes had reached a
- * backend server, the narrator would be booked twice. So this account alone decides whether a refusal is true: it is
- * told of each attempt before its first byte leaves and of each end, and forgets nothing.
+ * <p>A caller that receives "not run" may send a request again even if it is not idempotent. If the first copy had
+ * reached a backend server, the request could run twice. This class is therefore the only place that decides whether
+ * "not run" is true. It has to be notified of each attempt before the first byte is sent and of the end of each
+ * attempt.
  */
 public final class AttemptTracker {
-    /** After so many servers that take nothing, the next is unlikely to be better and the caller's time runs. */
+    /** After this many attempts another server is unlikely to accept the request, and the caller's time is limited. */
     private static final int MAX_ATTEMPTS = 4;
 
     private final RetryRule rule;
@@ -24,16 +25,19 @@
         this.maxBackends = Math.max(1, maxBackends);
     }
 
-    /** Notes that an attempt at a server begins; from now on the request counts as possibly run there. */
+    /** Records the start of an attempt. From now on the request counts as possibly run on that server. */
     public void attemptStarted() {
         if (attemptOpen) {
-            throw new IllegalStateException("An attempt began while another was open.");
+            throw new IllegalStateException("Cannot start an attempt: the previous attempt has not ended.");
         }
         attemptOpen = true;
         attempts++;
     }
 
-    /** Notes how the open attempt ended and returns what follows; the repeat still has to be granted by the budget. */
+    /**
+     * Records how the open attempt ended and returns the next step. A retry still has to be granted by the retry
+     * allowance.
+     */
     public NextStep attemptEnded(AttemptEnd end) {
         attemptOpen = false;
         return switch (end) {
@@ -46,8 +50,8 @@
     }
 
     /**
-     * Notes that an attempt to have only the prompt computed ended without a result. It never counts as a run, but as an
-     * arrival: it has loaded an engine like a repeat.
+     * Records that an attempt to compute only the prompt ended without a result. It never counts as a run, but it
+     * counts as an arrival unless it was never sent, because it loads an engine as a retry does.
      */
     public void promptFailed(AttemptEnd end) {
         if (!(end instanceof AttemptEnd.NeverSent)) {
@@ -55,7 +59,7 @@
         }
     }
 
-    /** Notes that an engine has computed the prompt. Only the first time is no arrival. */
+    /** Records that an engine has computed the prompt. Every time but the first counts as an arrival. */
     public void promptComputed() {
         if (promptComputed) {
             arrivals++;
@@ -63,27 +67,27 @@
         promptComputed = true;
     }
 
-    /** Returns what to say where no further attempt is made. */
+    /** Returns the next step if no further attempt is made. */
     public NextStep stepWithoutRetry() {
         return mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE;
     }
 
-    /** Returns whether the request may have run anywhere, or may still. */
+    /** Returns whether the request may have run, or may still run, on any server. */
     public boolean mayHaveRun() {
         return attemptOpen || possibleRuns > 0;
     }
 
-    /** Returns whether the next attempt would be a repeated arrival, which draws on the shared budget. */
+    /** Returns whether the next attempt would be a retry that has to be granted by the shared retry allowance. */
     public boolean nextIsRetry() {
         return arrivals > 0;
     }
 
-    /** Returns whether another engine may go on with the answer of the open attempt. */
+    /** Returns whether another engine may continue the answer of the open attempt. */
     public boolean mayResumeElsewhere() {
         return attemptOpen && rule == RetryRule.RESUMABLE && possibleRuns + 1 < maxBackends && attempts < MAX_ATTEMPTS;
     }
 
-    /** Returns how many attempts began. */
+    /** Returns how many attempts have been started. */
     public int attempts() {
         return attempts;
     }
@@ -100,10 +104,10 @@
         return NextStep.REPEAT;
     }
 
-    private NextStep stepAfterPossibleRun(NextStep stepWhereNotAllowed) {
+    private NextStep stepAfterPossibleRun(NextStep fallback) {
         arrivals++;
         possibleRuns++;
         boolean retryAllowed = rule != RetryRule.AT_MOST_ONCE && possibleRuns < maxBackends && attempts < MAX_ATTEMPTS;
-        return retryAllowed ? NextStep.REPEAT : stepWhereNotAllowed;
+        return retryAllowed ? NextStep.REPEAT : fallback;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -12,21 +12,27 @@
 import org.aspenmoor.internal.serving.quarantine.ServerStart;
 
 /**
- * The backend servers that are registered, as far as this process knows. Confined to one thread.
+ * The registered backend servers, as far as this process knows. Confined to one thread.
  *
- * <p>A server's registration lapses when it cannot be renewed, so an outage of the store makes live servers look gone.
- * Dropping them all at the store's return would leave callers without any server for seconds. Registrations that are
- * missing right after an outage therefore stay for as long as live servers may need to return. So do those that are missing
- * where the store has come back from an older copy: they may have registered in the seconds that it has lost.
+ * <p>A registration lapses when it cannot be renewed, so after a store outage live servers appear to be removed.
+ * Dropping them all when the store returns would leave callers without any server for seconds. Registrations that are
+ * missing right after an outage are therefore kept for as long as live servers may need to register again. The same
+ * holds if the store was restored from an older copy: the missing servers may have registered in the period that the
+ * store has lost.
  */
 public final class BackendDirectory {
-    /** Interruptions shorter than this let no registration lapse: servers renew about once a second, three may fail. */
+    /**
+     * Shorter interruptions let no registration lapse: servers renew about once a second, and three renewals may fail.
+     */
     static final Duration MIN_OUTAGE = Duration.ofMillis(1500);
 
-    /** Live servers are registered again about two seconds after the store's return, as its operators state. */
+    /**
+     * Time within which live servers register again after the store returns; the store's operators specify about two
+     * seconds.
+     */
     static final Duration REREGISTRATION_TIME = Duration.ofSeconds(2);
 
-    /** Far more than leave within the time in which an older state may be told. */
+    /** Far more than the number of servers that drain while an older state may still be received. */
     private static final int MAX_DRAINING = 512;
 
     private final Map<String, BackendServer> servers = new LinkedHashMap<>();
@@ -37,8 +43,9 @@
     private long graceUntil = Long.MIN_VALUE;
 
     /**
-     * Takes a registration in and returns what is believed of the server. One start that has said that it leaves does not
-     * stay after all; a registration that calls it ready again is older, as a store that came back from a copy tells it.
+     * Applies a registration and returns the resulting state of the server. An incarnation that has announced that it
+     * is draining never becomes ready again. A registration that shows it as ready is outdated, for example because the
+     * store was restored from an older copy.
      */
     public BackendServer registrationChanged(BackendServer server) {
         BackendServer known = draining.contains(ServerStart.of(server)) ? server.asDraining() : server;
@@ -50,12 +57,15 @@
         return known;
     }
 
-    /** Notes that the store has come back from an older copy; what is missing there now may be written again. */
+    /** Records that the store was restored from an older copy; missing registrations may be written again. */
     public void storeRolledBack(long now) {
         graceUntil = Math.max(graceUntil, now + REREGISTRATION_TIME.toNanos());
     }
 
-    /** Notes that a registration is missing; returns whether the server counts as gone at once. */
+    /**
+     * Records that a registration is missing. Returns true if the server is removed at once, false if its registration
+     * is kept as unconfirmed.
+     */
     public boolean registrationRemoved(String id, long now) {
         boolean duringOutage = interrupted && now - interruptedAt >= MIN_OUTAGE.toNanos();
         if (duringOutage || now < graceUntil) {
@@ -67,7 +77,7 @@
         return true;
     }
 
-    /** Notes that changes may be missed from now on. */
+    /** Records that changes may be missed from now on. */
     public void watchInterrupted(long now) {
         if (!interrupted) {
             interrupted = true;
@@ -75,7 +85,7 @@
         }
     }
 
-    /** Notes that all registrations have been told. */
+    /** Records that all registrations have been received. */
     public void watchSynchronised(long now) {
         if (interrupted && now - interruptedAt >= MIN_OUTAGE.toNanos()) {
             graceUntil = now + REREGISTRATION_TIME.toNanos();
@@ -83,7 +93,7 @@
         interrupted = false;
     }
 
-    /** Drops the doubtful registrations whose time is over and returns them. */
+    /** Removes the unconfirmed registrations whose grace period has expired and returns their server ids. */
     public List<String> expire(long now) {
         List<String> expired = new ArrayList<>();
         unconfirmedUntil.forEach((id, until) -> {
@@ -105,12 +115,10 @@
         }
     }
 
-    /** Returns a server. */
     public Optional<BackendServer> find(String id) {
         return Optional.ofNullable(servers.get(id));
     }
 
-    /** Returns all servers. */
     public Collection<BackendServer> servers() {
         return servers.values();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendServer.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendServer.java
@@ -3,17 +3,17 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * One start of a backend server, as it registered itself.
+ * One incarnation of a backend server, as registered by the server itself.
  *
- * @param id its identity; a new start mostly has a new one
- * @param startedAt when it started, in milliseconds since 1970; tells starts under one identity apart
+ * @param id the server's id; a restart usually gets a new one
+ * @param startedAt start time in milliseconds since 1970; distinguishes incarnations with the same id
  * @param service the service it belongs to
  * @param host its IP address
  * @param port its port
- * @param dataCentre where it stands
- * @param slots how many requests it works on at once
- * @param state whether it takes new work
- * @param role which part of a generation it does; {@link EngineRole#WHOLE} where it runs no model
+ * @param dataCentre the data centre it is in
+ * @param slots how many requests it processes concurrently
+ * @param state whether it accepts new work
+ * @param role which part of a generation it does; {@link EngineRole#WHOLE} if it runs no model
  */
 public record BackendServer(
         String id,
@@ -25,12 +25,12 @@
         int slots,
         BackendState state,
         EngineRole role) {
-    /** Returns the same start as one that takes no new work. */
+    /** Returns a copy of this incarnation that accepts no new work. */
     BackendServer asDraining() {
         return new BackendServer(id, startedAt, service, host, port, dataCentre, slots, BackendState.DRAINING, role);
     }
 
-    /** Returns whether the other is the same start at the same address, so that its connections stay good. */
+    /** Returns whether the other is the same incarnation at the same address, so that connections to it can be kept. */
     public boolean sameIncarnation(BackendServer other) {
         return id.equals(other.id)
                 && startedAt == other.startedAt
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendState.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.serving;
 
-/** Whether a backend server takes new work. */
+/** Whether a backend server accepts new work. */
 public enum BackendState {
-    /** It does. */
+    /** It accepts new work. */
     READY,
-    /** It finishes what it has and ends soon. */
+    /** It finishes its current requests and terminates soon. */
     DRAINING
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/CacheEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/CacheEstimate.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * Which prompt parts an engine probably keeps, from what entries placed there; the least recently used yield first.
+ * Estimates which prompt parts an engine has cached, from the prompts that entries assigned to it. The least recently
+ * used parts are evicted first.
  *
- * <p>Only a hint: a report of another entry may be lost, and an engine may drop anything. A wrong hint costs the time of
- * computing a part again, never a wrong answer.
+ * <p>The estimate is only a hint: reports of other entries may be lost, and an engine may evict any part. A wrong hint
+ * costs the time to compute a part again but never leads to a wrong answer.
  */
 final class CacheEstimate {
     private static final float LOAD_FACTOR = 0.75f;
@@ -18,17 +19,22 @@
     private int capacityTokens;
     private int tokens;
 
-    /** Sets how many tokens the engine's memory holds. */
+    /** Sets how many tokens the engine's cache can hold. */
     void setCapacity(int newCapacityTokens) {
         capacityTokens = newCapacityTokens;
     }
 
-    /** Returns how many tokens the engine probably keeps. */
+    /** Returns how many tokens the engine has probably cached. */
     int tokens() {
         return tokens;
     }
 
-    /** Notes that the engine computes a prompt, and when that is probably done. */
+    /**
+     * Records that a prompt was assigned to the engine.
+     *
+     * @param assigned the parts of the prompt
+     * @param computedAt when the parts are probably computed, in nanoseconds
+     */
     void promptAssigned(List<PromptPart> assigned, long computedAt) {
         for (PromptPart part : assigned) {
             CachedPart known = parts.get(part.identity());
@@ -43,14 +49,16 @@
         }
     }
 
-    /** Returns how many tokens at the beginning of the prompt need no computing behind what the engine has to do. */
+    /**
+     * Returns how many tokens at the beginning of the prompt are cached once the engine has finished its queued work.
+     */
     int cachedTokens(Prompt prompt) {
         return cachedPrefixTokens(prompt, Long.MAX_VALUE);
     }
 
     /**
-     * Returns how many tokens at the beginning of the prompt another engine can fetch now. A part that is still being
-     * computed cannot be fetched; the other engine would compute it a second time.
+     * Returns how many tokens at the beginning of the prompt can be transferred to another engine now. A part that is
+     * still being computed cannot be transferred; the other engine would compute it a second time.
      */
     int transferableTokens(Prompt prompt, long now) {
         return cachedPrefixTokens(prompt, now);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/DispatchRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/DispatchRate.java
@@ -3,9 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How many requests left a line within the last second. */
+/** Counts the requests that were dispatched from a queue within the last second. */
 final class DispatchRate {
-    /** Bursts last for seconds; a longer window would tell of the time before them. */
+    /** Bursts last for seconds; a longer window would include the time before the burst. */
     private static final long WINDOW_NANOSECONDS = 1_000_000_000L;
 
     private final Deque<Long> dispatchTimes = new ArrayDeque<>();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineSpeeds.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineSpeeds.java
@@ -6,48 +6,58 @@
 import java.util.Map;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** What answers have taught this entry, and others have told it, of how fast engines work; by service and role. */
+/**
+ * Estimated speeds of engines by service and role, learned from answers to this entry and from reports of other
+ * entries.
+ */
 final class EngineSpeeds {
-    /** A hand-over until one is seen, in seconds: the transfer, the first step and the way. */
+    /**
+     * Duration of a handoff until one has been measured, in seconds: the transfer, the first decode step and the
+     * network.
+     */
     private static final double INITIAL_HANDOFF_SECONDS = 0.035;
 
-    /** Weight of one more hand-over in what one usually takes: about the last twenty count. */
+    /** Weight of a new handoff in the average duration; about the last twenty handoffs count. */
     private static final double LEARNING_WEIGHT = 0.05;
 
-    /** A hand-over that took longer met an engine that hung and says nothing of the others, in seconds. */
+    /** A longer handoff indicates a stalled engine and says nothing about the other engines, in seconds. */
     private static final double MAX_HANDOFF_SECONDS = 1;
 
     private final Map<ServiceRole, SpeedEstimate> estimates = new HashMap<>();
     private final Map<String, Double> handoffSecondsByService = new HashMap<>();
 
-    /** Returns what is known of the engines of a service with a role; it goes on learning. */
+    /** Returns the estimate for the engines of a service with a role. The returned object continues to learn. */
     SpeedEstimate estimateOf(String service, EngineRole role) {
         return estimates.computeIfAbsent(new ServiceRole(service, role), unseen -> new SpeedEstimate());
     }
 
-    /** Returns how long an engine of the service usually takes to take a computed prompt over and begin its answer. */
+    /**
+     * Returns how long engines of the service typically take from the start of a handoff to the start of the answer.
+     */
     double handoffSeconds(String service) {
         return handoffSecondsByService.getOrDefault(service, INITIAL_HANDOFF_SECONDS);
     }
 
-    /** Notes how long one took. */
+    /** Records how long a handoff took. */
     void recordHandoff(String service, double seconds) {
         double known = handoffSeconds(service);
-        handoffSecondsByService.put(service, known + LEARNING_WEIGHT * (Math.min(MAX_HANDOFF_SECONDS, seconds) - known));
+        handoffSecondsByService.put(
+                service, known + LEARNING_WEIGHT * (Math.min(MAX_HANDOFF_SECONDS, seconds) - known));
     }
 
-    /** Returns what is known well enough to tell others. */
+    /** Returns the speeds that are based on enough answers to be reported to other entries. */
     List<LearnedSpeed> learnedSpeeds() {
         List<LearnedSpeed> learned = new ArrayList<>();
         estimates.forEach((serviceRole, speed) -> {
             if (speed.known()) {
-                learned.add(new LearnedSpeed(serviceRole.service(), serviceRole.role(), speed.factor(), speed.fixedSeconds()));
+                learned.add(new LearnedSpeed(
+                        serviceRole.service(), serviceRole.role(), speed.factor(), speed.fixedSeconds()));
             }
         });
         return learned;
     }
 
-    /** Takes in what another entry knows. */
+    /** Updates the estimate with a speed reported by another entry. */
     void learnFromPeer(LearnedSpeed peerSpeed) {
         estimateOf(peerSpeed.service(), peerSpeed.role()).learnFromPeer(peerSpeed.factor(), peerSpeed.fixedSeconds());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineState.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * One engine as the choice of its role sees it.
+ * The state of an engine as used to choose engine roles.
  *
  * @param server the engine
- * @param load what runs there
- * @param slowness how many times longer than the others with its role it takes
- * @param changing whether it has been told to change its role
+ * @param load its load
+ * @param slowdown how many times longer it takes than the other engines with its role
+ * @param changingRole whether it has been ordered to change its role
  */
 public record EngineState(BackendServer server, EngineLoad load, double slowdown, boolean changingRole) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryLoad.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * One entry's part of the load on one backend server.
+ * The load of one entry, or the sum over several entries, on one backend server.
  *
- * @param unansweredSeconds the work it placed there whose answers have not begun
- * @param requests the requests it has there
- * @param pace the pace that its answers from there show
+ * @param unansweredSeconds work assigned to the server whose answers have not started, in seconds
+ * @param requests requests at the server
+ * @param eventIntervals intervals between the events of answers from the server
  */
 public record EntryLoad(double unansweredSeconds, int requests, EventIntervals eventIntervals) {
     /** No load. */
@@ -13,6 +13,8 @@
 
     EntryLoad plus(EntryLoad other) {
         return new EntryLoad(
-                unansweredSeconds + other.unansweredSeconds, requests + other.requests, eventIntervals.plus(other.eventIntervals));
+                unansweredSeconds + other.unansweredSeconds,
+                requests + other.requests,
+                eventIntervals.plus(other.eventIntervals));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventIntervalMeter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventIntervalMeter.java
@@ -1,16 +1,16 @@
 package org.aspenmoor.internal.serving;
 
-/** Measures one engine's pace by the answers that this entry gets from it. */
+/** Measures the intervals between events in the answers that this entry receives from one engine. */
 final class EventIntervalMeter {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** An engine's pace follows its load, which changes within seconds. */
+    /** The decode rate of an engine follows its load, which changes within seconds. */
     private static final double HALF_LIFE_SECONDS = 1;
 
     private EventIntervals intervals = EventIntervals.NONE;
     private long updatedAt;
 
-    /** Notes an event that came so long after the one before it. */
+    /** Records an event and the interval since the previous event of the same answer. */
     void recordEvent(double intervalSeconds, long now) {
         intervals = intervals(now).plus(new EventIntervals(1, intervalSeconds));
         updatedAt = now;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventIntervals.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventIntervals.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * How long an engine lately took from one event of an answer to the next. What several entries have seen adds up.
+ * Recent intervals between events of answers from one engine. The values measured by several entries can be added.
  *
- * @param events how many events were seen; older ones count for less
- * @param seconds the pauses before them, added up with the same weights
+ * @param events the number of events; older events have a lower weight
+ * @param seconds the sum of the intervals before these events, with the same weights
  */
 public record EventIntervals(double events, double seconds) {
     /** No event was seen. */
     public static final EventIntervals NONE = new EventIntervals(0, 0);
 
-    /** Fewer events say nothing of an engine. */
+    /** Fewer events are not enough to estimate the interval. */
     private static final double MIN_EVENTS = 2;
 
     EventIntervals plus(EventIntervals other) {
@@ -23,7 +23,7 @@
         return new EventIntervals(events * weight, seconds * weight);
     }
 
-    /** Returns the seconds from one event to the next; empty where too few were seen. */
+    /** Returns the average seconds between two events; empty if too few events were seen. */
     public Optional<Double> secondsPerEvent() {
         return events < MIN_EVENTS ? Optional.empty() : Optional.of(seconds / events);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventSize.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EventSize.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * How long an entry has found the events of one service's answers.
+ * The average size of the events in the answers of a service, as measured by one entry.
  *
  * @param service the service
- * @param tokens how many tokens an event has
+ * @param tokensPerEvent how many tokens an event contains
  */
 public record EventSize(String service, double tokensPerEvent) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/GenerationTraits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/GenerationTraits.java
@@ -1,8 +1,8 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * What the model engines of one service can do.
+ * Properties of the model engines of a service.
  *
- * @param cacheTokens how many tokens of running requests and cached prompts an engine's memory holds
+ * @param cacheTokens how many tokens of running requests and cached prompts fit in an engine's memory
  */
 public record GenerationTraits(int cacheTokens) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LearnedSpeed.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LearnedSpeed.java
@@ -3,11 +3,11 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * How fast an entry has found the engines of one service with one role.
+ * The speed of the engines of one service with one role, as measured by one entry.
  *
  * @param service the service
  * @param role the role
- * @param factor how many times longer than the settings say work takes
- * @param fixedSeconds what an answer takes beside its work
+ * @param factor how many times longer work takes than the settings specify
+ * @param fixedSeconds the part of an answer's start-up time that does not depend on its work
  */
 public record LearnedSpeed(String service, EngineRole role, double factor, double fixedSeconds) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswerDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswerDetector.java
@@ -5,27 +5,32 @@
 import java.util.Map;
 
 /**
- * Which services give answers that take so long to tell that their engines cannot compute long prompts beside them.
+ * Detects services whose answers take so long to stream that their engines cannot compute long prompts at the same
+ * time.
  *
- * <p>The load it answers: answers of thousands of tokens that need most of their time even at an engine that does nothing
- * else, beside prompts of thousands of tokens. Between the pieces of such prompts a token took two to three times as long;
- * of the largest tenth of the answers a third was complete at its deadline, and the prompts of a burst were computed no
- * sooner. Short answers do not mind: there, engines for answers compute prompts too when all others are full.
+ * <p>This happens with answers of thousands of tokens that need most of their time even on an otherwise idle engine,
+ * next to prompts of thousands of tokens. While chunks of such prompts were computed in between, a token took two to
+ * three times as long. Of the longest tenth of the answers only a third was complete at its deadline, and the prompts
+ * of a burst were not computed any sooner. Short answers are not affected, so with them decode engines also compute
+ * prompts when all other engines are full.
  */
 final class LongAnswerDetector {
-    /** An answer that takes this part of its time to tell may not be complete in time at half the pace, with its wait. */
+    /**
+     * An answer that streams for this fraction of its allowed time may miss its deadline at half the decode rate,
+     * including its wait.
+     */
     private static final double MIN_TIME_FRACTION = 0.25;
 
-    /** How long one such answer counts: an entry sees a part of them only, and they come in phases of some seconds. */
+    /** How long one such answer counts. An entry sees only some of them, and they come in phases of several seconds. */
     private static final Duration RETENTION = Duration.ofSeconds(10);
 
     private final Map<String, Long> lastSeenAt = new HashMap<>();
 
     /**
-     * Notes how long an answer has been told so far.
+     * Records how long an answer has been streaming so far.
      *
-     * @param told since its first event
-     * @param allowed from its arrival to its deadline
+     * @param streamed time since its first event
+     * @param allowed time from the arrival of the request to its deadline
      */
     void recordStreaming(String service, Duration streamed, Duration allowed, long now) {
         if (streamed.toNanos() > MIN_TIME_FRACTION * allowed.toNanos()) {
@@ -33,7 +38,7 @@
         }
     }
 
-    /** Returns whether the service probably has long answers under way, from this entry or another. */
+    /** Returns whether the service probably has long answers in progress, at this entry or at another one. */
     boolean inProgress(String service, long now) {
         Long seen = lastSeenAt.get(service);
         return seen != null && now - seen < RETENTION.toNanos();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/NextStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/NextStep.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.serving;
 
-/** What is best for the caller after an attempt has ended without an answer. */
+/** What to do after an attempt has ended without an answer. */
 public enum NextStep {
-    /** Another backend server may take the request. */
+    /** Another backend server may run the request. */
     REPEAT,
-    /** The request ran nowhere and will not: the caller is told so, and when to come back. */
+    /** The request has not run and will not run. The caller is informed of that and of when to retry. */
     REFUSE,
-    /** It may have run: the caller is told that its outcome is unknown. */
+    /** The request may have run. The caller is informed that its outcome is unknown. */
     REPORT_UNKNOWN,
-    /** The backend server's own failure is the answer. */
+    /** The failure reported by the backend server is the answer. */
     PASS_FAILURE_ON
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
@@ -6,19 +6,23 @@
 import java.util.Map;
 
 /**
- * What the other entries have placed on the backend servers, as they last said. Confined to one thread.
+ * The load that the other entries have put on the backend servers, according to their latest reports. Confined to one
+ * thread.
  *
- * <p>An entry that sees only its own requests takes a server for idle that others have filled; on calm days half of the
- * long prompts then waited for seconds while other engines had room. Reports may be lost or late: each names the whole
- * part of its sender, so the next one mends it, and a sender that is silent counts for nothing after a while.
+ * <p>An entry that knows only its own requests treats servers as idle that other entries have filled; even on days of
+ * low load, half of the long prompts then waited for seconds although other engines had room. Reports may be lost or
+ * late. Each report contains the complete load of its sender, so the next report corrects a lost one, and a sender that
+ * stops reporting is ignored after a timeout.
  */
 public final class PeerLoads {
-    /** Reports come several times a second; after this time of silence their sender has stopped or is cut off. */
+    /**
+     * Reports arrive several times a second; an entry without a report for this long has stopped or is disconnected.
+     */
     static final Duration REPORT_TIMEOUT = Duration.ofMillis(1500);
 
     private final Map<String, ReceivedReport> reports = new HashMap<>();
 
-    /** Takes a report in; one that was overtaken by a newer one is dropped. */
+    /** Applies a report unless a newer one of the same sender has already been received. */
     public void receive(PeerReport report, long now) {
         ReceivedReport previous = reports.get(report.entry());
         boolean outdated = previous != null
@@ -27,14 +31,14 @@
         if (outdated) {
             return;
         }
-        if (report.leaving()) {
+        if (report.stopping()) {
             reports.remove(report.entry());
             return;
         }
         reports.put(report.entry(), new ReceivedReport(report, now));
     }
 
-    /** Forgets the entries that have been silent for too long. */
+    /** Removes the entries whose last report is older than {@link #REPORT_TIMEOUT}. */
     public void expire(long now) {
         Iterator<ReceivedReport> received = reports.values().iterator();
         while (received.hasNext()) {
@@ -44,7 +48,7 @@
         }
     }
 
-    /** Returns what all others together have placed on a server. */
+    /** Returns the sum of the load of all other entries on a server. */
     public EntryLoad onServer(String server) {
         EntryLoad total = EntryLoad.NONE;
         for (ReceivedReport received : reports.values()) {
@@ -53,18 +57,18 @@
         return total;
     }
 
-    /** Returns whether no other entry has anything on a server. */
+    /** Returns whether no other entry has any load on any server. */
     public boolean idle() {
         return reports.values().stream()
                 .allMatch(received -> received.report().loads().isEmpty());
     }
 
-    /** Returns whether no entry that is heard has a name before the given one. */
+    /** Returns whether the given entry's name sorts before the names of all other active entries. */
     public boolean isFirstByName(String entry) {
         return reports.keySet().stream().allMatch(other -> other.compareTo(entry) > 0);
     }
 
-    /** Returns how many other entries are heard. */
+    /** Returns how many other entries are currently reporting. */
     public int activePeers() {
         return reports.size();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
@@ -5,18 +5,18 @@
 import org.aspenmoor.internal.serving.quarantine.ServerEnd;
 
 /**
- * What another entry said of its own part of the load.
+ * A load report from another entry.
  *
- * @param entry its name
- * @param start tells its starts apart
- * @param sequence grows with each report of one start
- * @param shares its part of the load, by backend server
- * @param prompts the prompts it has placed since its last report
- * @param speeds how fast it has found the engines
- * @param lengths how long it has found the events of answers
- * @param changes the orders to engines that it gave and that are being carried out
- * @param ends the servers that have ended while they had a request
- * @param leaving whether it is stopping
+ * @param entry the sender's name
+ * @param incarnation distinguishes restarts of the sender
+ * @param sequence increases with each report of one incarnation
+ * @param loads the sender's load by backend server
+ * @param prompts the prompts it has assigned since its previous report
+ * @param speeds the engine speeds it has measured
+ * @param eventSizes the event sizes it has measured
+ * @param roleChanges role changes that it has ordered and that are in progress
+ * @param serverTerminations the servers that terminated while they had a request
+ * @param stopping whether the sender is stopping
  */
 public record PeerReport(
         String entry,
@@ -28,7 +28,7 @@
         List<EventSize> eventSizes,
         List<RoleChange> roleChanges,
         List<ServerEnd> serverTerminations,
-        boolean leaving) {
+        boolean stopping) {
     public PeerReport {
         loads = Map.copyOf(loads);
         prompts = List.copyOf(prompts);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Placement.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Placement.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Where a request goes. */
+/** The result of scheduling a request. */
 public sealed interface Placement {
     /**
-     * One server does all of it.
+     * One server handles the complete request.
      *
      * @param server the server
-     * @param holder an engine that probably keeps the shared beginning of the prompt, for the server to fetch it from
-     * @param promptSeconds how long it should work before its answer begins
-     * @param queueSeconds how long the request should wait at the server before that
-     * @param expectedSeconds when the answer should begin, counted from now
+     * @param cacheHolder an engine that probably has the shared prefix of the prompt cached, from which the server can
+     *     transfer it
+     * @param promptSeconds expected work before the answer starts
+     * @param queueSeconds expected wait at the server before that work
+     * @param answerStartSeconds expected time until the answer starts, from now
      */
     record SingleServer(
             BackendServer server,
@@ -23,15 +24,17 @@
             implements Placement {}
 
     /**
-     * One engine computes the prompt; another, chosen once that is done, takes its cache over and generates the answer.
+     * One engine computes the prompt (prefill). A second engine, which is chosen when the prompt is ready, takes over
+     * the cache and generates the answer (decode).
      *
-     * @param prefill the first
-     * @param holder an engine that probably keeps the shared beginning of the prompt, for the first to fetch it from
-     * @param promptSeconds how long the first should compute
-     * @param queueSeconds how long the request should wait at the first before that
-     * @param expectedSeconds when the answer should begin, counted from now
-     * @param ordered whether who goes first was decided at the entry, so that the first engine need not go by ranks: there,
-     *     short prompts of a less urgent kind waited for 0.3 to 1.8 s behind long ones
+     * @param prefill the prefill engine
+     * @param cacheHolder an engine that probably has the shared prefix of the prompt cached, from which the prefill
+     *     engine can transfer it
+     * @param promptSeconds expected time to compute the prompt
+     * @param queueSeconds expected wait at the prefill engine before that
+     * @param answerStartSeconds expected time until the answer starts, from now
+     * @param orderedAtEntry whether the entry has already ordered the requests, so that the prefill engine need not
+     *     order them by priority; when it did, short prompts of a less urgent kind waited 0.3 to 1.8 s behind long ones
      */
     record Disaggregated(
             BackendServer prefill,
@@ -43,24 +46,24 @@
             implements Placement {
         private static final int HIGHEST_PRIORITY = 0;
 
-        /** Returns the rank of the prompt at the first engine, given that of its route. */
+        /** Returns the priority of the prompt at the prefill engine, given the priority of its route. */
         public int promptPriority(int routePriority) {
             return orderedAtEntry ? HIGHEST_PRIORITY : routePriority;
         }
     }
 
     /**
-     * Each engine has as many prompts as it should; the request waits at this entry until one has room.
+     * Each engine has as many prompts as it should have; the request waits at this entry until one has room.
      *
-     * @param promptSeconds how long the engine that needs least for it should compute
+     * @param promptSeconds the shortest time that any engine would need to compute the prompt
      */
     record Queued(double promptSeconds) implements Placement {}
 
     /**
-     * No server can answer in time, or there is none.
+     * No server can answer in time, or no server is available.
      *
      * @param reason one sentence for the log
-     * @param comeBackAfter when it may be better
+     * @param retryAfter after which time a retry may succeed
      */
     record Refused(String reason, Duration retryAfter) implements Placement {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
@@ -11,22 +11,26 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * Chooses the backend server, or the pair of engines, whose answer should begin first. Confined to one thread.
+ * Chooses the backend server, or the pair of engines, whose answer is expected to start first. Confined to one thread.
  *
- * <p>Prompts with the same shared beginning have the same home among the engines in every entry, by a hash weighted with
- * the engines' speed. So their cache fills on one engine without the entries talking to each other, and an engine that
- * leaves moves only its own prompts. Another engine is taken where the home's queue outweighs computing the prompt anew.
+ * <p>Prompts with the same shared prefix have the same preferred engine in every entry, by a hash weighted with the
+ * engines' prefill rates. So their cache fills on one engine without communication between entries, and an engine that
+ * is removed moves only its own prompts. Another engine is chosen if the queue of the preferred engine outweighs
+ * computing the prompt again.
  */
 public final class PlacementPolicy {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** Fewer requests at a server than this are none: what its answers told of its load fades, and never quite to zero. */
-    private static final double MIN_REQUESTS = 0.5;
+    /**
+     * A server with fewer requests than this counts as idle, because the decaying load from its last answer never
+     * reaches zero.
+     */
+    private static final double MIN_BUSY_REQUESTS = 0.5;
 
-    /** Events that an answer tells on average before it leaves an engine that changes its role. */
+    /** Average number of events after which an answer moves away from an engine that changes its role. */
     private static final int MEAN_EVENTS_BEFORE_MOVE = 8;
 
-    /** Prompts kept for the next report, which so stays one datagram; more are only a lost hint. */
+    /** Limit that keeps a report within one datagram; prompts beyond it are only lost hints. */
     private static final int MAX_UNREPORTED_PROMPTS = 24;
 
     private final RandomGenerator random;
@@ -45,12 +49,16 @@
         reload(settings);
     }
 
-    /** Takes changed settings up. */
+    /** Applies changed settings. */
     public void reload(PlacementSettings settings) {
         ranking = new ServerRanking(settings, peerLoads, speeds, longAnswerDetector, random);
     }
 
-    /** Learns of a server, or that what is known of it has changed; cache tokens are above zero where it runs a model. */
+    /**
+     * Adds or updates a server.
+     *
+     * @param cacheTokens the size of its cache in tokens; above zero if it runs a model
+     */
     public void serverChanged(BackendServer server, int cacheTokens) {
         SpeedEstimate speed = speeds.estimateOf(server.service(), server.role());
         ServerEstimate known = estimates.get(server.id());
@@ -61,17 +69,18 @@
         estimates.put(server.id(), new ServerEstimate(server, cacheTokens, speed));
     }
 
-    /** Forgets a server. */
+    /** Removes a server. */
     public void serverRemoved(String id) {
         estimates.remove(id);
     }
 
-    /** Chooses where a request goes. */
+    /** Chooses where a request runs. */
     public Placement choose(PlacementRequest request, long now) {
         List<ServerEstimate> usable = usable(request, now);
         if (usable.isEmpty()) {
             return new Placement.Refused(
-                    "no backend server of " + request.service() + " is known", ServerRanking.NO_SERVER_RETRY_AFTER);
+                    "no backend server of service " + request.service() + " is available",
+                    ServerRanking.NO_SERVER_RETRY_AFTER);
         }
         Placement best = request.prompt().isPresent()
                 ? ranking.chooseEngines(request, request.prompt().get(), usable, now)
@@ -82,16 +91,18 @@
 
     private boolean speedKnown(Placement placement) {
         return switch (placement) {
-            case Placement.SingleServer whole -> estimates.get(whole.server().id()).speedKnown();
-            case Placement.Disaggregated staged -> estimates.get(staged.prefill().id()).speedKnown();
-            case Placement.Queued held -> true;
+            case Placement.SingleServer single ->
+                estimates.get(single.server().id()).speedKnown();
+            case Placement.Disaggregated disaggregated ->
+                estimates.get(disaggregated.prefill().id()).speedKnown();
+            case Placement.Queued queued -> true;
             case Placement.Refused refused -> true;
         };
     }
 
     /**
-     * Chooses the engine that takes a computed prompt over. Computing may take seconds, in which an engine that was chosen
-     * beforehand could have begun to leave; the request would be cut with it.
+     * Chooses the decode engine for a computed prompt. Computing may take seconds, in which an engine that had been
+     * chosen beforehand could start draining; the request would then be interrupted.
      */
     public Optional<BackendServer> chooseDecodeEngine(PlacementRequest request, BackendServer prefill, long now) {
         int tokens = request.prompt().map(Prompt::promptTokens).orElse(0);
@@ -100,25 +111,46 @@
     }
 
     /**
-     * Notes that an attempt begins; the result belongs to the other calls about it.
+     * Records the start of an attempt. The returned object identifies the attempt in later calls.
      *
-     * @param objective within which the answer is on time
+     * @param workSeconds expected work before the answer starts
+     * @param objective time within which the answer is on time
      */
-    public AssignedWork attemptStarted(BackendServer server, WorkKind kind, double workSeconds, Duration objective, long now) {
+    public AssignedWork attemptStarted(
+            BackendServer server, WorkKind kind, double workSeconds, Duration objective, long now) {
         double toleratedWaitSeconds = EntryQueueing.toleratedWaitSeconds(objective);
         ServerEstimate estimate = estimates.get(server.id());
         if (estimate == null) {
             double expectedAnswerSeconds = workSeconds + ServerRanking.DEFAULT_FIXED_SECONDS;
-            return new AssignedWork(server.id(), kind, now, workSeconds, workSeconds, expectedAnswerSeconds, toleratedWaitSeconds, false, false);
+            return new AssignedWork(
+                    server.id(),
+                    kind,
+                    now,
+                    workSeconds,
+                    workSeconds,
+                    expectedAnswerSeconds,
+                    toleratedWaitSeconds,
+                    false,
+                    false);
         }
-        boolean queuedAtEntry = kind != WorkKind.PLAIN && EntryQueueing.applicable(objective, engines(server.service()));
-        double learnedWorkSeconds = workSeconds / EntryQueueing.slowdown(estimate, queuedAtEntry) * estimate.slowdownFromSettings();
+        boolean queuedAtEntry =
+                kind != WorkKind.PLAIN && EntryQueueing.applicable(objective, engines(server.service()));
+        double learnedWorkSeconds =
+                workSeconds / EntryQueueing.slowdown(estimate, queuedAtEntry) * estimate.slowdownFromSettings();
         double fixedSeconds = fixedSeconds(estimate, kind, queuedAtEntry);
         double expectedAnswerSeconds = ranking.waitSeconds(estimate, now) + workSeconds + fixedSeconds;
         boolean longPrompt = kind != WorkKind.PLAIN && EntryQueueing.isLongPrompt(estimate, learnedWorkSeconds);
-        boolean serverIdle = estimate.requests(peerLoads.onServer(server.id()), now) < MIN_REQUESTS;
-        AssignedWork work =
-                new AssignedWork(server.id(), kind, now, workSeconds, learnedWorkSeconds, expectedAnswerSeconds, toleratedWaitSeconds, longPrompt, serverIdle);
+        boolean serverIdle = estimate.requests(peerLoads.onServer(server.id()), now) < MIN_BUSY_REQUESTS;
+        AssignedWork work = new AssignedWork(
+                server.id(),
+                kind,
+                now,
+                workSeconds,
+                learnedWorkSeconds,
+                expectedAnswerSeconds,
+                toleratedWaitSeconds,
+                longPrompt,
+                serverIdle);
         estimate.attemptStarted(work);
         if (kind == WorkKind.PROMPT_ONLY) {
             promptLoadMeter(server.service()).promptSent(workSeconds, queuedAtEntry);
@@ -126,7 +158,7 @@
         return work;
     }
 
-    /** Notes that this entry has placed a prompt at an engine, which will keep it. */
+    /** Records that this entry has assigned a prompt to an engine, which will cache it. */
     public void promptAssigned(BackendServer server, Prompt prompt, long now) {
         AssignedPrompt assigned = new AssignedPrompt(server.id(), prompt.parts());
         promptAssignedByPeer(assigned, now);
@@ -135,7 +167,7 @@
         }
     }
 
-    /** Notes that another entry has placed a prompt at an engine. */
+    /** Records that another entry has assigned a prompt to an engine. */
     public void promptAssignedByPeer(AssignedPrompt assigned, long now) {
         ServerEstimate estimate = estimates.get(assigned.server());
         if (estimate != null) {
@@ -144,7 +176,7 @@
         }
     }
 
-    /** Notes which prompt parts an engine says that it keeps. */
+    /** Records the prompt parts that an engine reports as cached. */
     public void cacheReported(String server, List<PromptPart> parts, long now) {
         ServerEstimate estimate = estimates.get(server);
         if (estimate != null) {
@@ -152,14 +184,14 @@
         }
     }
 
-    /** Returns the prompts that this entry has placed since it was last asked. */
+    /** Returns the prompts that this entry has assigned since the last call. */
     public List<AssignedPrompt> takeUnreportedPrompts() {
         List<AssignedPrompt> taken = List.copyOf(unreportedPrompts);
         unreportedPrompts.clear();
         return taken;
     }
 
-    /** Notes the first byte of an answer. */
+    /** Records the first byte of an answer. */
     public void answerStarted(AssignedWork work, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -173,31 +205,31 @@
         }
     }
 
-    /** Notes a request of a model for an answer that should be whole within some time. */
+    /** Records a request to a model whose answer has to be complete within the allowed time. */
     public void answerRequested(String service, Prompt prompt, Duration allowed, long now) {
         requiredDecodeRate.recordRequest(service, prompt, allowed, now);
     }
 
-    /** Notes that an answer has come to its end with so many events. */
+    /** Records that an answer is complete, and its number of events. */
     public void answerCompleted(String service, Prompt prompt, int events) {
         requiredDecodeRate.recordCompletedAnswer(service, prompt, events);
     }
 
-    /** Returns how long this entry has found the events of answers, as far as it has seen enough. */
+    /** Returns the event sizes that this entry has measured with enough answers. */
     public List<EventSize> eventSizes() {
         return requiredDecodeRate.learnedEventSizes();
     }
 
-    /** Takes in how long another entry has found the events of answers. */
+    /** Applies an event size reported by another entry. */
     public void eventSizeReceived(EventSize peerSize) {
         requiredDecodeRate.learnFromPeer(peerSize);
     }
 
-    /** Notes that an engine has been told to change its role; until it has, nothing new is placed there. */
+    /** Records that an engine was ordered to change its role. Nothing new is assigned to it until it has. */
     public void roleChangeOrdered(RoleChange change, long now) {
         ServerEstimate estimate = estimates.get(change.server());
         if (estimate != null) {
-            estimate.changingRole(change.role(), now);
+            estimate.roleChangeOrdered(change.role(), now);
         }
     }
 
@@ -208,21 +240,25 @@
     }
 
     /**
-     * Returns whether an answer should go on elsewhere now, since its engine is about to answer nobody; to be asked at each
-     * event. Answers leave one by one: all at once they would be read in at the other engines one after the other, and pause
-     * for too long.
+     * Returns whether an answer should move to another engine now because its engine will stop decoding; to be called
+     * at each event. Answers move one by one at random: if all moved at once, the other engines would read them in one
+     * after the other, and their streams would stall for too long.
      */
     public boolean shouldMoveAnswer(AssignedWork work, long now) {
         return mustMoveAnswers(work, now) && random.nextInt(MEAN_EVENTS_BEFORE_MOVE) == 0;
     }
 
-    /** Returns whether the answers of an engine should go on at another one. */
+    /** Returns whether the answers of an engine have to move to another engine. */
     boolean mustMoveAnswers(AssignedWork work, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         return estimate != null && estimate.mustMoveAnswers(now);
     }
 
-    /** Samples how much the prompts of a service press; to be called several times a second. */
+    /**
+     * Samples the prompt load of a service; to be called several times a second.
+     *
+     * @param requestsWaiting whether requests wait at this entry for room at an engine
+     */
     public void samplePromptLoad(String service, boolean requestsWaiting, long now) {
         int prefillEngines = (int) engines(service).stream()
                 .filter(each -> each.server().role() == EngineRole.PREFILL && !each.changingRole(now))
@@ -230,7 +266,7 @@
         promptLoadMeter(service).sample(peerLoads.activePeers() + 1, prefillEngines, requestsWaiting, now);
     }
 
-    /** Returns what the engines of a service do and what is asked of them. */
+    /** Returns the state of the engines of a service and the load on them. */
     public ServiceLoad serviceLoad(String service, long now) {
         List<EngineState> engines = engines(service).stream()
                 .map(each -> each.state(peerLoads.onServer(each.server().id()), now))
@@ -246,7 +282,7 @@
         return promptLoadMeters.computeIfAbsent(service, unseen -> new PromptLoadMeter());
     }
 
-    /** Notes an event of an answer that came so long after the one before it. */
+    /** Records an event of an answer and the interval since the previous event. */
     public void eventReceived(AssignedWork work, Duration interval, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -254,18 +290,18 @@
         }
     }
 
-    /** Returns what runs at a server. */
+    /** Returns the load of a server. */
     public EngineLoad load(String server, long now) {
         ServerEstimate estimate = estimates.get(server);
         return estimate == null ? EngineLoad.UNKNOWN : estimate.load(peerLoads.onServer(server), now);
     }
 
-    /** Notes how long an answer has been told so far, out of the time that its request was allowed. */
+    /** Records how long an answer has been streaming so far, out of the time allowed for its request. */
     public void answerStreaming(String service, Duration streamed, Duration allowed, long now) {
         longAnswerDetector.recordStreaming(service, streamed, allowed, now);
     }
 
-    /** Notes the load that came with an answer. */
+    /** Records the load that a server reported with an answer. */
     public void loadReported(AssignedWork work, ReportedLoad load, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -273,7 +309,9 @@
         }
     }
 
-    /** Returns this entry's own part of the load, for the other entries; servers without any are left out. */
+    /**
+     * Returns this entry's own load by server, to be reported to the other entries; servers without load are omitted.
+     */
     public Map<String, EntryLoad> ownLoads(long now) {
         Map<String, EntryLoad> loads = new HashMap<>();
         estimates.forEach((id, estimate) -> {
@@ -285,36 +323,37 @@
         return loads;
     }
 
-    /** Returns how fast this entry has found the engines, as far as it has seen enough answers. */
+    /** Returns the engine speeds that this entry has measured with enough answers. */
     public List<LearnedSpeed> learnedSpeeds() {
         return speeds.learnedSpeeds();
     }
 
-    /** Takes in how fast another entry has found the engines. */
+    /** Applies an engine speed reported by another entry. */
     public void speedReceived(LearnedSpeed peerSpeed) {
         speeds.learnFromPeer(peerSpeed);
     }
 
-    /** Returns what is believed of each server. */
+    /** Returns a summary of each server. */
     public List<ServerSummary> summaries(long now) {
         return estimates.values().stream()
-                .map(estimate -> estimate.summary(peerLoads.onServer(estimate.server().id()), now))
+                .map(estimate ->
+                        estimate.summary(peerLoads.onServer(estimate.server().id()), now))
                 .toList();
     }
 
-    /** Returns whether the server has begun no answer to this entry since the attempt was placed. */
+    /** Returns whether the server has not started any answer to this entry since the attempt started. */
     public boolean noAnswerSinceStart(AssignedWork work) {
         ServerEstimate estimate = estimates.get(work.server());
         return estimate == null || estimate.lastAnswerAt() < work.startedAtNanos();
     }
 
-    /** Returns whether the server of an attempt has told this entry nothing of any answer since a moment. */
+    /** Returns whether this entry has received no part of any answer from the attempt's server after the given time. */
     public boolean nothingReceivedSince(AssignedWork work, long since) {
         ServerEstimate estimate = estimates.get(work.server());
         return estimate == null || estimate.lastReceivedAt() <= since;
     }
 
-    /** Notes that an attempt is over, in whatever way. */
+    /** Records that an attempt has ended, for whatever reason. */
     public void attemptEnded(AssignedWork work) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -322,7 +361,7 @@
         }
     }
 
-    /** Notes that a server answered with a failure of its own, or that its answer was lost. */
+    /** Records that a server responded with a failure or that its answer was lost. */
     public void attemptFailed(AssignedWork work, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -330,7 +369,7 @@
         }
     }
 
-    /** Notes that a server turned work away without running it. */
+    /** Records that a server rejected work without running it. */
     public void attemptRejected(AssignedWork work, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
@@ -338,7 +377,9 @@
         }
     }
 
-    /** Notes that a server was not there: no connection came about, or another server answered at its address. */
+    /**
+     * Records that a server was unreachable: no connection was established, or another server answered at its address.
+     */
     public void serverUnreachable(AssignedWork work, long now) {
         ServerEstimate estimate = estimates.get(work.server());
         if (estimate != null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementRequest.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * What a placement needs to know of a request.
+ * The properties of a request that its placement depends on.
  *
- * @param service the service it goes to
- * @param prompt its prompt; empty where no model is asked
- * @param timeLeft until nobody waits for the answer any more
- * @param objective within which its answer is on time
- * @param answerBegun whether its caller has got a part of the answer already
- * @param avoided servers that were tried already
- * @param mayStage whether its prompt may be computed elsewhere
- * @param mayWait whether it may wait here for room at an engine
- * @param othersWait whether others wait already, so that a long prompt takes its place among them
+ * @param service the service it is for
+ * @param prompt its prompt; empty if the service runs no model
+ * @param timeLeft time until nobody waits for the answer any more
+ * @param objective time within which the answer is on time
+ * @param answerStarted whether the caller has already received a part of the answer
+ * @param excludedServers servers that have already been tried
+ * @param mayDisaggregate whether its prompt may be computed on another engine than its answer
+ * @param mayQueue whether it may wait at this entry until an engine has room
+ * @param othersQueued whether other requests are already queued, so that a long prompt has to be queued with them
  */
 public record PlacementRequest(
         String service,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementSettings.java
@@ -3,12 +3,12 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 
 /**
- * What placements go by.
+ * Settings of the placement.
  *
- * @param dataCentre where this entry stands
- * @param speed how fast an engine works
- * @param ownPromptShare part of the prefill rate at which an engine for answers computes a prompt itself
- * @param secondsPerMegapair what attention adds for each million pairs of a computed token and one before it
+ * @param dataCentre the data centre of this entry
+ * @param engineSpeed the nominal speed of an engine
+ * @param decodePrefillFraction fraction of the prefill rate at which a decode engine computes a prompt itself
+ * @param attentionSecondsPerMegapair additional attention time per million pairs of a computed token and an earlier one
  */
 public record PlacementSettings(
         String dataCentre, EngineSpeed engineSpeed, double decodePrefillFraction, double attentionSecondsPerMegapair) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
@@ -4,13 +4,13 @@
 import java.util.Optional;
 
 /**
- * What a caller says of the prompt it sends.
+ * What a caller states about the prompt of its request.
  *
  * @param model the model it is for
- * @param promptTokens the whole prompt's length
- * @param mostOutputTokens how many tokens may be generated
- * @param likelyOutputTokens how many tokens its caller expects, often far off
- * @param parts the prompt's parts in order; the last belongs to this request alone
+ * @param promptTokens the length of the complete prompt
+ * @param maxOutputTokens how many tokens may be generated
+ * @param statedOutputTokens how many tokens the caller expects, often far off
+ * @param parts the prompt's parts in order; the last one belongs to this request only
  */
 public record Prompt(
         String model,
@@ -22,12 +22,15 @@
         parts = List.copyOf(parts);
     }
 
-    /** Returns how many tokens its answer is expected to have, no more than may be generated; empty where none said so. */
+    /**
+     * Returns the expected length of the answer, at most the number of tokens that may be generated; empty if the
+     * caller did not state it.
+     */
     public Optional<Integer> expectedOutputTokens() {
         return statedOutputTokens.map(stated -> Math.clamp(stated, 1, Math.max(1, maxOutputTokens)));
     }
 
-    /** Returns the identity that requests with the same shared beginning have in common. */
+    /** Returns an identity that is the same for all requests with the same shared prefix. */
     public String sharedPrefixIdentity() {
         if (parts.isEmpty()) {
             return "";
@@ -36,7 +39,7 @@
         return parts.get(lastShared).identity();
     }
 
-    /** Returns how many tokens of the prompt other requests may share. */
+    /** Returns how many tokens of the prompt may be shared with other requests. */
     public int sharedPrefixTokens() {
         int shared = 0;
         for (int index = 0; index < parts.size() - 1; index++) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -5,17 +5,17 @@
 import org.aspenmoor.internal.dissemination.StableHash;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** What one prompt costs at each of the engines that may take it, given what they keep of it. */
+/** The cost of one prompt on each of the candidate engines, given what they have cached of it. */
 final class PromptCosts {
-    /** Shorter parts are computed about as fast as a transfer is set up. */
+    /** Computing fewer tokens takes about as long as setting up a transfer. */
     private static final int MIN_TRANSFER_TOKENS = 1024;
 
     /** Transfers between data centres take twice as long. */
     private static final double REMOTE_TRANSFER_FACTOR = 2;
 
     /**
-     * Added where a prompt that no engine keeps is computed away from its home, in seconds: entries that meet the same new
-     * prompt at the same moment should not compute it at two engines.
+     * Penalty in seconds for computing a prompt that no engine has cached on an engine other than its preferred one.
+     * Entries that receive the same new prompt at the same moment should not compute it on two engines.
      */
     private static final double NOT_PREFERRED_SECONDS = 0.02;
 
@@ -28,11 +28,13 @@
     private final Optional<CachedPrefix> longestCachedPrefix;
 
     /**
-     * Makes the costs of a prompt at engines, of which there is one at least.
+     * Creates the costs of a prompt.
      *
-     * @param paced whether entries keep the engines' queues short, so that their own speed is what counts
+     * @param engines the candidate engines, at least one
+     * @param queuedAtEntry whether entries keep the engines' queues short, so that only the engines' own speed counts
      */
-    PromptCosts(PlacementSettings settings, Prompt prompt, List<ServerEstimate> engines, boolean queuedAtEntry, long now) {
+    PromptCosts(
+            PlacementSettings settings, Prompt prompt, List<ServerEstimate> engines, boolean queuedAtEntry, long now) {
         this.settings = settings;
         this.prompt = prompt;
         this.queuedAtEntry = queuedAtEntry;
@@ -41,8 +43,8 @@
     }
 
     /**
-     * Returns what an engine has to do for the prompt. Parts that it lacks are fetched from an engine that keeps them:
-     * moving them takes milliseconds, computing them again a tenth of a second and more.
+     * Returns the work of an engine for the prompt. Parts that it lacks are transferred from an engine that has them
+     * cached: a transfer takes milliseconds, computing the parts again a tenth of a second or more.
      */
     EngineWork workAt(ServerEstimate engine) {
         int cached = engine.cache().cachedTokens(prompt);
@@ -52,18 +54,20 @@
             return new EngineWork(computeSeconds(engine, cached) + penaltySeconds, Optional.empty());
         }
         ServerEstimate holder = longestCachedPrefix.orElseThrow().holder();
-        double transferSeconds = transferSeconds(settings, transferred, holder.server().dataCentre(), engine);
+        double transferSeconds =
+                transferSeconds(settings, transferred, holder.server().dataCentre(), engine);
         double computeSeconds = computeSeconds(engine, cached + transferred);
         return new EngineWork(transferSeconds + computeSeconds, Optional.of(holder.server()));
     }
 
-    /** Returns how long moving the cache of so many tokens to an engine takes. */
-    static double transferSeconds(PlacementSettings settings, int tokens, String sourceDataCentre, ServerEstimate to) {
-        double factor = to.server().dataCentre().equals(sourceDataCentre) ? 1 : REMOTE_TRANSFER_FACTOR;
+    /** Returns how long it takes to transfer the cache of the given number of tokens to an engine, in seconds. */
+    static double transferSeconds(
+            PlacementSettings settings, int tokens, String sourceDataCentre, ServerEstimate target) {
+        double factor = target.server().dataCentre().equals(sourceDataCentre) ? 1 : REMOTE_TRANSFER_FACTOR;
         return factor * settings.engineSpeed().handOverSeconds(tokens);
     }
 
-    /** Returns the engine that keeps most of the prompt. */
+    /** Returns the engine that has the longest prefix of the prompt cached. */
     private Optional<CachedPrefix> longestCachedPrefix(List<ServerEstimate> engines, long now) {
         CachedPrefix longest = null;
         for (ServerEstimate engine : engines) {
@@ -78,7 +82,8 @@
     private double computeSeconds(ServerEstimate engine, int cached) {
         double computed = prompt.promptTokens() - cached;
         double megapairs = computed * (cached + computed / 2) / PAIRS_PER_MEGAPAIR;
-        double seconds = settings.engineSpeed().prefillSeconds(computed) + megapairs * settings.attentionSecondsPerMegapair();
+        double seconds =
+                settings.engineSpeed().prefillSeconds(computed) + megapairs * settings.attentionSecondsPerMegapair();
         return seconds * EntryQueueing.slowdown(engine, queuedAtEntry) / prefillRateFraction(engine.server());
     }
 
@@ -86,7 +91,10 @@
         return server.role() == EngineRole.DECODE ? settings.decodePrefillFraction() : 1;
     }
 
-    /** Weighted rendezvous hashing: each engine draws a number that depends only on it and the prompt. */
+    /**
+     * Weighted rendezvous hashing: each engine gets a pseudo-random number that depends only on the engine and the
+     * prompt.
+     */
     private ServerEstimate preferredEngine(List<ServerEstimate> engines) {
         String prefix = prompt.sharedPrefixIdentity();
         ServerEstimate preferred = engines.getFirst();
@@ -104,10 +112,10 @@
     }
 
     /**
-     * What an engine has to do for a prompt.
+     * The work of an engine for a prompt.
      *
-     * @param seconds how long that takes
-     * @param holder the engine to fetch a part of it from
+     * @param seconds how long the work takes
+     * @param cacheHolder the engine to transfer a part of the prompt's cache from; empty if nothing is transferred
      */
     record EngineWork(double seconds, Optional<BackendServer> cacheHolder) {}
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoad.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.serving;
 
-/** How much the prompts of a service press on the engines that compute them. */
+/** How much the prompts of a service load the engines that compute them. */
 public enum PromptLoad {
-    /** One engine less would compute all prompts as well. */
+    /** One engine fewer would be enough to compute all prompts. */
     EASY,
-    /** The engines have enough to do and keep up. */
+    /** The engines are busy and keep up. */
     USUAL,
-    /** More prompts come than are computed. */
+    /** More prompts arrive than are computed. */
     PRESSED
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
@@ -1,27 +1,36 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * Finds how much the prompts of a service lately press on its engines; sampled several times a second.
+ * Measures the recent prompt load on the engines of a service; sampled several times a second.
  *
- * <p>It goes by the work that is sent to the engines, not by what is out there: where answers are lost, requests stay out
- * for seconds and idle engines look busy.
+ * <p>The measure is the work that is sent to the engines, not the number of open requests: if answers are lost,
+ * requests stay open for seconds and idle engines look busy.
  */
 final class PromptLoadMeter {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** About the last second and a half counts: a lull between two bursts does not, and a burst does at once. */
+    /**
+     * Averages over about the last one and a half seconds: long enough to ignore a pause between two bursts, short
+     * enough to follow the start of a burst.
+     */
     private static final double AVERAGING_SECONDS = 1.5;
 
-    /** With less of their time taken, one engine less of four still has a third of its time free. */
+    /**
+     * Below this utilisation, three of four engines could compute all prompts and still have a third of their time
+     * free.
+     */
     private static final double EASY_UTILISATION = 0.5;
 
-    /** Requests waited at the entry in this part of the samples: the engines cannot take what comes. */
+    /** If requests wait at the entry in more than this fraction of the samples, the engines cannot keep up. */
     private static final double PRESSED_WAITING_FRACTION = 0.2;
 
-    /** Requests waited in so few samples that engines have room. */
+    /** If requests wait in less than this fraction of the samples, the engines have room. */
     private static final double EASY_WAITING_FRACTION = 0.1;
 
-    /** An entry that has just started does not know yet; until it does, nobody takes an engine from the prompts. */
+    /**
+     * Starts high because an entry that has just started does not know the load; until it does, no engine is taken from
+     * the prompts.
+     */
     private double utilisation = 2;
 
     private double waitingFraction;
@@ -30,10 +39,11 @@
     private long sampledAt;
 
     /**
-     * Notes a prompt that this entry sends to an engine.
+     * Records a prompt that this entry sends to an engine.
      *
      * @param seconds how long the engine computes it
-     * @param waitsHere whether it would wait at the entry where no engine has room; else queues at engines hide what comes
+     * @param mayQueueAtEntry whether it would wait at the entry if no engine had room; otherwise queues at the engines
+     *     hide the load
      */
     void promptSent(double seconds, boolean mayQueueAtEntry) {
         sentSeconds += seconds;
@@ -41,7 +51,7 @@
     }
 
     /**
-     * Takes what was sent since the last sample.
+     * Adds a sample of the work that was sent since the previous one.
      *
      * @param entries how many entries send as much as this one
      * @param engines how many engines compute prompts
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptPart.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptPart.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * One part of a prompt; requests that begin with the same parts share their computed cache.
+ * One part of a prompt. Requests that begin with the same parts share their computed cache.
  *
  * @param identity the same for the same text
  * @param tokens its length
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
@@ -3,25 +3,32 @@
 import java.time.Duration;
 
 /**
- * Which requests are refused at once because they would wait at a server for too long.
+ * Refuses requests at once that would wait too long at a server.
  *
- * <p>The load it answers: for seconds or minutes, half as many requests again as engines can compute, or twice as many.
- * Queues that are limited by the deadlines alone grow until every answer begins just before its deadline; most of them
- * late, many not at all, and engines compute for callers who are gone. With a queue of about the objective, engines are as
- * busy, those who are taken are served on time, and the others hear so while they can still come back.
+ * <p>For seconds or minutes, requests may arrive at one and a half times or twice the rate that engines can compute.
+ * Queues that are limited only by the deadlines then grow until every answer starts just before its deadline: most
+ * answers are late, many never complete, and engines compute for callers that have left. With queues of about the
+ * objective, engines are just as busy, accepted requests are answered on time, and the other callers are refused while
+ * they still have time to retry.
  */
 final class QueueLimit {
-    /** The longest queue, in objectives. With one, engines idle after a burst while refused callers are away. */
-    private static final double MAX_OBJECTIVES = 1.5;
+    /**
+     * The maximum queue as a multiple of the objective. With 1, engines are idle after a burst until refused callers
+     * retry.
+     */
+    private static final double MAX_QUEUE_OBJECTIVES = 1.5;
 
-    /** Part of its own work by which a prompt may wait less: a long one queues only where few would wait behind it. */
+    /**
+     * Fraction of a prompt's own work by which its maximum wait is reduced, so that a long prompt is queued only where
+     * few requests would wait behind it.
+     */
     private static final double OWN_WORK_FRACTION = 0.5;
 
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     private QueueLimit() {}
 
-    /** Returns the placement, or a refusal where it cannot answer in time or the queue is too long. */
+    /** Returns the placement, or a refusal if it cannot answer in time or the queue is too long. */
     static Placement applyTo(Placement placement, PlacementRequest request) {
         return switch (placement) {
             case Placement.SingleServer single -> {
@@ -30,31 +37,43 @@
             }
             case Placement.Disaggregated disaggregated -> {
                 double maxQueueSeconds = maxQueueSeconds(request, disaggregated.promptSeconds());
-                yield limit(disaggregated, disaggregated.queueSeconds(), maxQueueSeconds, disaggregated.answerStartSeconds(), request);
+                yield limit(
+                        disaggregated,
+                        disaggregated.queueSeconds(),
+                        maxQueueSeconds,
+                        disaggregated.answerStartSeconds(),
+                        request);
             }
             case Placement.Queued queued -> queued;
             case Placement.Refused refused -> refused;
         };
     }
 
-    /** An answer that has begun is not broken off for the sake of others. */
+    /** An answer that has started is not interrupted in favour of other requests. */
     private static double maxQueueSeconds(PlacementRequest request, double promptSeconds) {
         if (request.answerStarted() || request.prompt().isEmpty()) {
             return Double.MAX_VALUE;
         }
         double objective = request.objective().toNanos() / NANOSECONDS_PER_SECOND;
-        return Math.max(0, MAX_OBJECTIVES * objective - OWN_WORK_FRACTION * promptSeconds);
+        return Math.max(0, MAX_QUEUE_OBJECTIVES * objective - OWN_WORK_FRACTION * promptSeconds);
     }
 
     private static Placement limit(
-            Placement placement, double queueSeconds, double maxQueueSeconds, double answerStartSeconds, PlacementRequest request) {
+            Placement placement,
+            double queueSeconds,
+            double maxQueueSeconds,
+            double answerStartSeconds,
+            PlacementRequest request) {
         double secondsLeft = request.timeLeft().toNanos() / NANOSECONDS_PER_SECOND;
         if (answerStartSeconds > secondsLeft) {
-            String reason = String.format("the answer would begin in %.2f s and %.2f s are left", answerStartSeconds, secondsLeft);
+            String reason = String.format(
+                    "the answer would start in %.2f s but only %.2f s are left", answerStartSeconds, secondsLeft);
             return new Placement.Refused(reason, duration(Math.max(queueSeconds, answerStartSeconds - secondsLeft)));
         }
         if (queueSeconds > maxQueueSeconds) {
-            String reason = String.format("%.2f s of work wait at the least busy server, %.2f s may", queueSeconds, maxQueueSeconds);
+            String reason = String.format(
+                    "%.2f s of work are queued at the chosen server, the limit is %.2f s",
+                    queueSeconds, maxQueueSeconds);
             return new Placement.Refused(reason, duration(queueSeconds));
         }
         return placement;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** The largest of the values that were noted within the last ten to twenty seconds. */
+/** The maximum of the values recorded within the last ten to twenty seconds. */
 final class RecentMaximum {
     private static final long SPAN_NANOSECONDS = Duration.ofSeconds(10).toNanos();
 
@@ -15,7 +15,7 @@
         currentMaximum = Math.max(currentMaximum, value);
     }
 
-    /** Returns the largest value; zero where none was noted lately. */
+    /** Returns the maximum, or zero if no value was recorded recently. */
     double maximum(long now) {
         rotate(now);
         return Math.max(currentMaximum, previousMaximum);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ReportedLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ReportedLoad.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * What a backend server said of its load with an answer.
+ * The load that a backend server reported with an answer.
  *
- * @param running requests it works on
+ * @param running requests that are being processed
  * @param waiting requests that wait for a slot
- * @param slots how many it works on at once
+ * @param slots how many requests the server processes concurrently
  */
 public record ReportedLoad(int running, int waiting, int slots) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestDeadlines.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestDeadlines.java
@@ -4,9 +4,15 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Until when a request's answer is on time, wanted, and allowed; all in nanoseconds of the steady clock. */
+/**
+ * The times at which a request's answer is due: for its objective, for the caller to keep waiting, and at the latest.
+ * All are in nanoseconds of the monotonic clock.
+ */
 public final class RequestDeadlines {
-    /** Callers differ in patience by a sixth; who brings less of the route's time than this, in percent, was here before. */
+    /**
+     * A caller that allows less than this percentage of the route's timeout is treated as a retry; the wait limits of
+     * first attempts differ by a sixth.
+     */
     private static final int MIN_FIRST_ATTEMPT_PERCENT = 75;
 
     private final long arrivedAt;
@@ -15,11 +21,11 @@
     private final long objectiveDeadline;
 
     /**
-     * Makes the times of a request.
+     * Creates the deadlines of a request.
      *
      * @param arrivedAt when it arrived
-     * @param patience how long its caller said it would wait
-     * @param route where it goes
+     * @param waitLimit how long its caller stated it would wait
+     * @param route its route
      */
     public RequestDeadlines(long arrivedAt, Optional<Duration> waitLimit, Route route) {
         this.arrivedAt = arrivedAt;
@@ -27,9 +33,12 @@
         Duration allowed =
                 waitLimit.filter(time -> time.compareTo(route.timeout()) < 0).orElse(route.timeout());
         this.deadline = arrivedAt + allowed.toNanos();
-        Duration minAllowed = route.timeout().multipliedBy(MIN_FIRST_ATTEMPT_PERCENT).dividedBy(100);
-        Duration alreadyUsed = allowed.compareTo(minAllowed) < 0 ? route.timeout().minus(allowed) : Duration.ZERO;
-        this.objectiveDeadline = arrivedAt + route.objective().minus(alreadyUsed).toNanos();
+        Duration minAllowed =
+                route.timeout().multipliedBy(MIN_FIRST_ATTEMPT_PERCENT).dividedBy(100);
+        Duration alreadyUsed =
+                allowed.compareTo(minAllowed) < 0 ? route.timeout().minus(allowed) : Duration.ZERO;
+        this.objectiveDeadline =
+                arrivedAt + route.objective().minus(alreadyUsed).toNanos();
     }
 
     /** Returns when the request arrived. */
@@ -37,29 +46,29 @@
         return arrivedAt;
     }
 
-    /** Returns until when the request may be kept waiting for its end. */
+    /** Returns when the request has to be finished. */
     public long deadline() {
         return deadline;
     }
 
-    /** Returns how long the request may take. */
+    /** Returns the time from the arrival of the request to its deadline. */
     public Duration allowed() {
         return Duration.ofNanos(deadline - arrivedAt);
     }
 
     /**
-     * Returns until when the answer must begin to be on time. A caller that comes back after a refusal has less time than
-     * the route allows; what is gone of it is gone of the objective too.
+     * Returns when the answer has to start to be on time. A caller that retries after a refusal has less time left than
+     * the route allows; the time it has already used is subtracted from the objective too.
      */
     public long objectiveDeadline() {
         return objectiveDeadline;
     }
 
     /**
-     * Returns until when the caller waits for something to come. Counted from the arrival also where the answer had begun,
-     * a long stream whose engine was lost could not be continued any more, and was cut.
+     * Returns until when the caller waits for the next part of the answer. If this were counted from the arrival after
+     * the answer had started, a long stream whose engine was lost could not be continued and would be interrupted.
      *
-     * @param lastEventAt when the caller last got something
+     * @param lastEventAt when the caller last received an event
      */
     public long callerWaitsUntil(OptionalLong lastEventAt) {
         long lastSentAt = lastEventAt.orElse(arrivedAt);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequiredDecodeRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequiredDecodeRate.java
@@ -8,42 +8,49 @@
 import java.util.Optional;
 
 /**
- * How fast engines have to generate for the longest answers that callers expect to be whole at their deadline.
+ * Estimates the decode rate that engines need so that the longest answers are complete at their deadline.
  *
- * <p>The load it answers: answers of very different lengths under one deadline. An engine that serves the usual one well
- * may be too slow for each of the longest, which then run to their deadline for nothing.
+ * <p>Answers under one deadline vary widely in length. An engine that is fast enough for a typical answer may be too
+ * slow for each of the longest ones, which then use engine time until their deadline without completing.
  */
 final class RequiredDecodeRate {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** Weight of one more answer in how many tokens an event has: callers' expectations are often far off. */
+    /** Minimum weight of a new answer in the estimated tokens per event; callers' estimates are often far off. */
     private static final double MIN_LEARNING_WEIGHT = 0.05;
 
-    /** One answer counts as no more than this many times longer or shorter than expected. */
+    /** A single answer counts as at most this many times longer or shorter than estimated. */
     private static final double MAX_RATIO = 4;
 
-    /** Answers of fewer events say little of how many tokens an event has. */
+    /** Answers with fewer events are too short to estimate the tokens per event. */
     private static final int MIN_EVENTS = 5;
 
-    /** So many answers show the tokens of an event within a third; an entry gets that many in the first seconds. */
+    /**
+     * After this many answers the tokens per event are known to within a third. An entry sees that many within its
+     * first seconds.
+     */
     private static final int MIN_ANSWERS = 3;
 
     private final Map<String, ServiceAnswers> services = new HashMap<>();
 
-    /** Notes a request for an answer that should be whole within some time. */
+    /** Records a request whose answer has to be complete within the allowed time. */
     void recordRequest(String service, Prompt prompt, Duration allowed, long now) {
         double seconds = allowed.toNanos() / NANOSECONDS_PER_SECOND;
-        prompt.expectedOutputTokens().ifPresent(tokens -> answersOf(service).requestedTokensPerSecond.add(tokens / seconds, now));
+        prompt.expectedOutputTokens()
+                .ifPresent(tokens -> answersOf(service).requestedTokensPerSecond.add(tokens / seconds, now));
     }
 
-    /** Notes a whole answer. */
+    /** Records a complete answer and its number of events. */
     void recordCompletedAnswer(String service, Prompt prompt, int events) {
         if (events >= MIN_EVENTS) {
             prompt.expectedOutputTokens().ifPresent(tokens -> answersOf(service).learn((double) tokens / events));
         }
     }
 
-    /** Returns the seconds from one event to the next at which the longest answers are whole; empty until it is known. */
+    /**
+     * Returns the longest interval between events, in seconds, at which the longest answers are still complete in time;
+     * empty if too few answers have been seen or no recent request stated an expected length.
+     */
     Optional<Double> requiredEventSeconds(String service, long now) {
         ServiceAnswers answers = answersOf(service);
         double tokensPerSecond = answers.requestedTokensPerSecond.maximum(now);
@@ -51,7 +58,7 @@
         return known ? Optional.of(answers.tokensPerEvent / tokensPerSecond) : Optional.empty();
     }
 
-    /** Returns what is known well enough to tell others. */
+    /** Returns the event sizes that are based on enough answers to be reported to other entries. */
     List<EventSize> learnedEventSizes() {
         List<EventSize> sizes = new ArrayList<>();
         services.forEach((service, answers) -> {
@@ -62,7 +69,10 @@
         return sizes;
     }
 
-    /** Takes in what another entry has found; one that has just started goes by it. */
+    /**
+     * Adopts an event size from another entry if this entry does not have an estimate of its own yet, for example just
+     * after it started.
+     */
     void learnFromPeer(EventSize peerSize) {
         if (!answersOf(peerSize.service()).known()) {
             answersOf(peerSize.service()).adopt(peerSize.tokensPerEvent());
@@ -90,7 +100,9 @@
         void learn(double observedTokensPerEvent) {
             answers++;
             double weight = Math.max(MIN_LEARNING_WEIGHT, 1.0 / answers);
-            double ratio = answers == 1 ? observedTokensPerEvent : Math.clamp(observedTokensPerEvent / tokensPerEvent, 1 / MAX_RATIO, MAX_RATIO);
+            double ratio = answers == 1
+                    ? observedTokensPerEvent
+                    : Math.clamp(observedTokensPerEvent / tokensPerEvent, 1 / MAX_RATIO, MAX_RATIO);
             tokensPerEvent *= Math.pow(ratio, weight);
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
@@ -4,16 +4,19 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * This entry's part of the repeated arrivals that all entries together may cause at one service.
+ * This entry's part of the retries that all entries together may cause at one service.
  *
- * <p>When engines fail or are full, repeating every request multiplies the load on those that are left and nothing
- * recovers. One would see arrivals grow while answers fall. All entries share one bound without asking each other: a
- * share of the requests each sees itself, plus an even part of the fixed slack. With too high a number of entries
- * assumed, less is repeated than allowed; with one too low, the fixed part is exceeded by that factor at most, against
- * which {@link RetryAllowance#SAFETY_FACTOR} stands.
+ * <p>If engines fail or are full, retrying every request multiplies the load on the remaining ones, and the service
+ * does not recover: arrivals grow while the number of answers falls. All entries share one bound without coordination.
+ * Each may use a fraction of the requests that it receives itself, plus an equal part of the fixed slack. If the
+ * assumed number of entries is too high, fewer retries are made than allowed; if it is too low, the fixed part is
+ * exceeded by at most that factor, for which {@link #SAFETY_FACTOR} leaves a margin.
  */
 public final class RetryAllowance {
-    /** Part of the bound that is used; the rest covers uneven callers and a number of entries that lags behind. */
+    /**
+     * Fraction of the bound that is used; the rest covers unevenly distributed callers and an outdated number of
+     * entries.
+     */
     static final double SAFETY_FACTOR = 0.6;
 
     private static final int BUCKETS = 10;
@@ -27,12 +30,12 @@
     private long currentBucket;
 
     /**
-     * Makes an allowance.
+     * Creates an allowance.
      *
      * @param time the clock
-     * @param ratio repeats for each request, over all entries
-     * @param slack repeats in each window beyond that, over all entries
-     * @param window how far back requests and repeats count
+     * @param ratio retries per request, over all entries
+     * @param slack additional retries per window, over all entries
+     * @param window how long requests and retries count
      */
     public RetryAllowance(TimeSource time, double ratio, double slack, Duration window) {
         this.time = time;
@@ -42,13 +45,17 @@
         this.currentBucket = time.monotonicNanoseconds() / bucketNanoseconds;
     }
 
-    /** Notes a request for the service. */
+    /** Records a request to the service. */
     public void recordRequest() {
         advance();
         requests[index(currentBucket)]++;
     }
 
-    /** Takes one repeat, given how many entries share the slack. */
+    /**
+     * Takes one retry from the allowance and returns true, or returns false if the allowance is used up.
+     *
+     * @param entries how many entries share the slack
+     */
     public boolean tryTakeRetry(int entries) {
         advance();
         double maxRetries = SAFETY_FACTOR * (ratio * sum(requests) + slack / Math.max(1, entries));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryRule.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryRule.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.serving;
 
-/** What may happen to a request whose first run had no usable end. */
+/** Whether a request may run again if its first run did not end with a usable answer. */
 public enum RetryRule {
-    /** It is idempotent: another backend server may run it again. */
+    /** The request is idempotent: another backend server may run it again. */
     REPEATABLE,
-    /** It may run once at most. */
+    /** The request may run at most once. */
     AT_MOST_ONCE,
-    /** Its answer is a stream that another engine may continue after the last event that arrived. */
+    /** The answer is a stream that another engine can continue after the last event that arrived. */
     RESUMABLE
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RoleChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RoleChange.java
@@ -3,9 +3,9 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * An order to an engine that has been accepted and not yet carried out.
+ * An accepted order to change an engine's role that has not been carried out yet.
  *
- * @param server the engine's identity
- * @param role the role that it will have
+ * @param server the engine's id
+ * @param role its new role
  */
 public record RoleChange(String server, EngineRole role) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Route.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Route.java
@@ -4,19 +4,19 @@
 import java.util.List;
 
 /**
- * Where requests of one host and path prefix go, and what is promised for them.
+ * Routing rule for the requests of one host and path prefix, with the limits that apply to them.
  *
  * @param name its name
- * @param host the host that callers name, in lower case
- * @param pathPrefix what the path begins with
- * @param repeatRule whether a request may run more than once
+ * @param host the host named by callers, in lower case
+ * @param pathPrefix the prefix of the path
+ * @param retryRule whether a request may run more than once
  * @param streamed whether the answer is a stream of events
- * @param timeout how long a request may be kept waiting for its answer
- * @param objective within which an answer is on time; for a stream, its first event
- * @param longestSilence after how long without anything callers leave; no shorter than the timeout where they do not
- * @param mostBackends how many backend servers may run one request
- * @param priority the rank among kinds of request; 0 goes first
- * @param targets the services it leads to; more than one while traffic is split
+ * @param timeout how long a request may wait for its complete answer
+ * @param objective time within which an answer is on time; for a stream, its first event
+ * @param callerIdleTimeout time without any data after which callers leave; at least the timeout if they do not
+ * @param maxBackends how many backend servers may run one request
+ * @param priority the priority among kinds of request; 0 is the highest
+ * @param targets the services that requests are routed to; more than one if traffic is split
  */
 public record Route(
         String name,
@@ -34,7 +34,11 @@
         targets = List.copyOf(targets);
     }
 
-    /** Returns the service of a request, by a number drawn evenly from 0 to 1. */
+    /**
+     * Returns the service for a request.
+     *
+     * @param uniform a random number, evenly distributed from 0 to 1
+     */
     public String serviceFor(double uniform) {
         int totalWeight = targets.stream().mapToInt(RouteTarget::weight).sum();
         double remaining = uniform * totalWeight;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RouteTarget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RouteTarget.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * One service that a route leads to.
+ * A service that a route leads to.
  *
  * @param service its name
- * @param weight its share of the route's requests, compared with the other targets' weights
+ * @param weight its fraction of the route's requests, relative to the weights of the other targets
  */
 public record RouteTarget(String service, int weight) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
@@ -6,38 +6,48 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * What this entry believes of one backend server: its own requests there, what the other entries and the server's answers
- * told, and its health.
+ * What this entry knows or estimates about one backend server: its own requests there, what other entries and the
+ * server's answers reported, and its health.
  */
 final class ServerEstimate {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** Half-life of the load that came with an answer; that of a busy server changes within about a second. */
+    /** Half-life of the load reported with an answer; the load of a busy server changes within about a second. */
     private static final double HALF_LIFE_SECONDS = 1.0;
 
-    /** Weight of one more answer in what is believed of a server's speed. */
+    /** Weight of a new answer in the slowdown estimated from delays. */
     private static final double DELAY_WEIGHT = 0.1;
 
-    /** Part of what an answer says that is put down to the one engine; all with its role learn from it too. */
+    /**
+     * Fraction of a speed correction that is attributed to the individual engine; all engines with its role learn from
+     * the answer too.
+     */
     private static final double OWN_CORRECTION_FRACTION = 0.5;
 
-    /** Weight of one more hand-over in what they take here: a link turns slow from one moment to the next. */
+    /** Weight of a new handoff in the average of this server; a link can become slow from one moment to the next. */
     private static final double HANDOFF_WEIGHT = 0.3;
 
-    /** Weight of one more long prompt in what they usually take: about the last twenty count. */
+    /** Weight of a new long prompt in the typical duration; about the last twenty count. */
     private static final double PROMPT_WEIGHT = 0.05;
 
-    /** An engine with less work before it is idle by the time at which a request gets there, in seconds. */
+    /** An engine with less queued work than this, in seconds, is idle by the time a request reaches it. */
     private static final double MAX_IDLE_WAIT_SECONDS = 0.005;
 
-    /** A server is not taken for slower than this, so that it gets enough work to show that it has recovered. */
+    /** The slowdown is limited so that a server gets enough work to show that it has recovered. */
     private static final double MAX_SLOWDOWN = 6;
 
-    /** Answers that were expected sooner say more of the way there than of the server's speed. */
+    /**
+     * Minimum expected time for the slowdown; shorter times are dominated by the network rather than by the server's
+     * speed.
+     */
     private static final double MIN_EXPECTED_SECONDS = 0.02;
 
-    /** An engine that has not changed its role after this time was not told, or cannot; it is used again. */
-    private static final long MAX_ROLE_CHANGE_NANOSECONDS = Duration.ofSeconds(20).toNanos();
+    /**
+     * An engine that has not changed its role within this time did not receive the order or cannot follow it, and is
+     * used again.
+     */
+    private static final long MAX_ROLE_CHANGE_NANOSECONDS =
+            Duration.ofSeconds(20).toNanos();
 
     private final ServerHealth health = new ServerHealth();
     private final CacheEstimate cache = new CacheEstimate();
@@ -53,7 +63,10 @@
     private int outstanding;
     private double unansweredSeconds;
     private SpeedEstimate speed;
-    /** At the speed of the settings, so that a process that has just started need not learn it with the speed. */
+    /**
+     * Measured at the speed of the settings, so that a process that has just started does not have to learn it together
+     * with the speed.
+     */
     private double typicalPromptSeconds;
 
     private double handoffSeconds;
@@ -65,7 +78,11 @@
     private long roleChangeStartedAt = Long.MIN_VALUE;
     private EngineRole targetRole = EngineRole.WHOLE;
 
-    /** Makes a belief; the speed is what is known of all servers of the service with the same role. */
+    /**
+     * Creates an estimate.
+     *
+     * @param speed the speed of all servers of the service with the same role
+     */
     ServerEstimate(BackendServer server, int cacheTokens, SpeedEstimate speed) {
         update(server, cacheTokens, speed);
     }
@@ -74,7 +91,12 @@
         return server;
     }
 
-    /** Takes what the server says of itself; cache tokens are above zero where it runs a model. */
+    /**
+     * Applies a registration of the server.
+     *
+     * @param newCacheTokens the size of its cache in tokens; above zero if it runs a model
+     * @param newSpeed the speed of all servers of the service with the same role
+     */
     void update(BackendServer newServer, int newCacheTokens, SpeedEstimate newSpeed) {
         if (server != null && server.role() != newServer.role()) {
             roleChangeStartedAt = Long.MIN_VALUE;
@@ -101,58 +123,60 @@
         return lastAnswerAt;
     }
 
-    /** Returns when the server last told this entry anything of an answer. */
+    /** Returns when this entry last received any part of an answer from the server. */
     long lastReceivedAt() {
         return Math.max(lastAnswerAt, lastEventAt);
     }
 
-    /** Returns how many times longer than the others with its role the server takes. */
+    /** Returns how many times longer the server takes than the others with its role. */
     double slowdown() {
         return slowdown;
     }
 
-    /** Returns how many times longer than the settings say the server takes. */
+    /** Returns how many times longer the server takes than the settings specify. */
     double slowdownFromSettings() {
         return runsModel() ? slowdown * speed.factor() : slowdown;
     }
 
     /**
-     * Returns how many times longer than expected answers begin here, with whatever they wait for. Where engines order their
-     * queues themselves, this is what tells of the work that nobody has reported.
+     * Returns how many times longer than expected it takes until answers start, including all waits. If engines order
+     * their queues themselves, this is the only sign of work that has not been reported to this entry.
      */
     double delaySlowdown() {
         return delaySlowdown;
     }
 
-    /** Returns how long this entry's long prompts usually keep an engine busy; zero until one was sent there. */
+    /**
+     * Returns how long a long prompt of this entry typically occupies the engine, in seconds; zero until one was sent.
+     */
     double typicalPromptSeconds() {
         return typicalPromptSeconds * slowdownFromSettings();
     }
 
-    /** Returns whether the speed of an engine was learnt from enough answers. */
+    /** Returns whether the engine's speed was learned from enough answers. */
     boolean speedKnown() {
         return speed.known();
     }
 
-    /** Returns what an answer of an engine takes beside its work. */
+    /** Returns the part of an answer's start-up time that does not depend on its work, in seconds. */
     double fixedSeconds() {
         return speed.fixedSeconds();
     }
 
-    /** Notes that the server has been told to take another role; nothing follows where it has that role already. */
-    void changingRole(EngineRole role, long now) {
+    /** Records that the server was ordered to change its role; ignored if it already has that role. */
+    void roleChangeOrdered(EngineRole role, long now) {
         if (server.role() != role && !changingRole(now)) {
             roleChangeStartedAt = now;
             targetRole = role;
         }
     }
 
-    /** Returns whether the server is changing its role and takes nothing new. */
+    /** Returns whether the server is changing its role and accepts nothing new. */
     boolean changingRole(long now) {
         return roleChangeStartedAt != Long.MIN_VALUE && now - roleChangeStartedAt < MAX_ROLE_CHANGE_NANOSECONDS;
     }
 
-    /** Returns whether the server will answer nobody, so that its answers should go on elsewhere. */
+    /** Returns whether the server will stop decoding, so that its answers have to move to another engine. */
     boolean mustMoveAnswers(long now) {
         return changingRole(now) && targetRole == EngineRole.PREFILL;
     }
@@ -161,34 +185,35 @@
         return new EngineState(server, load(others, now), slowdown, changingRole(now));
     }
 
-    /** Notes an event of an answer that came so long after the one before it. */
+    /** Records an event of an answer and the interval since the previous event. */
     void eventReceived(double intervalSeconds, long now) {
         lastEventAt = now;
         eventIntervalMeter.recordEvent(intervalSeconds, now);
     }
 
-    /** Returns what runs at the server, given what the other entries have there. */
+    /** Returns the load of the server, given the load of the other entries there. */
     EngineLoad load(EntryLoad others, long now) {
         return new EngineLoad(
-                requests(others, now), eventIntervalMeter.intervals(now).plus(others.eventIntervals()).secondsPerEvent());
+                requests(others, now),
+                eventIntervalMeter.intervals(now).plus(others.eventIntervals()).secondsPerEvent());
     }
 
-    /** Notes that the server turned work away without running it. */
+    /** Records that the server rejected work without running it. */
     void attemptRejected(AssignedWork work, long now) {
         if (computesPrompt(work)) {
             promptWindow.promptRejected(now);
         }
     }
 
-    /** Notes how long the server took to take a computed prompt over and begin its answer. */
+    /** Records how long the server took from the start of a handoff to the start of the answer. */
     void handoffCompleted(double seconds, long now) {
         handoffSeconds += HANDOFF_WEIGHT * (seconds - handoffSeconds);
         handoffMeasuredAt = now;
     }
 
     /**
-     * Returns how long taking a computed prompt over takes here, given what it takes elsewhere. An engine whose link has
-     * turned slow shows in nothing else; what it took is forgotten within seconds, so that it is tried again.
+     * Returns how long a handoff to this server takes, given the typical time for its service. A slow link of an engine
+     * shows in nothing else. The measured time decays within seconds, so that the engine is tried again.
      */
     double handoffSeconds(double typicalSeconds, long now) {
         if (handoffMeasuredAt == Long.MIN_VALUE) {
@@ -198,15 +223,17 @@
     }
 
     /**
-     * Returns whether one more prompt of this entry would not wait for long. An engine that no entry has work at has room,
-     * whatever was learnt from its queue before; kept from it, requests would wait while it is idle.
+     * Returns whether one more prompt of this entry would not wait long. An engine without work from any entry has room
+     * whatever its previous queue was; otherwise requests would wait while it is idle.
      */
     boolean hasRoom(EntryLoad others, long now) {
-        boolean idle = promptWindow.isEmpty() && !promptWindow.recentlyRejected(now) && waitSeconds(others, now) < MAX_IDLE_WAIT_SECONDS;
+        boolean idle = promptWindow.isEmpty()
+                && !promptWindow.recentlyRejected(now)
+                && waitSeconds(others, now) < MAX_IDLE_WAIT_SECONDS;
         return idle || promptWindow.hasRoom(now);
     }
 
-    /** Returns this entry's own part of the load. */
+    /** Returns the load of this entry on the server. */
     EntryLoad ownLoad(long now) {
         return new EntryLoad(unansweredSeconds, outstanding, eventIntervalMeter.intervals(now));
     }
@@ -218,11 +245,12 @@
         if (work.longPrompt()) {
             promptWindow.promptSent();
             double weight = typicalPromptSeconds == 0 ? 1 : PROMPT_WEIGHT;
-            typicalPromptSeconds += weight * (work.learnedWorkSeconds() / slowdownFromSettings() - typicalPromptSeconds);
+            typicalPromptSeconds +=
+                    weight * (work.learnedWorkSeconds() / slowdownFromSettings() - typicalPromptSeconds);
         }
     }
 
-    /** Notes the first byte of the answer to a piece of work. */
+    /** Records the first byte of the answer to an attempt. */
     void answerStarted(AssignedWork work, long now) {
         lastAnswerAt = now;
         if (!unanswered.contains(work)) {
@@ -237,13 +265,14 @@
         removeUnanswered(work);
     }
 
-    /** What is left of an answer's time after its start and its own work was spent in the engine's queue. */
+    /** The time until the answer started, minus its fixed part and its own work, was spent in the engine's queue. */
     private void promptComputed(AssignedWork work, double tookSeconds, long now) {
         double waitedSeconds = tookSeconds - speed.fixedSeconds() - work.learnedWorkSeconds();
         if (work.longPrompt()) {
             promptWindow.promptComputed(work.startedAtNanos(), now, waitedSeconds, work.toleratedWaitSeconds());
         }
-        SpeedEstimate.Correction correction = speed.observe(work.learnedWorkSeconds(), tookSeconds, work.serverWasIdle());
+        SpeedEstimate.Correction correction =
+                speed.observe(work.learnedWorkSeconds(), tookSeconds, work.serverWasIdle());
         delaySlowdown = updatedDelaySlowdown(delaySlowdown, work, tookSeconds);
         double corrected = correction.scaled(OWN_CORRECTION_FRACTION).applyTo(slowdown);
         slowdown = Math.clamp(corrected, 1 / MAX_SLOWDOWN, MAX_SLOWDOWN);
@@ -270,15 +299,15 @@
         outstandingAtReport = outstanding;
     }
 
-    /** Returns the requests at the server, given what the other entries have there. */
+    /** Returns the number of requests at the server, given the load of the other entries there. */
     double requests(EntryLoad others, long now) {
         double reportedByServer = Math.max(0, reportedLoad.running() + reportedLoad.waiting() - outstandingAtReport);
         return outstanding + Math.max(others.requests(), reportedByServer * decay(now - reportedAt));
     }
 
     /**
-     * Returns how long a new request probably waits before the server turns to it. An engine computes prompts one after
-     * the other; a plain server works in all its slots.
+     * Returns how long a new request probably waits before the server processes it, in seconds. An engine computes
+     * prompts one after the other; a plain server works in all its slots.
      */
     double waitSeconds(EntryLoad others, long now) {
         double queuedSeconds = (unansweredSeconds + others.unansweredSeconds()) / parallelism;
@@ -298,7 +327,7 @@
                 cache.tokens());
     }
 
-    /** A server that has stopped answering shows first in the age of its oldest unanswered request. */
+    /** A server that stops answering is first detected by the age of its oldest unanswered request. */
     private double overdueSeconds(long now) {
         AssignedWork oldest = unanswered.peekFirst();
         if (oldest == null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
@@ -3,11 +3,12 @@
 import java.time.Duration;
 
 /**
- * What the ends of attempts say of one backend server: how long it is left alone, and how often it fails.
+ * The health of one backend server, derived from the ends of attempts: how long it is paused, and how often it fails.
  *
- * <p>A server that crashed, or that fails requests while it calls itself healthy, answers fastest of all and looks
- * idle. Placing by load alone would send it the most; callers would see a burst of failures. Each failure in a row
- * doubles a pause, and an even share of failures lowers its rank without excluding it.
+ * <p>A server that has crashed, or that fails requests while it reports itself as healthy, responds fastest of all and
+ * looks idle. Scheduling by load alone would send it most of the requests, and callers would see a burst of failures.
+ * Each consecutive failure doubles a pause, and a constant fraction of failures lowers the server's rank without
+ * excluding it.
  */
 final class ServerHealth {
     /** First pause after a connection could not be opened; about the time in which a crashed server is reported. */
@@ -17,7 +18,7 @@
     private static final int MAX_DOUBLINGS = 4;
     private static final int CONSECUTIVE_FAILURES_BEFORE_PAUSE = 3;
 
-    /** Weight of one more answer in the failure share: about the last ten answers count. */
+    /** Weight of a new answer in the failure fraction; about the last ten answers count. */
     private static final double FAILURE_WEIGHT = 0.1;
 
     private int consecutiveUnreachable;
@@ -32,7 +33,7 @@
         failureFraction -= FAILURE_WEIGHT * failureFraction;
     }
 
-    /** The server answered with a failure of its own, or its answer was lost. */
+    /** Records that the server responded with a failure, or that its answer was lost. */
     void failed(long now) {
         consecutiveUnreachable = 0;
         failureFraction += FAILURE_WEIGHT * (1 - failureFraction);
@@ -42,13 +43,13 @@
         }
     }
 
-    /** The server does other work now; that it turned requests away before says nothing of it any more. */
+    /** Records that the server has a new role, which makes earlier rejections irrelevant. */
     void roleChanged() {
         consecutiveUnreachable = 0;
         pausedUntil = Long.MIN_VALUE;
     }
 
-    /** No connection came about, or the server at the address is another one. */
+    /** Records that no connection was established, or that another server answered at the address. */
     void unreachable(long now) {
         failureFraction += FAILURE_WEIGHT * (1 - failureFraction);
         pause(now, consecutiveUnreachable);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerSummary.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerSummary.java
@@ -1,17 +1,17 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * What this entry believes of one backend server, for operators.
+ * What this entry knows or estimates about one backend server, for operators.
  *
  * @param server the server as it registered itself
  * @param waitSeconds how long a new request probably waits there
- * @param load what runs there
- * @param ownRequests requests there of this entry
- * @param slowness how many times longer than expected it takes
- * @param failureShare part of its last answers that were failures
- * @param changing whether it has been told to take another role
- * @param paused whether it is left alone after failures
- * @param cachedTokens prompt tokens that it probably keeps
+ * @param load its load
+ * @param ownRequests requests of this entry at the server
+ * @param slowdown how many times longer than expected it takes
+ * @param failureFraction fraction of its recent answers that were failures
+ * @param changingRole whether it has been ordered to change its role
+ * @param paused whether it gets no requests after failures
+ * @param cachedTokens prompt tokens that it has probably cached
  */
 public record ServerSummary(
         BackendServer server,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceLoad.java
@@ -4,14 +4,16 @@
 import java.util.Optional;
 
 /**
- * What the engines of one service do and what is asked of them.
+ * The state of the engines of one service and the load on them.
  *
- * @param name its name
- * @param engines all of them
- * @param neededPace the seconds from one event to the next at which the longest answers are whole in time
- * @param prompts how much prompts press
+ * @param name the service's name
+ * @param engines all engines of the service
+ * @param requiredEventSeconds the longest interval between events at which the longest answers are complete in time;
+ *     empty if unknown
+ * @param promptLoad how much prompts load the engines
  */
-public record ServiceLoad(String name, List<EngineState> engines, Optional<Double> requiredEventSeconds, PromptLoad promptLoad) {
+public record ServiceLoad(
+        String name, List<EngineState> engines, Optional<Double> requiredEventSeconds, PromptLoad promptLoad) {
     public ServiceLoad {
         engines = List.copyOf(engines);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceTraits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServiceTraits.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * What all backend servers of one service have in common.
+ * Properties that all backend servers of one service have in common.
  *
  * @param name the service's name
- * @param mostConnections how many connections one backend server accepts from all callers together
- * @param generation what its model engines can do; empty where the service runs no model
+ * @param maxConnections how many connections one backend server accepts from all callers together
+ * @param generation properties of its model engines; empty if the service runs no model
  */
 public record ServiceTraits(String name, int maxConnections, Optional<GenerationTraits> generation) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServingConfiguration.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServingConfiguration.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of what the operator wants served; immutable. */
+/** One version of the operator's configuration of routes and services; immutable. */
 public final class ServingConfiguration {
     private final long version;
     private final Map<String, List<Route>> routesByHost = new HashMap<>();
@@ -35,27 +35,26 @@
         }
     }
 
-    /** Returns the number that grows with each change. */
+    /** Returns the version number, which increases with each change. */
     public long version() {
         return version;
     }
 
-    /** Returns what callers' connections may do. */
+    /** Returns the limits on callers' connections. */
     public ConnectionLimits limits() {
         return limits;
     }
 
-    /** Returns how many routes there are. */
     public int routeCount() {
         return routeCount;
     }
 
-    /** Returns what is declared of a service. */
+    /** Returns the declared properties of a service. */
     public Optional<ServiceTraits> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
-    /** Returns the route of the host with the longest prefix that begins the path. */
+    /** Returns the route of the host with the longest prefix that matches the path. */
     public Optional<Route> match(String host, String path) {
         List<Route> ofHost = routesByHost.get(host.toLowerCase(Locale.ROOT));
         if (ofHost == null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/SpeedEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/SpeedEstimate.java
@@ -1,56 +1,62 @@
 package org.aspenmoor.internal.serving;
 
 /**
- * How fast engines of one role work, learnt from when their answers began.
+ * Estimates the speed of engines with one role from when their answers started.
  *
- * <p>The load it answers: engines several times as fast as the settings say, or as slow. Taken for slow, engines with room
- * looked full, and callers were refused while a prompt took 20 ms; taken for fast, callers waited past their deadline.
+ * <p>Engines may be several times faster or slower than the settings specify. If fast engines are treated as slow,
+ * engines with room look full and callers are refused although a prompt takes 20 ms; if slow engines are treated as
+ * fast, callers wait past their deadline.
  *
- * <p>What an answer took is a fixed part, a wait and its own work. Waits are known badly, as other entries send work too.
- * So a lone prompt tells the speed, and a prompt in a queue tells only that its own work took no longer than all of it.
+ * <p>The time until an answer starts consists of a fixed part, a wait and the work itself. Waits are not known exactly,
+ * because other entries send work too. So only a prompt on an idle engine shows the speed; a prompt in a queue shows
+ * only that its own work took no longer than the total time.
  */
 final class SpeedEstimate {
-    /** Until answers are seen, in seconds: scheduling, the first step and the way there and back. */
+    /**
+     * Fixed part until answers have been measured, in seconds: scheduling, the first step and the network round trip.
+     */
     private static final double INITIAL_FIXED_SECONDS = 0.035;
 
-    /** Weight of an answer that was quicker than its own work was expected to be: about the last ten count. */
+    /** Minimum weight of an answer that was faster than its expected work; about the last ten count. */
     private static final double MIN_FASTER_WEIGHT = 0.1;
 
-    /** Weight of a slower answer where nothing else was known at the engine; another entry may have been first. */
+    /** Weight of a slower answer from an engine that seemed idle; work of another entry may have come first. */
     private static final double SLOWER_WEIGHT = 0.03;
 
-    /** One answer counts as no more than this many times slower or quicker than expected. */
+    /** A single answer counts as at most this many times slower or faster than expected. */
     private static final double MAX_RATIO = 3;
 
-    /** Engines a hundred times quicker or slower than the settings say are taken for a mistake in the settings. */
+    /** Larger deviations from the settings, in either direction, are treated as an error in the settings. */
     private static final double MAX_FACTOR = 100;
 
-    /** Weight of what another entry has found in what is known; each sees only a part of the answers. */
+    /**
+     * Weight of a speed reported by another entry once the speed is known; each entry sees only some of the answers.
+     */
     private static final double PEER_WEIGHT = 0.01;
 
-    /** A fixed part of an answer beyond a second is a fault, not a speed. */
+    /** A fixed part of more than a second is a fault, not a speed. */
     private static final double MAX_FIXED_SECONDS = 1;
 
-    /** So many long prompts have shown the speed well enough to refuse callers by it. */
+    /** After this many long prompts the speed is known well enough to refuse callers on its basis. */
     private static final int MIN_OBSERVATIONS = 10;
 
     private double factor = 1;
     private int observations;
     private double fixedSeconds = INITIAL_FIXED_SECONDS;
 
-    /** Returns how many times longer than the settings say work takes. */
+    /** Returns how many times longer work takes than the settings specify. */
     double factor() {
         return factor;
     }
 
-    /** Returns what an answer takes beside its work. */
+    /** Returns the part of an answer's start-up time that does not depend on its work, in seconds. */
     double fixedSeconds() {
         return fixedSeconds;
     }
 
     /**
-     * Takes in what another entry has found. An entry that has just started goes by it: with the settings' speed it would
-     * fill the queues of engines that are slower, or refuse callers whom quicker ones could serve.
+     * Applies an estimate reported by another entry. An entry that has just started adopts it: with the speed of the
+     * settings it would fill the queues of engines that are slower, or refuse callers that faster engines could serve.
      */
     void learnFromPeer(double peerFactor, double peerFixedSeconds) {
         double weight = known() ? PEER_WEIGHT : 1;
@@ -59,17 +65,18 @@
         observations = Math.max(observations, MIN_OBSERVATIONS);
     }
 
-    /** Returns whether enough answers were seen to refuse callers by it; a process that has just started has none. */
+    /** Returns whether enough answers were seen to refuse callers on the basis of this estimate; initially false. */
     boolean known() {
         return observations >= MIN_OBSERVATIONS;
     }
 
     /**
-     * Notes an answer.
+     * Records the start of an answer.
      *
-     * @param workSeconds its own work, as expected
-     * @param tookSeconds from the sending to the answer
-     * @param alone whether nothing else was known at the engine
+     * @param workSeconds its expected work
+     * @param tookSeconds time from sending the request to the start of the answer
+     * @param engineWasIdle whether no other work was known at the engine
+     * @return the correction to apply to estimates of the individual engine
      */
     Correction observe(double workSeconds, double tookSeconds, boolean engineWasIdle) {
         if (workSeconds < fixedSeconds / 2) {
@@ -95,15 +102,15 @@
     }
 
     /**
-     * What one answer says of a speed.
+     * The correction of a speed by one answer.
      *
      * @param ratio how many times longer than expected the work took
-     * @param weight how much that counts
+     * @param weight the weight of the correction
      */
     record Correction(double ratio, double weight) {
         static final Correction NONE = new Correction(1, 0);
 
-        /** Returns a correction that counts for a part of this one. */
+        /** Returns a correction with a fraction of the weight. */
         Correction scaled(double fraction) {
             return new Correction(ratio, weight * fraction);
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -11,37 +11,44 @@
 import java.util.function.ToLongFunction;
 
 /**
- * The requests of one service that wait at this entry because no engine has room: who of them goes next, and who is told
- * at once that it will not be served.
+ * The requests of one service that wait at this entry because no engine has room. Decides which request is dispatched
+ * next and which are refused at once because they cannot be served.
  *
- * <p>The load it answers: for some seconds, one and a half to three times as many prompts come as engines can compute.
- * First come first served makes all of them late by a little, and those of the seconds after as well. Here as many as can
- * be on time go first, the others whenever there is room left; among either, short prompts go before long ones that came
- * a little earlier, so that more callers are served. Who has no chance by the line's own pace is refused at once, and may
- * come back when the burst is over.
+ * <p>For some seconds, one and a half to three times as many prompts may arrive as engines can compute. In
+ * first-come-first-served order all of them would be slightly late, and so would those of the following seconds.
+ * Instead, requests that can be on time are dispatched first and the others when there is room left. Within each group,
+ * short prompts precede long ones that arrived slightly earlier, so that more callers are served. A request that cannot
+ * be served in time at the current dispatch rate is refused at once, and its caller may retry when the burst is over.
  *
  * @param <T> a request
  */
 public final class WaitQueue<T> {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    /** Weight of one more answer in what an answer usually takes: about the last twenty count. */
+    /** Weight of a new answer in the typical answer time; about the last twenty count. */
     private static final double ANSWER_TIME_WEIGHT = 0.05;
 
-    /** Until answers are seen, in seconds: some tens of milliseconds for the prompt and the first token each. */
+    /**
+     * Answer time until answers have been measured, in seconds: some tens of milliseconds each for the prompt and the
+     * first token.
+     */
     private static final double INITIAL_ANSWER_SECONDS = 0.1;
 
-    /** Weight of one more departure in the pace of the line: a burst brings that many within a second. */
+    /**
+     * Weight of a new dispatch in the dispatch interval; about the last ten count, as many as a burst brings within a
+     * second.
+     */
     private static final double DISPATCH_INTERVAL_WEIGHT = 0.1;
 
     /**
-     * A request lets others go first that came up to so many times its own computing later. Without it, the longest tenth
-     * of the prompts, which takes a third of the engines' time, makes several callers late for each one that it serves;
-     * with far more, the longest would never go while a burst lasts.
+     * A request yields to shorter ones that arrived later, by up to this many times the difference in computing time.
+     * Without this, the longest tenth of the prompts, which takes a third of the engines' time, makes several callers
+     * late for each one that it serves; with a far higher weight, the longest prompts would never be dispatched during
+     * a burst.
      */
     private static final double WORK_WEIGHT = 50;
 
-    /** The same for requests that are late already, counted from their deadlines. */
+    /** The same weight for requests that are already late, which are ordered by their deadlines. */
     private static final double LATE_WORK_WEIGHT = 100;
 
     private final List<QueuedRequest<T>> queued = new ArrayList<>();
@@ -50,7 +57,7 @@
     private double dispatchIntervalSeconds;
     private long lastDispatchAt = Long.MIN_VALUE;
 
-    /** Takes a request in. */
+    /** Adds a request to the queue. */
     public void add(QueuedRequest<T> request) {
         if (queued.isEmpty()) {
             lastDispatchAt = Long.MIN_VALUE;
@@ -58,22 +65,26 @@
         queued.add(request);
     }
 
-    /** Drops a request that waits no longer; nothing happens where it does not wait. */
+    /** Removes a request; does nothing if it is not queued. */
     public void remove(T request) {
         queued.removeIf(each -> each.request().equals(request));
     }
 
-    /** Returns how many requests wait. */
     public int size() {
         return queued.size();
     }
 
-    /** Notes how long an answer took from its departure to its first byte. */
+    /** Records how long an answer took from dispatch to its first byte. */
     public void answerStarted(double answerSeconds) {
         typicalAnswerSeconds += ANSWER_TIME_WEIGHT * (answerSeconds - typicalAnswerSeconds);
     }
 
-    /** Notes that a request that should be answered by some time left for an engine; the pace counts while others wait. */
+    /**
+     * Records that a request was dispatched to an engine. The dispatch interval is only measured while other requests
+     * wait.
+     *
+     * @param objectiveDeadline when its answer has to start to be on time
+     */
     public void dispatched(long objectiveDeadline, long now) {
         if (!canBeOnTime(objectiveDeadline, now)) {
             lateDispatches.add(now);
@@ -88,7 +99,7 @@
         lastDispatchAt = now;
     }
 
-    /** Returns who goes next and takes it out of the line. */
+    /** Removes and returns the request to be dispatched next. */
     public Optional<QueuedRequest<T>> takeNext(long now) {
         Optional<QueuedRequest<T>> next = queued.stream()
                 .filter(each -> canBeOnTime(each.objectiveDeadline(), now))
@@ -98,13 +109,13 @@
         return next;
     }
 
-    /** Takes those out of the line that cannot be answered before their deadline at the pace of the line. */
+    /** Removes and returns the requests that cannot be answered before their deadline at the current dispatch rate. */
     public List<T> takeUnservable(long now) {
         List<QueuedRequest<T>> late = lateRequests(now);
         late.sort(byTime(WaitQueue::lateRank));
-        // At the begin of a burst no late one has left yet, and most bursts are over before their deadlines: so late
-        // ones
-        // may count on all departures, or on more where more of them left lately.
+        // At the start of a burst no late request has been dispatched yet, and most bursts end before the deadlines of
+        // late requests. So the estimate uses the overall dispatch rate, or the recent rate of late dispatches if that
+        // is higher.
         double lateIntervalSeconds = dispatchIntervalSeconds;
         double lateDispatchesPerSecond = lateDispatches.perSecond(now);
         if (lateDispatchesPerSecond > 0) {
@@ -125,12 +136,12 @@
     }
 
     /**
-     * Gives up those that have no chance, and sends others on as long as there is room. Whoever is sent on and finds none
-     * comes back into the line.
+     * Refuses the requests that cannot be served and dispatches others as long as there is room. A dispatched request
+     * that finds no room has to be added again.
      *
-     * @param clock the steady clock, in nanoseconds
-     * @param giveUp told of each that is given up, and after how long it may come back
-     * @param sendOn told of each whose turn it is
+     * @param clock the monotonic clock, in nanoseconds
+     * @param refuse called with each refused request and the time after which it may be retried
+     * @param dispatch called with each request that is dispatched
      */
     public void dispatchAndRefuse(LongSupplier clock, BiConsumer<T, Duration> refuse, Consumer<T> dispatch) {
         Duration retryAfter = Duration.ofNanos((long) (drainSeconds() * NANOSECONDS_PER_SECOND));
@@ -142,18 +153,20 @@
         }
     }
 
-    /** Returns after how long the line is probably empty. */
+    /** Returns the expected time until the queue is empty, in seconds. */
     double drainSeconds() {
         return queued.size() * dispatchIntervalSeconds;
     }
 
-    /** Returns those that will not be on time, by the pace of the line. */
+    /** Returns the requests that will not be on time at the current dispatch rate. */
     private List<QueuedRequest<T>> lateRequests(long now) {
         List<QueuedRequest<T>> late = new ArrayList<>();
         int ahead = 0;
         queued.sort(byTime(WaitQueue::rank));
         for (QueuedRequest<T> each : queued) {
-            if (canBeOnTime(each.objectiveDeadline(), now + (long) (ahead * dispatchIntervalSeconds * NANOSECONDS_PER_SECOND))) {
+            if (canBeOnTime(
+                    each.objectiveDeadline(),
+                    now + (long) (ahead * dispatchIntervalSeconds * NANOSECONDS_PER_SECOND))) {
                 ahead++;
             } else {
                 late.add(each);
@@ -162,12 +175,12 @@
         return late;
     }
 
-    /** Returns the moment by which a request that can be on time is ordered among its like. */
+    /** Returns the sort key of a request that can be on time, in nanoseconds; the lowest is dispatched first. */
     private static long rank(QueuedRequest<?> each) {
         return each.arrivedAt() + (long) (WORK_WEIGHT * each.promptSeconds() * NANOSECONDS_PER_SECOND);
     }
 
-    /** Returns the moment by which a late request is ordered among its like. */
+    /** Returns the sort key of a late request, in nanoseconds; the lowest is dispatched first. */
     private static long lateRank(QueuedRequest<?> each) {
         return each.deadline() + (long) (LATE_WORK_WEIGHT * each.promptSeconds() * NANOSECONDS_PER_SECOND);
     }
@@ -181,13 +194,14 @@
     }
 
     /**
-     * One request that waits; times are in nanoseconds of the steady clock.
+     * A queued request; times are in nanoseconds of the monotonic clock.
      *
      * @param request the request
      * @param promptSeconds how long an engine computes its prompt
-     * @param arrivedAt when it came
-     * @param aimAt until when its answer must begin to be on time
-     * @param deadlineAt until when its answer must begin at all
+     * @param arrivedAt when it arrived
+     * @param objectiveDeadline when its answer has to start to be on time
+     * @param deadline when its answer has to start at the latest
      */
-    public record QueuedRequest<T>(T request, double promptSeconds, long arrivedAt, long objectiveDeadline, long deadline) {}
+    public record QueuedRequest<T>(
+            T request, double promptSeconds, long arrivedAt, long objectiveDeadline, long deadline) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WorkKind.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WorkKind.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.serving;
 
-/** What a server does before its answer to an attempt begins. */
+/** The work that a server does for an attempt before its answer starts. */
 public enum WorkKind {
-    /** A plain server works on the request. */
+    /** A plain server processes the request. */
     PLAIN,
-    /** An engine computes the prompt for another one. */
+    /** An engine computes the prompt for another engine. */
     PROMPT_ONLY,
-    /** An engine computes the prompt and answers. */
+    /** An engine computes the prompt and generates the answer. */
     WHOLE,
-    /** An engine takes a computed prompt over and answers. */
+    /** An engine takes over a computed prompt and generates the answer. */
     HANDOFF
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadFollower.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadFollower.java
@@ -43,7 +43,9 @@
     public Optional<RoleMove> move(ServiceLoad service) {
         looksSinceChange++;
         boolean changing = service.engines().stream().anyMatch(EngineState::changingRole);
-        if (changing || looksSinceChange < LEAST_LOOKS || service.requiredEventSeconds().isEmpty()) {
+        if (changing
+                || looksSinceChange < LEAST_LOOKS
+                || service.requiredEventSeconds().isEmpty()) {
             return Optional.empty();
         }
         List<EngineState> answering = with(EngineRole.DECODE, service);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
@@ -33,7 +33,7 @@
                 .setEntry(report.entry())
                 .setStart(report.incarnation())
                 .setSequence(report.sequence())
-                .setLeaving(report.leaving());
+                .setLeaving(report.stopping());
         report.loads()
                 .forEach((server, share) -> message.addShares(PeerLoad.Share.newBuilder()
                         .setServer(server)
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -103,7 +103,7 @@
         group.next()
                 .submit(() -> old.tell(Map.of(), List.of(), List.of(), List.of(), List.of(), List.of(), true))
                 .sync();
-        assertTrue(heardByNew.poll(PATIENCE_SECONDS, TimeUnit.SECONDS).leaving());
+        assertTrue(heardByNew.poll(PATIENCE_SECONDS, TimeUnit.SECONDS).stopping());
     }
 
     @Test
