--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/AttemptTrackerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/AttemptTrackerTest.java
@@ -9,57 +9,57 @@
 import org.testng.annotations.Test;
 
 public class AttemptTrackerTest {
-    private static final int SCHEDULES = 20_000;
-    private static final int STEPS = 6;
+    private static final int SEQUENCES = 20_000;
+    private static final int MAX_ATTEMPTS = 6;
 
     @Test
-    public void should_refuse_truthfully_while_no_server_was_reached() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
+    public void should_refuse_when_no_server_was_reached() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
 
-        assertEquals(account.stepWithoutRetry(), NextStep.REFUSE);
-        account.attemptStarted();
-        assertEquals(account.attemptEnded(new AttemptEnd.NeverSent()), NextStep.REPEAT);
-        assertEquals(account.stepWithoutRetry(), NextStep.REFUSE);
+        assertEquals(tracker.stepWithoutRetry(), NextStep.REFUSE);
+        tracker.attemptStarted();
+        assertEquals(tracker.attemptEnded(new AttemptEnd.NeverSent()), NextStep.REPEAT);
+        assertEquals(tracker.stepWithoutRetry(), NextStep.REFUSE);
     }
 
-    // A booking reaches a server and the connection breaks before the answer. Were the caller told that it has not run,
-    // it would book again and the narrator would be paid twice.
+    // A non-idempotent request reaches a server and the connection breaks before the answer. If the caller were
+    // informed that the request has not run, it would send it again and the request could run twice.
     @Test
-    public void should_never_call_a_lost_booking_not_run() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 3);
-        account.attemptStarted();
+    public void should_report_unknown_when_a_non_idempotent_request_was_lost() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 3);
+        tracker.attemptStarted();
 
-        assertEquals(account.attemptEnded(new AttemptEnd.Lost()), NextStep.REPORT_UNKNOWN);
-        assertEquals(account.stepWithoutRetry(), NextStep.REPORT_UNKNOWN);
-        assertTrue(account.mayHaveRun());
+        assertEquals(tracker.attemptEnded(new AttemptEnd.Lost()), NextStep.REPORT_UNKNOWN);
+        assertEquals(tracker.stepWithoutRetry(), NextStep.REPORT_UNKNOWN);
+        assertTrue(tracker.mayHaveRun());
     }
 
-    // The time of a request runs out while a server has it; the server may still run it.
+    // The deadline of a request expires while a server has it; the server may still run it.
     @Test
-    public void should_count_an_open_attempt_as_possibly_run() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
-        account.attemptStarted();
+    public void should_report_unknown_while_an_attempt_is_open() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
+        tracker.attemptStarted();
 
-        assertEquals(account.stepWithoutRetry(), NextStep.REPORT_UNKNOWN);
+        assertEquals(tracker.stepWithoutRetry(), NextStep.REPORT_UNKNOWN);
     }
 
-    // Engines turn requests away after their prompts were computed, and each prompt is computed again for the next try.
-    // Were
-    // that free, a fleet in trouble would get a multiple of its load and recover late.
+    // Engines reject requests after their prompts were computed, and each prompt is computed again for the next
+    // attempt. If that did not count as a retry, overloaded engines would receive a multiple of their load and recover
+    // late.
     @Test
-    public void should_count_all_but_the_first_computed_prompt_as_repeats() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
-        account.promptComputed();
-        assertFalse(account.nextIsRetry());
-
-        account.attemptStarted();
-        account.attemptEnded(new AttemptEnd.Misdirected());
-        assertTrue(account.nextIsRetry());
-        assertFalse(account.mayHaveRun());
+    public void should_count_all_but_the_first_computed_prompt_as_retries() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
+        tracker.promptComputed();
+        assertFalse(tracker.nextIsRetry());
+
+        tracker.attemptStarted();
+        tracker.attemptEnded(new AttemptEnd.Misdirected());
+        assertTrue(tracker.nextIsRetry());
+        assertFalse(tracker.mayHaveRun());
     }
 
     @Test
-    public void should_count_a_prompt_that_an_engine_did_not_compute_as_an_arrival() {
+    public void should_count_a_rejected_prompt_as_an_arrival() {
         AttemptTracker neverSent = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
         neverSent.promptFailed(new AttemptEnd.NeverSent());
         AttemptTracker rejected = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
@@ -71,41 +71,41 @@
     }
 
     @Test
-    public void should_repeat_an_idempotent_request_up_to_its_servers() {
-        AttemptTracker account = new AttemptTracker(RetryRule.REPEATABLE, 2);
-        account.attemptStarted();
-        assertEquals(account.attemptEnded(new AttemptEnd.Lost()), NextStep.REPEAT);
-        account.attemptStarted();
-        assertEquals(account.attemptEnded(new AttemptEnd.Lost()), NextStep.REPORT_UNKNOWN);
+    public void should_retry_an_idempotent_request_up_to_the_maximum_number_of_servers() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.REPEATABLE, 2);
+        tracker.attemptStarted();
+        assertEquals(tracker.attemptEnded(new AttemptEnd.Lost()), NextStep.REPEAT);
+        tracker.attemptStarted();
+        assertEquals(tracker.attemptEnded(new AttemptEnd.Lost()), NextStep.REPORT_UNKNOWN);
     }
 
     @Test
-    public void should_pass_the_failure_of_a_request_on_that_may_run_once() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 2);
-        account.attemptStarted();
+    public void should_pass_the_failure_on_when_the_request_may_run_only_once() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 2);
+        tracker.attemptStarted();
 
-        assertEquals(account.attemptEnded(new AttemptEnd.Failed()), NextStep.PASS_FAILURE_ON);
+        assertEquals(tracker.attemptEnded(new AttemptEnd.Failed()), NextStep.PASS_FAILURE_ON);
     }
 
     @Test
-    public void should_count_only_arrivals_as_repeats() {
-        AttemptTracker account = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
-        account.attemptStarted();
-        account.attemptEnded(new AttemptEnd.NeverSent());
-        assertFalse(account.nextIsRetry());
-        account.attemptStarted();
-        account.attemptEnded(new AttemptEnd.NotExecuted());
-        assertTrue(account.nextIsRetry());
+    public void should_count_only_attempts_that_arrived_as_retries() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.AT_MOST_ONCE, 1);
+        tracker.attemptStarted();
+        tracker.attemptEnded(new AttemptEnd.NeverSent());
+        assertFalse(tracker.nextIsRetry());
+        tracker.attemptStarted();
+        tracker.attemptEnded(new AttemptEnd.NotExecuted());
+        assertTrue(tracker.nextIsRetry());
     }
 
     @Test
-    public void should_give_up_after_several_servers_that_take_nothing() {
-        AttemptTracker account = new AttemptTracker(RetryRule.REPEATABLE, 9);
+    public void should_refuse_after_several_servers_have_rejected_the_request() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.REPEATABLE, 9);
         NextStep last = NextStep.REPEAT;
         int attempts = 0;
         while (last == NextStep.REPEAT) {
-            account.attemptStarted();
-            last = account.attemptEnded(new AttemptEnd.NotExecuted());
+            tracker.attemptStarted();
+            last = tracker.attemptEnded(new AttemptEnd.NotExecuted());
             attempts++;
         }
         assertEquals(last, NextStep.REFUSE);
@@ -113,35 +113,34 @@
     }
 
     @Test
-    public void should_not_take_two_attempts_at_once() {
-        AttemptTracker account = new AttemptTracker(RetryRule.REPEATABLE, 2);
-        account.attemptStarted();
+    public void should_reject_a_second_attempt_while_one_is_open() {
+        AttemptTracker tracker = new AttemptTracker(RetryRule.REPEATABLE, 2);
+        tracker.attemptStarted();
 
-        assertThrows(IllegalStateException.class, () -> account.attemptStarted());
+        assertThrows(IllegalStateException.class, () -> tracker.attemptStarted());
     }
 
-    // Servers crash, refuse and lose answers in any order. Whatever comes, a booking reaches at most one server that
-    // may
-    // run it, and "not run" is only said where none has.
+    // Servers crash, reject requests and lose answers in any order. A request that may run only once must reach at most
+    // one server that may run it, and "not run" must only be reported if no server has run it.
     @Test
-    public void should_keep_its_promises_under_any_schedule() {
+    public void should_limit_runs_and_refuse_only_what_has_not_run_for_any_sequence_of_ends() {
         Random random = new Random(7);
-        for (int schedule = 0; schedule < SCHEDULES; schedule++) {
+        for (int sequence = 0; sequence < SEQUENCES; sequence++) {
             RetryRule rule = RetryRule.values()[random.nextInt(RetryRule.values().length)];
-            int mostBackends = 1 + random.nextInt(3);
-            AttemptTracker account = new AttemptTracker(rule, mostBackends);
-            int mayHaveRun = 0;
+            int maxBackends = 1 + random.nextInt(3);
+            AttemptTracker tracker = new AttemptTracker(rule, maxBackends);
+            int possibleRuns = 0;
             NextStep step = NextStep.REPEAT;
-            for (int attempt = 0; attempt < STEPS && step == NextStep.REPEAT; attempt++) {
-                account.attemptStarted();
+            for (int attempt = 0; attempt < MAX_ATTEMPTS && step == NextStep.REPEAT; attempt++) {
+                tracker.attemptStarted();
                 AttemptEnd end = anyEnd(random);
-                boolean ran = end instanceof AttemptEnd.Lost || end instanceof AttemptEnd.Failed;
-                mayHaveRun += ran ? 1 : 0;
-                step = account.attemptEnded(end);
-                assertEquals(account.stepWithoutRetry() == NextStep.REFUSE, mayHaveRun == 0);
-                assertFalse(step == NextStep.REFUSE && mayHaveRun > 0);
+                boolean mayHaveRun = end instanceof AttemptEnd.Lost || end instanceof AttemptEnd.Failed;
+                possibleRuns += mayHaveRun ? 1 : 0;
+                step = tracker.attemptEnded(end);
+                assertEquals(tracker.stepWithoutRetry() == NextStep.REFUSE, possibleRuns == 0);
+                assertFalse(step == NextStep.REFUSE && possibleRuns > 0);
             }
-            assertTrue(mayHaveRun <= (rule == RetryRule.AT_MOST_ONCE ? 1 : mostBackends));
+            assertTrue(possibleRuns <= (rule == RetryRule.AT_MOST_ONCE ? 1 : maxBackends));
         }
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/BackendDirectoryTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/BackendDirectoryTest.java
@@ -15,23 +15,22 @@
     private BackendDirectory directory;
 
     @BeforeMethod
-    public void start() {
+    public void createDirectory() {
         directory = new BackendDirectory();
     }
 
     @Test
-    public void should_drop_a_server_that_left_while_the_store_served() {
+    public void should_remove_a_server_at_once_when_the_store_is_available() {
         directory.registrationChanged(TestServers.plain("one"));
 
         assertTrue(directory.registrationRemoved("one", SECOND));
         assertTrue(directory.find("one").isEmpty());
     }
 
-    // The store is away for some seconds and the registrations of live servers lapse meanwhile. A caller that comes
-    // just
-    // after its return would be refused though every server is up.
+    // The registrations of live servers lapse while the store is unavailable for several seconds. A caller whose
+    // request arrives just after the store returns must not be refused although every server is up.
     @Test
-    public void should_keep_servers_for_a_while_that_are_missing_after_an_outage() {
+    public void should_keep_missing_servers_for_a_grace_period_after_an_outage() {
         directory.registrationChanged(TestServers.plain("one"));
         directory.watchInterrupted(0);
 
@@ -44,7 +43,7 @@
     }
 
     @Test
-    public void should_keep_a_server_that_registers_again_after_an_outage() {
+    public void should_keep_a_server_when_it_registers_again_after_an_outage() {
         directory.registrationChanged(TestServers.plain("one"));
         directory.watchInterrupted(0);
         directory.registrationRemoved("one", 4 * SECOND);
@@ -55,10 +54,11 @@
         assertTrue(directory.find("one").isPresent());
     }
 
-    // The store drops its history while a server leaves, and the list that follows lacks it. The store served all the
-    // while, so the server has really left and work sent to it would be cut.
+    // The store drops its history while a server terminates, and the list that follows does not contain the server. The
+    // store was available all the time, so the server has really been removed, and work sent to it would be
+    // interrupted.
     @Test
-    public void should_drop_a_server_at_once_that_is_missing_after_a_short_gap() {
+    public void should_remove_a_server_at_once_when_it_is_missing_after_a_short_interruption() {
         directory.registrationChanged(TestServers.plain("one"));
         directory.watchInterrupted(SECOND);
 
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void should_drop_a_server_at_once_long_after_an_outage() {
+    public void should_remove_a_server_at_once_when_an_outage_is_long_over() {
         directory.registrationChanged(TestServers.plain("one"));
         directory.watchInterrupted(0);
         directory.watchSynchronised(4 * SECOND);
@@ -74,9 +74,9 @@
         assertTrue(directory.registrationRemoved("one", 7 * SECOND));
     }
 
-    // Guards against servers that are dropped although they live, since the store has lost their registrations.
+    // Live servers must not be removed because the store has lost their registrations.
     @Test
-    public void should_keep_servers_for_a_while_that_are_missing_where_the_store_came_back_older() {
+    public void should_keep_missing_servers_for_a_grace_period_when_the_store_was_restored_from_an_older_copy() {
         directory.registrationChanged(TestServers.plain("one"));
         directory.storeRolledBack(SECOND);
 
@@ -85,9 +85,9 @@
         assertEquals(directory.expire(3 * SECOND), List.of("one"));
     }
 
-    // Guards against work that is sent to a server which leaves, since the store tells its state from before.
+    // No work must be sent to a draining server because the store returns its earlier state.
     @Test
-    public void should_not_believe_that_a_server_is_ready_again_which_has_said_that_it_leaves() {
+    public void should_keep_a_server_draining_when_an_outdated_registration_shows_it_as_ready() {
         BackendServer server = TestServers.plain("one");
         directory.registrationChanged(server);
         directory.registrationChanged(server.asDraining());
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/CacheEstimateTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/CacheEstimateTest.java
@@ -11,13 +11,13 @@
     private CacheEstimate cache;
 
     @BeforeMethod
-    public void start() {
+    public void createEstimate() {
         cache = new CacheEstimate();
         cache.setCapacity(1000);
     }
 
     @Test
-    public void should_count_the_parts_from_the_beginning_on() {
+    public void should_count_only_the_cached_prefix() {
         cache.promptAssigned(prompt("a", "b").parts(), 0);
 
         assertEquals(cache.cachedTokens(prompt("a", "b", "c")), 200);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    public void should_forget_what_was_used_least_recently() {
+    public void should_evict_the_least_recently_used_part() {
         for (int number = 0; number < 10; number++) {
             cache.promptAssigned(prompt("part-" + number).parts(), 0);
         }
@@ -38,17 +38,20 @@
         assertEquals(cache.cachedTokens(prompt("part-1")), 0);
     }
 
-    // One entry has just placed a prompt, and another meets the same prompt. Fetched from an engine that still computes
-    // it, nothing would come and it would be computed a second time.
+    // An entry has just assigned a prompt, and another entry receives the same prompt. A transfer from an engine that
+    // is still computing it would return nothing, and the prompt would be computed a second time.
     @Test
-    public void should_not_offer_a_part_that_is_still_being_computed() {
+    public void should_not_transfer_a_part_while_it_is_being_computed() {
         cache.promptAssigned(prompt("a").parts(), 500);
 
         assertEquals(cache.cachedTokens(prompt("a")), 100);
         assertEquals(cache.transferableTokens(prompt("a"), 499), 0);
         assertEquals(cache.transferableTokens(prompt("a"), 500), 100);
         cache.promptAssigned(prompt("a").parts(), 900);
-        assertEquals(cache.transferableTokens(prompt("a"), 500), 100, "it is still kept while it is placed again");
+        assertEquals(
+                cache.transferableTokens(prompt("a"), 500),
+                100,
+                "a cached part must stay available when it is assigned again");
     }
 
     private static Prompt prompt(String... parts) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/EventIntervalMeterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/EventIntervalMeterTest.java
@@ -12,19 +12,19 @@
     private EventIntervalMeter meter;
 
     @BeforeMethod
-    public void startWithNothing() {
+    public void createMeter() {
         meter = new EventIntervalMeter();
     }
 
     @Test
-    public void should_know_no_pace_before_some_events_were_seen() {
+    public void should_return_empty_when_too_few_events_were_seen() {
         meter.recordEvent(0.1, SECOND);
 
         assertEquals(meter.intervals(SECOND).secondsPerEvent(), Optional.empty());
     }
 
     @Test
-    public void should_follow_an_engine_that_turns_slow_within_seconds() {
+    public void should_follow_a_slower_engine_within_seconds() {
         for (int event = 0; event < 20; event++) {
             meter.recordEvent(0.05, SECOND);
         }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void should_forget_the_pace_of_an_engine_that_answers_nobody() {
+    public void should_forget_the_interval_when_the_engine_sends_no_events() {
         for (int event = 0; event < 20; event++) {
             meter.recordEvent(0.05, SECOND);
         }
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void should_add_up_what_two_entries_have_seen() {
+    public void should_add_the_intervals_of_two_entries() {
         EventIntervals both = new EventIntervals(1, 0.1).plus(new EventIntervals(3, 0.1));
 
         assertEquals(both.secondsPerEvent(), Optional.of(0.05));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PeerLoadsTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PeerLoadsTest.java
@@ -11,12 +11,12 @@
     private PeerLoads peers;
 
     @BeforeMethod
-    public void start() {
+    public void createPeerLoads() {
         peers = new PeerLoads();
     }
 
     @Test
-    public void should_sum_what_all_entries_have_on_a_server() {
+    public void should_sum_the_loads_of_all_entries_on_a_server() {
         peers.receive(report("one", 1, 1, 0.5), 0);
         peers.receive(report("two", 1, 1, 0.25), 0);
 
@@ -24,19 +24,20 @@
         assertEquals(peers.onServer("another"), EntryLoad.NONE);
     }
 
-    // Datagrams overtake each other. An older report taken for the newest would bring work back that has long been
-    // done.
+    // Datagrams may arrive out of order. If an older report were treated as the latest, work that has long been
+    // completed would be counted again.
     @Test
-    public void should_drop_a_report_that_was_overtaken() {
+    public void should_ignore_a_report_when_a_newer_one_was_received() {
         peers.receive(report("one", 1, 2, 0.5), 0);
         peers.receive(report("one", 1, 1, 9), 0);
 
         assertEquals(peers.onServer("server"), new EntryLoad(0.5, 1, EventIntervals.NONE));
     }
 
-    // An entry is killed and starts again: its numbers begin anew, and the work of its earlier start is gone.
+    // An entry is killed and restarted: its sequence numbers start again, and the work of its earlier incarnation no
+    // longer exists.
     @Test
-    public void should_take_the_first_report_of_a_new_start() {
+    public void should_apply_the_first_report_of_a_new_incarnation() {
         peers.receive(report("one", 1, 700, 5), 0);
         peers.receive(report("one", 2, 1, 0.5), 0);
 
@@ -44,7 +45,7 @@
     }
 
     @Test
-    public void should_forget_an_entry_that_is_silent_or_leaving() {
+    public void should_remove_an_entry_when_it_stops_reporting_or_is_leaving() {
         peers.receive(report("one", 1, 1, 0.5), 0);
         peers.receive(report("two", 1, 1, 0.5), PeerLoads.REPORT_TIMEOUT.toNanos());
         peers.expire(PeerLoads.REPORT_TIMEOUT.toNanos() + 1);
@@ -56,10 +57,10 @@
         assertEquals(peers.activePeers(), 0);
     }
 
-    private static PeerReport report(String entry, long start, long sequence, double seconds) {
+    private static PeerReport report(String entry, long incarnation, long sequence, double seconds) {
         return new PeerReport(
                 entry,
-                start,
+                incarnation,
                 sequence,
                 Map.of("server", new EntryLoad(seconds, 1, EventIntervals.NONE)),
                 List.of(),
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
@@ -15,45 +15,47 @@
     private static final double TOLERATED_SECONDS = 0.05;
     private static final long BURST_MILLISECONDS = 6_000;
 
-    // For six seconds every entry has more prompts than the engine can compute. Sent on at once they would wait for
-    // seconds
-    // in the engine's queue, all late alike; nobody there can be overtaken.
+    // For six seconds every entry has more prompts than the engine can compute. If all were sent on at once, they would
+    // wait for seconds in the engine's queue, all equally late, and could not be reordered there.
     @Test
-    public void should_keep_an_engines_queue_short_under_a_burst_and_the_engine_busy() {
+    public void should_keep_the_queue_short_and_the_engine_busy_during_a_burst() {
         for (int entries : new int[] {1, 3, 8, 24}) {
-            Replay replay = new Replay(entries);
-            replay.run();
+            Simulation simulation = new Simulation(entries);
+            simulation.run();
 
             assertTrue(
-                    replay.medianWaitMilliseconds() < 2 * TOLERATED_SECONDS * 1000,
-                    entries + " entries: median wait " + replay.medianWaitMilliseconds() + " ms");
-            assertTrue(replay.busyShare() > 0.85, entries + " entries: the engine was busy for " + replay.busyShare());
+                    simulation.medianWaitMilliseconds() < 2 * TOLERATED_SECONDS * 1000,
+                    entries + " entries: median wait " + simulation.medianWaitMilliseconds() + " ms");
+            assertTrue(
+                    simulation.busyFraction() > 0.85,
+                    entries + " entries: busy fraction of the engine " + simulation.busyFraction());
         }
     }
 
-    // An engine changes its role and turns every prompt away for three seconds. It looks idle meanwhile; each request
-    // would
-    // lose a try there.
+    // An engine changes its role and rejects every prompt for three seconds. It looks idle meanwhile, and each request
+    // sent there would lose an attempt.
     @Test
-    public void should_pause_where_the_engine_turns_prompts_away() {
+    public void should_pause_when_the_engine_rejects_a_prompt() {
         PromptWindow window = new PromptWindow();
         window.promptSent();
         window.promptRejected(MILLISECOND);
         window.promptEnded();
 
         assertFalse(window.hasRoom(2 * MILLISECOND));
-        assertTrue(window.hasRoom(1000 * MILLISECOND), "it is tried again");
+        assertTrue(window.hasRoom(1000 * MILLISECOND), "the engine must be tried again after the pause");
     }
 
-    /** Entries that always have a prompt to send, and one engine that computes them first come first served. */
-    private static final class Replay {
+    /**
+     * Entries that always have a prompt to send, and one engine that computes prompts in first-come-first-served order.
+     */
+    private static final class Simulation {
         private final List<PromptWindow> windows = new ArrayList<>();
-        private final Deque<Sent> queue = new ArrayDeque<>();
+        private final Deque<SentPrompt> queue = new ArrayDeque<>();
         private final List<Long> waits = new ArrayList<>();
         private long computedMilliseconds;
         private long busyMilliseconds;
 
-        Replay(int entries) {
+        Simulation(int entries) {
             for (int entry = 0; entry < entries; entry++) {
                 windows.add(new PromptWindow());
             }
@@ -61,13 +63,13 @@
 
         void run() {
             for (long now = 0; now < BURST_MILLISECONDS; now++) {
-                finish(now);
-                // Entries take turns in who looks first.
+                computeForOneMillisecond(now);
+                // The entry that sends first changes in turn.
                 for (int turn = 0; turn < windows.size(); turn++) {
                     PromptWindow window = windows.get((int) ((now + turn) % windows.size()));
                     if (window.hasRoom(now * MILLISECOND)) {
                         window.promptSent();
-                        queue.addLast(new Sent(window, now));
+                        queue.addLast(new SentPrompt(window, now));
                     }
                 }
             }
@@ -80,12 +82,12 @@
             return sorted.get(sorted.size() / 2);
         }
 
-        double busyShare() {
+        double busyFraction() {
             return (double) busyMilliseconds / BURST_MILLISECONDS;
         }
 
-        /** Works for one millisecond on the first prompt of the queue. */
-        private void finish(long now) {
+        /** Computes the first prompt of the queue for one millisecond. */
+        private void computeForOneMillisecond(long now) {
             if (queue.isEmpty()) {
                 return;
             }
@@ -95,13 +97,14 @@
                 return;
             }
             computedMilliseconds = 0;
-            Sent done = queue.removeFirst();
-            long waited = now - done.at() - PROMPT_MILLISECONDS;
+            SentPrompt done = queue.removeFirst();
+            long waited = now - done.sentAt() - PROMPT_MILLISECONDS;
             waits.add(waited);
-            done.window().promptComputed(done.at() * MILLISECOND, now * MILLISECOND, waited / 1000.0, TOLERATED_SECONDS);
+            done.window()
+                    .promptComputed(done.sentAt() * MILLISECOND, now * MILLISECOND, waited / 1000.0, TOLERATED_SECONDS);
             done.window().promptEnded();
         }
 
-        private record Sent(PromptWindow window, long at) {}
+        private record SentPrompt(PromptWindow window, long sentAt) {}
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RequestDeadlinesTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RequestDeadlinesTest.java
@@ -25,40 +25,41 @@
 
     @Test
     public void should_count_the_objective_from_the_arrival() {
-        assertEquals(times(Optional.empty()).objectiveDeadline(), after(Duration.ofMillis(200)));
-        assertEquals(times(Optional.of(Duration.ofSeconds(13))).objectiveDeadline(), after(Duration.ofMillis(200)));
+        assertEquals(deadlines(Optional.empty()).objectiveDeadline(), after(Duration.ofMillis(200)));
+        assertEquals(deadlines(Optional.of(Duration.ofSeconds(13))).objectiveDeadline(), after(Duration.ofMillis(200)));
     }
 
     @Test
-    public void should_take_the_shorter_of_patience_and_timeout_as_deadline() {
-        assertEquals(times(Optional.of(Duration.ofSeconds(13))).deadline(), after(Duration.ofSeconds(13)));
-        assertEquals(times(Optional.of(Duration.ofSeconds(20))).deadline(), after(Duration.ofSeconds(15)));
+    public void should_use_the_shorter_of_wait_limit_and_timeout_as_deadline() {
+        assertEquals(deadlines(Optional.of(Duration.ofSeconds(13))).deadline(), after(Duration.ofSeconds(13)));
+        assertEquals(deadlines(Optional.of(Duration.ofSeconds(20))).deadline(), after(Duration.ofSeconds(15)));
     }
 
-    // A caller was refused and comes back with two thirds of its time. Its answer cannot be on time any more; taken for
-    // a
-    // fresh one it would go before another that can.
+    // A caller was refused and retries with two thirds of its time left. Its answer can no longer be on time; if it
+    // were treated as a first attempt, it would be dispatched before another request that can be on time.
     @Test
-    public void should_not_take_a_caller_that_returns_for_one_that_can_be_on_time() {
-        assertEquals(times(Optional.of(Duration.ofSeconds(10))).objectiveDeadline(), after(Duration.ofMillis(200 - 5000)));
+    public void should_subtract_the_used_time_from_the_objective_when_a_caller_retries() {
+        assertEquals(
+                deadlines(Optional.of(Duration.ofSeconds(10))).objectiveDeadline(),
+                after(Duration.ofMillis(200 - 5000)));
     }
 
-    // An engine is lost three seconds into a stream, whose caller would wait for two seconds from the last event on.
-    // Counted from the request's arrival its time would be over, and the draft would be cut though another engine can
-    // go on.
+    // An engine fails three seconds into a stream whose caller waits for two seconds from the last event on. If the
+    // time were counted from the request's arrival, it would be over, and the stream would be interrupted although
+    // another engine could continue it.
     @Test
-    public void should_count_a_callers_silence_from_the_last_event() {
-        RequestDeadlines times = times(Optional.empty());
+    public void should_count_the_caller_idle_timeout_from_the_last_event() {
+        RequestDeadlines deadlines = deadlines(Optional.empty());
 
-        assertEquals(times.callerWaitsUntil(OptionalLong.empty()), after(Duration.ofSeconds(2)));
+        assertEquals(deadlines.callerWaitsUntil(OptionalLong.empty()), after(Duration.ofSeconds(2)));
         long lastEventAt = after(Duration.ofSeconds(3));
-        assertEquals(times.callerWaitsUntil(OptionalLong.of(lastEventAt)), after(Duration.ofSeconds(5)));
+        assertEquals(deadlines.callerWaitsUntil(OptionalLong.of(lastEventAt)), after(Duration.ofSeconds(5)));
         long lateEventAt = after(Duration.ofSeconds(14));
-        assertEquals(times.callerWaitsUntil(OptionalLong.of(lateEventAt)), times.deadline());
+        assertEquals(deadlines.callerWaitsUntil(OptionalLong.of(lateEventAt)), deadlines.deadline());
     }
 
-    private static RequestDeadlines times(Optional<Duration> patience) {
-        return new RequestDeadlines(ARRIVED_AT, patience, ROUTE);
+    private static RequestDeadlines deadlines(Optional<Duration> waitLimit) {
+        return new RequestDeadlines(ARRIVED_AT, waitLimit, ROUTE);
     }
 
     private static long after(Duration time) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RetryAllowanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RetryAllowanceTest.java
@@ -14,7 +14,7 @@
     private final ManualTimeSource time = new ManualTimeSource();
 
     @Test
-    public void should_grant_a_part_of_the_requests() {
+    public void should_grant_a_fraction_of_the_requests() {
         RetryAllowance allowance = new RetryAllowance(time, 0.2, 0, WINDOW);
         for (int request = 0; request < 100; request++) {
             allowance.recordRequest();
@@ -24,13 +24,13 @@
     }
 
     @Test
-    public void should_divide_the_slack_among_the_entries() {
+    public void should_divide_the_slack_among_the_entries_evenly() {
         assertEquals(granted(new RetryAllowance(time, 0.2, 100, WINDOW), 1), 60);
         assertEquals(granted(new RetryAllowance(time, 0.2, 100, WINDOW), 10), 6);
     }
 
     @Test
-    public void should_grant_again_once_the_window_has_passed() {
+    public void should_grant_again_when_the_window_has_passed() {
         RetryAllowance allowance = new RetryAllowance(time, 0.2, 10, WINDOW);
         granted(allowance, 1);
         time.advance(Duration.ofSeconds(9));
@@ -40,34 +40,33 @@
         assertTrue(allowance.tryTakeRetry(1));
     }
 
-    // All engines of a service fail at once and every request would be repeated. Eight entries, each with an uneven
-    // part
-    // of the callers, must stay below the bound of them all together in every window, or the engines that come back are
-    // pressed down again.
+    // All engines of a service fail at once and every request would be retried. Eight entries, each with a different
+    // fraction of the callers, must together stay below their shared bound in every window. Otherwise engines that
+    // recover would be overloaded again.
     @Test
-    public void should_stay_below_the_shared_bound_while_everything_fails() {
-        double[] parts = {0.30, 0.20, 0.15, 0.10, 0.10, 0.05, 0.05, 0.05};
-        RetryAllowance[] entries = new RetryAllowance[parts.length];
-        double[] owed = new double[parts.length];
-        for (int entry = 0; entry < parts.length; entry++) {
+    public void should_stay_below_the_shared_bound_when_all_requests_fail() {
+        double[] fractions = {0.30, 0.20, 0.15, 0.10, 0.10, 0.05, 0.05, 0.05};
+        RetryAllowance[] entries = new RetryAllowance[fractions.length];
+        double[] pendingRequests = new double[fractions.length];
+        for (int entry = 0; entry < fractions.length; entry++) {
             entries[entry] = new RetryAllowance(time, 0.2, 108, WINDOW);
         }
         int requestsInTenSeconds = 650;
-        int repeats = 0;
+        int retries = 0;
         for (int step = 0; step < 100; step++) {
-            for (int entry = 0; entry < parts.length; entry++) {
-                owed[entry] += parts[entry] * requestsInTenSeconds / 100;
-                while (owed[entry] >= 1) {
-                    owed[entry]--;
+            for (int entry = 0; entry < fractions.length; entry++) {
+                pendingRequests[entry] += fractions[entry] * requestsInTenSeconds / 100;
+                while (pendingRequests[entry] >= 1) {
+                    pendingRequests[entry]--;
                     entries[entry].recordRequest();
-                    repeats += entries[entry].tryTakeRetry(parts.length) ? 1 : 0;
+                    retries += entries[entry].tryTakeRetry(fractions.length) ? 1 : 0;
                 }
             }
             time.advance(Duration.ofMillis(100));
         }
 
-        assertTrue(repeats <= 0.2 * requestsInTenSeconds + 108, "repeats: " + repeats);
-        assertTrue(repeats > 0.1 * requestsInTenSeconds, "repeats: " + repeats);
+        assertTrue(retries <= 0.2 * requestsInTenSeconds + 108, "retries: " + retries);
+        assertTrue(retries > 0.1 * requestsInTenSeconds, "retries: " + retries);
     }
 
     private static int granted(RetryAllowance allowance, int entries) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RoleChangePlacementTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/RoleChangePlacementTest.java
@@ -20,64 +20,64 @@
     private static final EngineSpeed SPEED =
             new EngineSpeed(112_000, 0.003_41, 0.000_097, 0.25, 2048, 0.008, 2_300_000);
 
-    private PlacementPolicy placer;
+    private PlacementPolicy policy;
 
     @BeforeMethod
-    public void start() {
-        placer = new PlacementPolicy(new PlacementSettings("here", SPEED, 0.42, 0), new PeerLoads(), new Random(1));
-        placer.serverChanged(TestServers.engine("prefill", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
-        placer.serverChanged(TestServers.engine("leaving", EngineRole.DECODE), TestServers.CACHE_TOKENS);
-        placer.serverChanged(TestServers.engine("staying", EngineRole.DECODE), TestServers.CACHE_TOKENS);
+    public void createPolicy() {
+        policy = new PlacementPolicy(new PlacementSettings("here", SPEED, 0.42, 0), new PeerLoads(), new Random(1));
+        policy.serverChanged(TestServers.engine("prefill", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
+        policy.serverChanged(TestServers.engine("leaving", EngineRole.DECODE), TestServers.CACHE_TOKENS);
+        policy.serverChanged(TestServers.engine("staying", EngineRole.DECODE), TestServers.CACHE_TOKENS);
     }
 
-    // Guards against requests that an engine rejects for seconds because it is changing its role.
+    // An engine rejects requests for seconds while it changes its role.
     @Test
-    public void should_place_nothing_at_an_engine_that_changes_its_role() {
-        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+    public void should_assign_nothing_to_an_engine_while_it_changes_its_role() {
+        policy.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
 
         for (int choice = 0; choice < 20; choice++) {
-            assertEquals(answering(SECOND), "staying");
+            assertEquals(decodeEngine(SECOND), "staying");
         }
     }
 
     @Test
-    public void should_use_an_engine_again_that_has_changed_its_role() {
-        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
-        placer.serverChanged(TestServers.engine("leaving", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
+    public void should_use_an_engine_again_when_it_has_changed_its_role() {
+        policy.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        policy.serverChanged(TestServers.engine("leaving", EngineRole.PREFILL), TestServers.CACHE_TOKENS);
 
-        assertFalse(placer.changingRole("leaving", SECOND));
+        assertFalse(policy.changingRole("leaving", SECOND));
     }
 
-    // Guards against an engine that is left alone for good since its order was lost on the way.
+    // An engine must not be excluded forever because its order was lost.
     @Test
-    public void should_use_an_engine_again_that_has_not_changed_its_role_for_long() {
-        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+    public void should_use_an_engine_again_when_a_role_change_times_out() {
+        policy.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
 
-        assertFalse(placer.changingRole("leaving", 30 * SECOND));
+        assertFalse(policy.changingRole("leaving", 30 * SECOND));
     }
 
-    // Guards against an engine that is left alone because an entry hears late of a change that has been made.
+    // An engine must not be excluded because an entry is notified late of a change that has already been made.
     @Test
-    public void should_pass_over_a_change_that_has_been_made_already() {
-        placer.roleChangeOrdered(new RoleChange("staying", EngineRole.DECODE), SECOND);
+    public void should_ignore_a_role_change_when_it_has_been_made_already() {
+        policy.roleChangeOrdered(new RoleChange("staying", EngineRole.DECODE), SECOND);
 
-        assertFalse(placer.changingRole("staying", SECOND));
+        assertFalse(policy.changingRole("staying", SECOND));
     }
 
     @Test
-    public void should_let_answers_leave_only_an_engine_that_will_answer_nobody() {
-        AssignedWork answer = placer.attemptStarted(
+    public void should_move_answers_only_when_their_engine_will_stop_decoding() {
+        AssignedWork decodeWork = policy.attemptStarted(
                 TestServers.engine("leaving", EngineRole.DECODE), WorkKind.HANDOFF, 0, OBJECTIVE, SECOND);
-        AssignedWork prompt = placer.attemptStarted(
+        AssignedWork prefillWork = policy.attemptStarted(
                 TestServers.engine("prefill", EngineRole.PREFILL), WorkKind.PROMPT_ONLY, 0.02, OBJECTIVE, SECOND);
-        placer.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
-        placer.roleChangeOrdered(new RoleChange("prefill", EngineRole.DECODE), SECOND);
+        policy.roleChangeOrdered(new RoleChange("leaving", EngineRole.PREFILL), SECOND);
+        policy.roleChangeOrdered(new RoleChange("prefill", EngineRole.DECODE), SECOND);
 
-        assertTrue(placer.mustMoveAnswers(answer, SECOND));
-        assertFalse(placer.mustMoveAnswers(prompt, SECOND));
+        assertTrue(policy.mustMoveAnswers(decodeWork, SECOND));
+        assertFalse(policy.mustMoveAnswers(prefillWork, SECOND));
     }
 
-    private String answering(long now) {
+    private String decodeEngine(long now) {
         Prompt prompt = new Prompt("m", 1000, 100, Optional.empty(), List.of(new PromptPart("own", 1000)));
         PlacementRequest request = new PlacementRequest(
                 TestServers.MODEL_SERVICE,
@@ -90,6 +90,6 @@
                 false,
                 false);
         BackendServer prefill = TestServers.engine("prefill", EngineRole.PREFILL);
-        return placer.chooseDecodeEngine(request, prefill, now).orElseThrow().id();
+        return policy.chooseDecodeEngine(request, prefill, now).orElseThrow().id();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/ServingConfigurationTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/ServingConfigurationTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    public void should_match_nothing_for_another_host_or_path() {
+    public void should_match_nothing_when_the_host_or_path_differs() {
         assertTrue(configuration.match("elsewhere.example", "/a/").isEmpty());
         assertTrue(configuration.match("house.example", "/b/").isEmpty());
         assertTrue(configuration.match("house.example", "/a").isEmpty());
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/SpeedEstimateTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/SpeedEstimateTest.java
@@ -7,38 +7,37 @@
 import org.testng.annotations.Test;
 
 public class SpeedEstimateTest {
-    private static final double SETTINGS_SECONDS = 0.09;
+    private static final double NOMINAL_WORK_SECONDS = 0.09;
     private static final double FIXED_SECONDS = 0.018;
     private static final double QUEUE_SECONDS = 0.5;
     private static final int ANSWERS = 60;
 
-    // Engines are five times as fast as the settings say. Believed slow, they look full and callers are refused though
-    // prompts are computed in a few milliseconds.
+    // Engines are five times as fast as the settings specify. If they are treated as slow, they look full and callers
+    // are refused although prompts are computed in a few milliseconds.
     @Test
-    public void should_learn_that_engines_are_quicker_than_the_settings_say() {
-        SpeedEstimate quick = new SpeedEstimate();
-        observe(quick, ANSWERS, 0.2, 0, true);
+    public void should_learn_when_engines_are_faster_than_the_settings_specify() {
+        SpeedEstimate fast = new SpeedEstimate();
+        observe(fast, ANSWERS, 0.2, 0, true);
 
-        assertEquals(quick.factor(), 0.2, 0.05);
-        assertTrue(quick.known());
+        assertEquals(fast.factor(), 0.2, 0.05);
+        assertTrue(fast.known());
     }
 
-    // Engines are three times as slow as the settings say. Believed quick, they are sent more than they can compute,
-    // and
-    // callers wait past their deadline.
+    // Engines are three times as slow as the settings specify. If they are treated as fast, they are sent more than
+    // they can compute, and callers wait past their deadline.
     @Test
-    public void should_learn_from_lone_prompts_that_engines_are_slower() {
+    public void should_learn_from_prompts_on_idle_engines_when_engines_are_slower() {
         SpeedEstimate slow = new SpeedEstimate();
         observe(slow, 3 * ANSWERS, 3, 0, true);
 
         assertEquals(slow.factor(), 3, 0.5);
     }
 
-    // Eight entries send to the same engine and none knows all of its queue. Put down to the engine, the wait would
-    // make it
-    // look slower and slower; a prompt's own work would then explain any wait, and no entry would give way.
+    // Eight entries send to the same engine and none of them knows its complete queue. If the wait were attributed to
+    // the engine, the engine would look slower and slower; a prompt's own work would then explain any wait, and no
+    // entry would reduce its window.
     @Test
-    public void should_not_take_a_queue_for_a_slow_engine() {
+    public void should_not_attribute_a_wait_in_the_queue_to_the_engine_speed() {
         SpeedEstimate queued = new SpeedEstimate();
         observe(queued, ANSWERS, 0.2, 0, true);
         double before = queued.factor();
@@ -49,11 +48,10 @@
         assertEquals(queued.fixedSeconds(), fixedBefore, 0.001);
     }
 
-    // An entry has just been restarted in the middle of a burst. With the settings' speed it would fill the engines'
-    // queues
-    // or refuse callers until it has seen enough answers of its own.
+    // An entry has just been restarted in the middle of a burst. With the speed of the settings it would fill the
+    // engines' queues or refuse callers until it has seen enough answers of its own.
     @Test
-    public void should_go_by_what_another_entry_has_found_until_it_knows() {
+    public void should_adopt_the_estimate_of_a_peer_until_it_has_its_own() {
         SpeedEstimate speed = new SpeedEstimate();
         assertFalse(speed.known());
         speed.learnFromPeer(0.25, FIXED_SECONDS);
@@ -61,15 +59,16 @@
         assertTrue(speed.known());
         assertEquals(speed.factor(), 0.25, 1e-9);
         speed.learnFromPeer(10, FIXED_SECONDS);
-        assertTrue(speed.factor() < 0.5, "one report moves what is known only a little");
+        assertTrue(speed.factor() < 0.5, "a single report must change a known speed only slightly");
     }
 
-    private static void observe(SpeedEstimate speed, int answers, double slowness, double queueSeconds, boolean alone) {
+    private static void observe(
+            SpeedEstimate speed, int answers, double slowdown, double queueSeconds, boolean engineWasIdle) {
         for (int answer = 0; answer < answers; answer++) {
-            double expected = SETTINGS_SECONDS * speed.factor();
-            double took = FIXED_SECONDS + SETTINGS_SECONDS * slowness + queueSeconds;
-            speed.observe(expected, took, alone);
-            speed.observe(0.0002, FIXED_SECONDS + queueSeconds, alone);
+            double expected = NOMINAL_WORK_SECONDS * speed.factor();
+            double took = FIXED_SECONDS + NOMINAL_WORK_SECONDS * slowdown + queueSeconds;
+            speed.observe(expected, took, engineWasIdle);
+            speed.observe(0.0002, FIXED_SECONDS + queueSeconds, engineWasIdle);
         }
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/TestServers.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/TestServers.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** Servers for tests. */
+/** Backend servers for tests. */
 final class TestServers {
     static final String PLAIN_SERVICE = "registry";
     static final String MODEL_SERVICE = "drafting";
@@ -26,7 +26,7 @@
         return server(id, MODEL_SERVICE, ENGINE_SLOTS, BackendState.READY, role);
     }
 
-    static BackendServer leavingEngine(String id, EngineRole role) {
+    static BackendServer drainingEngine(String id, EngineRole role) {
         return server(id, MODEL_SERVICE, ENGINE_SLOTS, BackendState.DRAINING, role);
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueuePromptLengthTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueuePromptLengthTest.java
@@ -14,127 +14,135 @@
     private static final int SEEDS = 20;
 
     @Test
-    public void should_send_a_short_prompt_before_a_long_one_that_came_a_little_earlier() {
-        WaitQueue<String> line = new WaitQueue<>();
-        line.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 400 * MILLISECOND, 2000 * MILLISECOND));
-        line.add(new WaitQueue.QueuedRequest<>("short", 0.005, 50 * MILLISECOND, 450 * MILLISECOND, 2050 * MILLISECOND));
-
-        assertEquals(next(line, 60), "short");
-        assertEquals(next(line, 60), "long");
+    public void should_dispatch_a_short_prompt_first_when_a_long_one_arrived_slightly_earlier() {
+        WaitQueue<String> queue = new WaitQueue<>();
+        queue.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 400 * MILLISECOND, 2000 * MILLISECOND));
+        queue.add(
+                new WaitQueue.QueuedRequest<>("short", 0.005, 50 * MILLISECOND, 450 * MILLISECOND, 2050 * MILLISECOND));
+
+        assertEquals(next(queue, 60), "short");
+        assertEquals(next(queue, 60), "long");
     }
 
     @Test
-    public void should_send_a_late_short_prompt_before_a_late_long_one() {
-        WaitQueue<String> line = new WaitQueue<>();
-        line.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 0, 2000 * MILLISECOND));
-        line.add(new WaitQueue.QueuedRequest<>("short", 0.005, 0, 0, 2100 * MILLISECOND));
+    public void should_dispatch_a_short_prompt_first_when_both_are_late() {
+        WaitQueue<String> queue = new WaitQueue<>();
+        queue.add(new WaitQueue.QueuedRequest<>("long", 0.08, 0, 0, 2000 * MILLISECOND));
+        queue.add(new WaitQueue.QueuedRequest<>("short", 0.005, 0, 0, 2100 * MILLISECOND));
 
-        assertEquals(next(line, 500), "short");
+        assertEquals(next(queue, 500), "short");
     }
 
-    // For three seconds nearly twice as many prompts come as engines compute; one in ten takes as long as seven others.
-    // In
-    // the order of arrival a long one makes seven callers behind it late or refused.
+    // For three seconds nearly twice as many prompts arrive as engines can compute; one in ten takes as long as seven
+    // others. In the order of arrival, a long prompt makes seven callers behind it late or refused.
     @Test
-    public void should_serve_more_callers_in_a_burst_of_short_and_long_prompts() {
+    public void should_serve_more_callers_when_a_burst_has_short_and_long_prompts() {
         double byArrival = 0;
-        double byWork = 0;
+        double byPromptLength = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            byArrival += new Burst(seed, 0).run().servedShare();
-            byWork += new Burst(seed, 1).run().servedShare();
+            byArrival += new Burst(seed, 0).run().servedFraction();
+            byPromptLength += new Burst(seed, 1).run().servedFraction();
         }
 
-        assertTrue(byWork / SEEDS > byArrival / SEEDS + 0.05, byArrival / SEEDS + " to " + byWork / SEEDS);
+        assertTrue(
+                byPromptLength / SEEDS > byArrival / SEEDS + 0.05,
+                byArrival / SEEDS + " served in order of arrival, by prompt length " + byPromptLength / SEEDS);
     }
 
-    // The callers with the longest prompts are few, but a day on which none of them is served is a day without the
-    // product.
+    // Few callers have the longest prompts, but if none of them were served, the service would be unavailable to them.
     @Test
-    public void should_still_serve_long_prompts_half_as_often_as_all() {
+    public void should_serve_long_prompts_at_least_half_as_often_as_all() {
         double all = 0;
-        double longOnes = 0;
+        double longPrompts = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             Burst burst = new Burst(seed, 1).run();
-            all += burst.servedShare();
-            longOnes += burst.longServedShare();
+            all += burst.servedFraction();
+            longPrompts += burst.longServedFraction();
         }
 
-        assertTrue(longOnes > all / 2, longOnes / SEEDS + " of the long ones, " + all / SEEDS + " of all");
+        assertTrue(
+                longPrompts > all / 2, longPrompts / SEEDS + " of the long prompts served, " + all / SEEDS + " of all");
     }
 
-    private static String next(WaitQueue<String> line, long milliseconds) {
-        return line.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
+    private static String next(WaitQueue<String> queue, long milliseconds) {
+        return queue.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
     }
 
-    /** Prompts of two lengths, for a while more than one engine computes. */
+    /** Prompts of two lengths, for a while more than one engine can compute. */
     private static final class Burst {
-        private static final long SHORT = 10;
-        private static final long LONG = 70;
-        private static final double LONG_SHARE = 0.1;
-        private static final double MEAN = SHORT + LONG_SHARE * (LONG - SHORT);
-        private static final long AIM = 200;
-        private static final long DEADLINE = 2000;
-        private static final long FROM = 1000;
-        private static final long TO = 4000;
+        private static final long SHORT_MILLISECONDS = 10;
+        private static final long LONG_MILLISECONDS = 70;
+        private static final double LONG_FRACTION = 0.1;
+        private static final double MEAN_MILLISECONDS =
+                SHORT_MILLISECONDS + LONG_FRACTION * (LONG_MILLISECONDS - SHORT_MILLISECONDS);
+        private static final long OBJECTIVE_MILLISECONDS = 200;
+        private static final long DEADLINE_MILLISECONDS = 2000;
+        private static final long BURST_FROM = 1000;
+        private static final long BURST_TO = 4000;
         private static final long END = 9000;
 
-        private final WaitQueue<Integer> line = new WaitQueue<>();
-        private final List<Long> works = new ArrayList<>();
+        private final WaitQueue<Integer> queue = new WaitQueue<>();
+        private final List<Long> workMilliseconds = new ArrayList<>();
         private final RandomGenerator random;
-        private final double toldShare;
+        private final double reportedFraction;
         private int served;
         private int longServed;
-        private int longOnes;
+        private int longPrompts;
         private long freeFrom;
 
-        /** Makes a burst; the line is told so much of how long prompts take. */
-        Burst(long seed, double toldShare) {
+        /**
+         * Creates a burst.
+         *
+         * @param reportedFraction how much of a prompt's length is reported to the queue; 0 for the order of arrival
+         */
+        Burst(long seed, double reportedFraction) {
             this.random = new SplittableRandom(seed);
-            this.toldShare = toldShare;
+            this.reportedFraction = reportedFraction;
         }
 
         Burst run() {
             for (long now = 0; now < END; now++) {
-                double load = now >= FROM && now < TO ? 1.9 : 0.5;
-                if (random.nextDouble() < load / MEAN) {
+                double load = now >= BURST_FROM && now < BURST_TO ? 1.9 : 0.5;
+                if (random.nextDouble() < load / MEAN_MILLISECONDS) {
                     arrive(now);
                 }
-                line.takeUnservable(now * MILLISECOND);
-                if (now >= freeFrom && line.size() > 0) {
-                    depart(now);
+                queue.takeUnservable(now * MILLISECOND);
+                if (now >= freeFrom && queue.size() > 0) {
+                    dispatch(now);
                 }
             }
             return this;
         }
 
-        double servedShare() {
-            return (double) served / works.size();
+        double servedFraction() {
+            return (double) served / workMilliseconds.size();
         }
 
-        double longServedShare() {
-            return (double) longServed / longOnes;
+        double longServedFraction() {
+            return (double) longServed / longPrompts;
         }
 
         private void arrive(long now) {
-            long work = random.nextDouble() < LONG_SHARE ? LONG : SHORT;
-            longOnes += work == LONG ? 1 : 0;
-            line.add(new WaitQueue.QueuedRequest<>(
-                    works.size(),
-                    toldShare * work / 1000,
+            long work = random.nextDouble() < LONG_FRACTION ? LONG_MILLISECONDS : SHORT_MILLISECONDS;
+            longPrompts += work == LONG_MILLISECONDS ? 1 : 0;
+            queue.add(new WaitQueue.QueuedRequest<>(
+                    workMilliseconds.size(),
+                    reportedFraction * work / 1000,
                     now * MILLISECOND,
-                    (now + AIM) * MILLISECOND,
-                    (now + DEADLINE) * MILLISECOND));
-            works.add(work);
+                    (now + OBJECTIVE_MILLISECONDS) * MILLISECOND,
+                    (now + DEADLINE_MILLISECONDS) * MILLISECOND));
+            workMilliseconds.add(work);
         }
 
-        private void depart(long now) {
-            WaitQueue.QueuedRequest<Integer> next = line.takeNext(now * MILLISECOND).orElseThrow();
-            long work = works.get(next.request());
-            line.dispatched(next.objectiveDeadline(), now * MILLISECOND);
-            line.answerStarted(work / 1000.0);
+        private void dispatch(long now) {
+            WaitQueue.QueuedRequest<Integer> next =
+                    queue.takeNext(now * MILLISECOND).orElseThrow();
+            long work = workMilliseconds.get(next.request());
+            queue.dispatched(next.objectiveDeadline(), now * MILLISECOND);
+            queue.answerStarted(work / 1000.0);
             freeFrom = now + work;
             served++;
-            longServed += work == LONG ? 1 : 0;
+            longServed += work == LONG_MILLISECONDS ? 1 : 0;
         }
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
@@ -12,28 +12,28 @@
 
 public class WaitQueueTest {
     private static final long MILLISECOND = 1_000_000;
-    private static final long AIM_MILLISECONDS = 200;
+    private static final long OBJECTIVE_MILLISECONDS = 200;
     private static final long DEADLINE_MILLISECONDS = 2000;
 
-    /** From the departure to the answer: the engine's queue, the prompt and the first token. */
+    /** From dispatch to the first byte of the answer: the engine's queue, the prompt and the first token. */
     private static final long ANSWER_MILLISECONDS = 100;
 
     private static final long BURST_FROM = 3_000;
     private static final long BURST_TO = 6_000;
     private static final long END = 12_000;
 
-    private WaitQueue<Integer> line;
+    private WaitQueue<Integer> queue;
 
     @BeforeMethod
-    public void start() {
-        line = new WaitQueue<>();
+    public void createQueue() {
+        queue = new WaitQueue<>();
     }
 
     @Test
-    public void should_send_those_first_that_can_be_on_time_in_the_order_of_their_arrival() {
-        line.add(waiting(1, 0, -10));
-        line.add(waiting(2, 0, 150));
-        line.add(waiting(3, 10, 160));
+    public void should_dispatch_requests_that_can_be_on_time_first_in_the_order_of_their_arrival() {
+        queue.add(queued(1, 0, -10));
+        queue.add(queued(2, 0, 150));
+        queue.add(queued(3, 10, 160));
 
         assertEquals(next(20), 2);
         assertEquals(next(20), 3);
@@ -41,142 +41,148 @@
     }
 
     @Test
-    public void should_send_late_ones_in_the_order_of_their_deadlines() {
-        line.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 900 * MILLISECOND));
-        line.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 800 * MILLISECOND));
+    public void should_dispatch_late_requests_in_the_order_of_their_deadlines() {
+        queue.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 900 * MILLISECOND));
+        queue.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 800 * MILLISECOND));
 
         assertEquals(next(400), 2);
         assertEquals(next(400), 1);
     }
 
-    // What cannot be answered before its deadline only keeps its caller waiting for a refusal that is certain already.
+    // A request that cannot be answered before its deadline only keeps its caller waiting for a refusal that is already
+    // certain.
     @Test
-    public void should_give_up_at_once_what_cannot_be_answered_before_its_deadline() {
-        line.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 50 * MILLISECOND));
-        line.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 500 * MILLISECOND));
+    public void should_refuse_at_once_when_the_deadline_cannot_be_met() {
+        queue.add(new WaitQueue.QueuedRequest<>(1, 0.01, 0, 0, 50 * MILLISECOND));
+        queue.add(new WaitQueue.QueuedRequest<>(2, 0.01, 0, 0, 500 * MILLISECOND));
 
-        assertEquals(line.takeUnservable(10 * MILLISECOND), List.of(1));
-        assertEquals(line.size(), 1);
+        assertEquals(queue.takeUnservable(10 * MILLISECOND), List.of(1));
+        assertEquals(queue.size(), 1);
     }
 
     @Test
-    public void should_forget_a_request_whose_caller_has_left() {
-        line.add(waiting(1, 0, 200));
-        line.remove(1);
+    public void should_remove_a_request_when_its_caller_has_left() {
+        queue.add(queued(1, 0, 200));
+        queue.remove(1);
 
-        assertEquals(line.size(), 0);
-        assertTrue(line.takeNext(0).isEmpty());
+        assertEquals(queue.size(), 0);
+        assertTrue(queue.takeNext(0).isEmpty());
     }
 
-    // For three seconds 1.8 times as many prompts come as can be computed, then less than half. First come first
-    // served,
-    // everybody in the burst and for two seconds after it is late; the callers' screens wait for no reason that helps
-    // anybody.
+    // For three seconds 1.8 times as many prompts arrive as can be computed, then less than half as many. In order
+    // of arrival, all callers in the burst and for two seconds after it would be answered late.
     @Test
-    public void should_answer_on_time_as_many_as_there_is_room_for_in_a_burst() {
-        Replay replay = new Replay(1.8, 0.4);
-        replay.run();
+    public void should_answer_as_many_requests_on_time_as_engines_can_compute_during_a_burst() {
+        Simulation simulation = new Simulation(1.8, 0.4);
+        simulation.run();
 
-        int room = (int) ((BURST_TO - BURST_FROM) / Replay.SERVICE_MILLISECONDS);
+        int capacity = (int) ((BURST_TO - BURST_FROM) / Simulation.SERVICE_MILLISECONDS);
         assertTrue(
-                replay.onTimeInBurst > 0.75 * room,
-                replay.onTimeInBurst + " of " + replay.inBurst + " on time, with room for " + room);
-        assertTrue(replay.onTimeAfter > 0.9 * replay.after, replay.onTimeAfter + " of " + replay.after + " after it");
+                simulation.onTimeInBurst > 0.75 * capacity,
+                simulation.onTimeInBurst + " of " + simulation.arrivedInBurst
+                        + " on time during the burst, with capacity for " + capacity);
+        assertTrue(
+                simulation.onTimeAfterBurst > 0.9 * simulation.arrivedAfterBurst,
+                simulation.onTimeAfterBurst + " of " + simulation.arrivedAfterBurst + " on time after the burst");
     }
 
-    // The burst is over before the deadlines of those that are late, so that they can be served in the calm after it.
+    // The burst ends before the deadlines of the late requests, so they can be served after it.
     @Test
-    public void should_serve_late_ones_when_the_burst_is_over() {
-        Replay replay = new Replay(1.8, 0.4);
-        replay.run();
+    public void should_serve_late_requests_when_the_burst_is_over() {
+        Simulation simulation = new Simulation(1.8, 0.4);
+        simulation.run();
 
-        assertTrue(replay.late > 20, replay.late + " were served late");
-        assertEquals(replay.heldPastDeadline, 0, "nobody is kept until there is no time left");
+        assertTrue(simulation.servedLate > 20, simulation.servedLate + " were served late");
+        assertEquals(simulation.refusedAfterDeadline, 0, "no request may be refused only after its deadline");
     }
 
-    // Nothing is refused where all can be served.
     @Test
-    public void should_refuse_nobody_below_the_pace_of_the_engines() {
-        Replay replay = new Replay(0.7, 0.7);
-        replay.run();
+    public void should_refuse_nothing_when_the_load_is_below_capacity() {
+        Simulation simulation = new Simulation(0.7, 0.7);
+        simulation.run();
 
-        assertEquals(replay.refused, 0);
+        assertEquals(simulation.refused, 0);
     }
 
     private int next(long milliseconds) {
-        return line.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
+        return queue.takeNext(milliseconds * MILLISECOND).orElseThrow().request();
     }
 
-    private static WaitQueue.QueuedRequest<Integer> waiting(int request, long arrived, long aim) {
+    private static WaitQueue.QueuedRequest<Integer> queued(int request, long arrived, long objectiveDeadline) {
         return new WaitQueue.QueuedRequest<>(
                 request,
                 0.01,
                 arrived * MILLISECOND,
-                aim * MILLISECOND,
+                objectiveDeadline * MILLISECOND,
                 (arrived + DEADLINE_MILLISECONDS) * MILLISECOND);
     }
 
-    /** Requests that come at random, more of them in the burst, and engines that take one every so often. */
-    private static final class Replay {
+    /**
+     * Requests that arrive at random, more of them during the burst, and engines that accept one request at fixed
+     * intervals.
+     */
+    private static final class Simulation {
         static final long SERVICE_MILLISECONDS = 28;
 
-        private final WaitQueue<Integer> line = new WaitQueue<>();
+        private final WaitQueue<Integer> queue = new WaitQueue<>();
         private final List<Long> arrivals = new ArrayList<>();
         private final Random random = new Random(7);
-        private final double burst;
-        private final double calm;
+        private final double burstLoad;
+        private final double normalLoad;
         private long freeFrom;
-        private int inBurst;
+        private int arrivedInBurst;
         private int onTimeInBurst;
-        private int after;
-        private int onTimeAfter;
-        private int late;
+        private int arrivedAfterBurst;
+        private int onTimeAfterBurst;
+        private int servedLate;
         private int refused;
-        private int heldPastDeadline;
+        private int refusedAfterDeadline;
 
-        Replay(double burst, double calm) {
-            this.burst = burst;
-            this.calm = calm;
+        Simulation(double burstLoad, double normalLoad) {
+            this.burstLoad = burstLoad;
+            this.normalLoad = normalLoad;
         }
 
         void run() {
             for (long now = 0; now < END; now++) {
-                boolean bursting = now >= BURST_FROM && now < BURST_TO;
-                if (random.nextDouble() < (bursting ? burst : calm) / SERVICE_MILLISECONDS) {
-                    arrive(now, bursting);
+                boolean inBurst = now >= BURST_FROM && now < BURST_TO;
+                if (random.nextDouble() < (inBurst ? burstLoad : normalLoad) / SERVICE_MILLISECONDS) {
+                    arrive(now, inBurst);
                 }
-                for (int hopeless : line.takeUnservable(now * MILLISECOND)) {
+                for (int unservable : queue.takeUnservable(now * MILLISECOND)) {
                     refused++;
-                    heldPastDeadline += now - arrivals.get(hopeless) >= DEADLINE_MILLISECONDS ? 1 : 0;
+                    refusedAfterDeadline += now - arrivals.get(unservable) >= DEADLINE_MILLISECONDS ? 1 : 0;
                 }
-                if (now >= freeFrom && line.size() > 0) {
-                    depart(now);
+                if (now >= freeFrom && queue.size() > 0) {
+                    dispatch(now);
                 }
             }
         }
 
-        private void arrive(long now, boolean bursting) {
+        private void arrive(long now, boolean inBurst) {
             int request = arrivals.size();
             arrivals.add(now);
-            line.add(waiting(request, now, now + AIM_MILLISECONDS));
-            inBurst += bursting ? 1 : 0;
-            after += now >= BURST_TO + SERVICE_MILLISECONDS ? 1 : 0;
+            queue.add(queued(request, now, now + OBJECTIVE_MILLISECONDS));
+            arrivedInBurst += inBurst ? 1 : 0;
+            arrivedAfterBurst += now >= BURST_TO + SERVICE_MILLISECONDS ? 1 : 0;
         }
 
-        private void depart(long now) {
-            WaitQueue.QueuedRequest<Integer> next = line.takeNext(now * MILLISECOND).orElseThrow();
-            line.dispatched(next.objectiveDeadline(), now * MILLISECOND);
-            line.answerStarted(ANSWER_MILLISECONDS / 1000.0);
+        private void dispatch(long now) {
+            WaitQueue.QueuedRequest<Integer> next =
+                    queue.takeNext(now * MILLISECOND).orElseThrow();
+            queue.dispatched(next.objectiveDeadline(), now * MILLISECOND);
+            queue.answerStarted(ANSWER_MILLISECONDS / 1000.0);
             freeFrom = now + SERVICE_MILLISECONDS;
             long arrived = arrivals.get(next.request());
             long took = now + ANSWER_MILLISECONDS - arrived;
-            assertFalse(took > DEADLINE_MILLISECONDS, "a request left for an engine without the time for its answer");
-            if (took > AIM_MILLISECONDS) {
-                late++;
+            assertFalse(
+                    took > DEADLINE_MILLISECONDS, "a request was dispatched without enough time left for its answer");
+            if (took > OBJECTIVE_MILLISECONDS) {
+                servedLate++;
             } else if (arrived >= BURST_FROM && arrived < BURST_TO) {
                 onTimeInBurst++;
             } else if (arrived >= BURST_TO + SERVICE_MILLISECONDS) {
-                onTimeAfter++;
+                onTimeAfterBurst++;
             }
         }
     }
