--- /dev/null
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AssignedWork.java
@@ -0,0 +1,81 @@
+package org.aspenmoor.internal.serving;
+
+/** One attempt at one backend server with its expected durations. Compared by identity. */
+public final class AssignedWork {
+    private final String server;
+    private final WorkKind kind;
+    private final long startedAtNanos;
+    private final double expectedWorkSeconds;
+    private final double learnedWorkSeconds;
+    private final double expectedAnswerSeconds;
+    private final double toleratedWaitSeconds;
+    private final boolean longPrompt;
+    private final boolean serverWasIdle;
+
+    AssignedWork(
+            String server,
+            WorkKind kind,
+            long startedAtNanos,
+            double expectedWorkSeconds,
+            double learnedWorkSeconds,
+            double expectedAnswerSeconds,
+            double toleratedWaitSeconds,
+            boolean longPrompt,
+            boolean serverWasIdle) {
+        this.server = server;
+        this.kind = kind;
+        this.startedAtNanos = startedAtNanos;
+        this.expectedWorkSeconds = expectedWorkSeconds;
+        this.learnedWorkSeconds = learnedWorkSeconds;
+        this.expectedAnswerSeconds = expectedAnswerSeconds;
+        this.toleratedWaitSeconds = toleratedWaitSeconds;
+        this.longPrompt = longPrompt;
+        this.serverWasIdle = serverWasIdle;
+    }
+
+    WorkKind kind() {
+        return kind;
+    }
+
+    /** Returns how long the work may wait at the server, in seconds, before this entry sends less work there. */
+    double toleratedWaitSeconds() {
+        return toleratedWaitSeconds;
+    }
+
+    /** Returns whether the work is a prompt that occupies an engine long enough to delay other requests. */
+    boolean longPrompt() {
+        return longPrompt;
+    }
+
+    /** Returns whether no other work was known at the server when the attempt started. */
+    boolean serverWasIdle() {
+        return serverWasIdle;
+    }
+
+    String server() {
+        return server;
+    }
+
+    /** Returns the start of the attempt on the monotonic clock. */
+    public long startedAtNanos() {
+        return startedAtNanos;
+    }
+
+    /** Returns how long the server was expected to work before its answer starts. */
+    double expectedWorkSeconds() {
+        return expectedWorkSeconds;
+    }
+
+    /** Returns how long the work takes at the learned speed. */
+    double learnedWorkSeconds() {
+        return learnedWorkSeconds;
+    }
+
+    /**
+     * Returns the expected time from the start of the attempt to the start of the answer, in seconds, including the
+     * wait.
+     */
+    public double expectedAnswerSeconds() {
+        return expectedAnswerSeconds;
+    }
+}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
@@ -5,36 +5,36 @@
 import org.aspenmoor.internal.serving.quarantine.ServerEnd;
 
 /**
- * What another entry said of its own part of the load.
+ * A load report from another entry.
  *
- * @param entry its name
- * @param start tells its starts apart
- * @param sequence grows with each report of one start
- * @param shares its part of the load, by backend server
- * @param prompts the prompts it has placed since its last report
- * @param speeds how fast it has found the engines
- * @param lengths how long it has found the events of answers
- * @param changes the orders to engines that it gave and that are being carried out
- * @param ends the servers that have ended while they had a request
- * @param leaving whether it is stopping
+ * @param entry the sender's name
+ * @param incarnation distinguishes restarts of the sender
+ * @param sequence increases with each report of one incarnation
+ * @param loads the sender's load by backend server
+ * @param prompts the prompts it has assigned since its previous report
+ * @param speeds the engine speeds it has measured
+ * @param eventSizes the event sizes it has measured
+ * @param roleChanges role changes that it has ordered and that are in progress
+ * @param serverTerminations the servers that terminated while they had a request
+ * @param stopping whether the sender is stopping
  */
 public record PeerReport(
         String entry,
-        long start,
+        long incarnation,
         long sequence,
-        Map<String, PeerShare> shares,
-        List<PlacedPrompt> prompts,
-        List<LearntSpeed> speeds,
-        List<EventLength> lengths,
-        List<RoleChange> changes,
-        List<ServerEnd> ends,
-        boolean leaving) {
+        Map<String, EntryLoad> loads,
+        List<AssignedPrompt> prompts,
+        List<LearnedSpeed> speeds,
+        List<EventSize> eventSizes,
+        List<RoleChange> roleChanges,
+        List<ServerEnd> serverTerminations,
+        boolean stopping) {
     public PeerReport {
-        shares = Map.copyOf(shares);
+        loads = Map.copyOf(loads);
         prompts = List.copyOf(prompts);
         speeds = List.copyOf(speeds);
-        lengths = List.copyOf(lengths);
-        changes = List.copyOf(changes);
-        ends = List.copyOf(ends);
+        eventSizes = List.copyOf(eventSizes);
+        roleChanges = List.copyOf(roleChanges);
+        serverTerminations = List.copyOf(serverTerminations);
     }
 }
--- /dev/null
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
@@ -0,0 +1,421 @@
+package org.aspenmoor.internal.serving;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.random.RandomGenerator;
+import org.aspenmoor.internal.engine.EngineRole;
+
+/**
+ * Chooses the backend server, or the pair of engines, whose answer is expected to start first. Confined to one thread.
+ *
+ * <p>Prompts with the same shared prefix have the same preferred engine in every entry, by a hash weighted with the
+ * engines' prefill rates. So their cache fills on one engine without communication between entries, and an engine that
+ * is removed moves only its own prompts. Another engine is chosen if the queue of the preferred engine outweighs
+ * computing the prompt again.
+ */
+public final class PlacementPolicy {
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+
+    /**
+     * A server with fewer requests than this counts as idle, because the decaying load from its last answer never
+     * reaches zero.
+     */
+    private static final double MIN_BUSY_REQUESTS = 0.5;
+
+    /** Average number of events after which an answer moves away from an engine that changes its role. */
+    private static final int MEAN_EVENTS_BEFORE_MOVE = 8;
+
+    /** Limit that keeps a report within one datagram; prompts beyond it are only lost hints. */
+    private static final int MAX_UNREPORTED_PROMPTS = 24;
+
+    private final RandomGenerator random;
+    private final Map<String, ServerEstimate> estimates = new LinkedHashMap<>();
+    private final EngineSpeeds speeds = new EngineSpeeds();
+    private final LongAnswerDetector longAnswerDetector = new LongAnswerDetector();
+    private final RequiredDecodeRate requiredDecodeRate = new RequiredDecodeRate();
+    private final Map<String, PromptLoadMeter> promptLoadMeters = new HashMap<>();
+    private final PeerLoads peerLoads;
+    private final List<AssignedPrompt> unreportedPrompts = new ArrayList<>();
+    private ServerRanking ranking;
+
+    public PlacementPolicy(PlacementSettings settings, PeerLoads peerLoads, RandomGenerator random) {
+        this.peerLoads = peerLoads;
+        this.random = random;
+        reload(settings);
+    }
+
+    /** Applies changed settings. */
+    public void reload(PlacementSettings settings) {
+        ranking = new ServerRanking(settings, peerLoads, speeds, longAnswerDetector, random);
+    }
+
+    /**
+     * Adds or updates a server.
+     *
+     * @param cacheTokens the size of its cache in tokens; above zero if it runs a model
+     */
+    public void serverChanged(BackendServer server, int cacheTokens) {
+        SpeedEstimate speed = speeds.estimateOf(server.service(), server.role());
+        ServerEstimate known = estimates.get(server.id());
+        if (known != null && known.server().sameIncarnation(server)) {
+            known.update(server, cacheTokens, speed);
+            return;
+        }
+        estimates.put(server.id(), new ServerEstimate(server, cacheTokens, speed));
+    }
+
+    /** Removes a server. */
+    public void serverRemoved(String id) {
+        estimates.remove(id);
+    }
+
+    /** Chooses where a request runs. */
+    public Placement choose(PlacementRequest request, long now) {
+        List<ServerEstimate> usable = usable(request, now);
+        if (usable.isEmpty()) {
+            return new Placement.Refused(
+                    "no backend server of service " + request.service() + " is available",
+                    ServerRanking.NO_SERVER_RETRY_AFTER);
+        }
+        Placement best = request.prompt().isPresent()
+                ? ranking.chooseEngines(request, request.prompt().get(), usable, now)
+                : ranking.choosePlainServer(usable, now);
+        boolean speedUnknown = request.prompt().isPresent() && !speedKnown(best);
+        return speedUnknown ? best : QueueLimit.applyTo(best, request);
+    }
+
+    private boolean speedKnown(Placement placement) {
+        return switch (placement) {
+            case Placement.SingleServer single ->
+                estimates.get(single.server().id()).speedKnown();
+            case Placement.Disaggregated disaggregated ->
+                estimates.get(disaggregated.prefill().id()).speedKnown();
+            case Placement.Queued queued -> true;
+            case Placement.Refused refused -> true;
+        };
+    }
+
+    /**
+     * Chooses the decode engine for a computed prompt. Computing may take seconds, in which an engine that had been
+     * chosen beforehand could start draining; the request would then be interrupted.
+     */
+    public Optional<BackendServer> chooseDecodeEngine(PlacementRequest request, BackendServer prefill, long now) {
+        int tokens = request.prompt().map(Prompt::promptTokens).orElse(0);
+        return ranking.leastBusyDecodeEngine(usable(request, now), tokens, prefill.dataCentre(), now)
+                .map(ServerEstimate::server);
+    }
+
+    /**
+     * Records the start of an attempt. The returned object identifies the attempt in later calls.
+     *
+     * @param workSeconds expected work before the answer starts
+     * @param objective time within which the answer is on time
+     */
+    public AssignedWork attemptStarted(
+            BackendServer server, WorkKind kind, double workSeconds, Duration objective, long now) {
+        double toleratedWaitSeconds = EntryQueueing.toleratedWaitSeconds(objective);
+        ServerEstimate estimate = estimates.get(server.id());
+        if (estimate == null) {
+            double expectedAnswerSeconds = workSeconds + ServerRanking.DEFAULT_FIXED_SECONDS;
+            return new AssignedWork(
+                    server.id(),
+                    kind,
+                    now,
+                    workSeconds,
+                    workSeconds,
+                    expectedAnswerSeconds,
+                    toleratedWaitSeconds,
+                    false,
+                    false);
+        }
+        boolean queuedAtEntry =
+                kind != WorkKind.PLAIN && EntryQueueing.applicable(objective, engines(server.service()));
+        double learnedWorkSeconds =
+                workSeconds / EntryQueueing.slowdown(estimate, queuedAtEntry) * estimate.slowdownFromSettings();
+        double fixedSeconds = fixedSeconds(estimate, kind, queuedAtEntry);
+        double expectedAnswerSeconds = ranking.waitSeconds(estimate, now) + workSeconds + fixedSeconds;
+        boolean longPrompt = kind != WorkKind.PLAIN && EntryQueueing.isLongPrompt(estimate, learnedWorkSeconds);
+        boolean serverIdle = estimate.requests(peerLoads.onServer(server.id()), now) < MIN_BUSY_REQUESTS;
+        AssignedWork work = new AssignedWork(
+                server.id(),
+                kind,
+                now,
+                workSeconds,
+                learnedWorkSeconds,
+                expectedAnswerSeconds,
+                toleratedWaitSeconds,
+                longPrompt,
+                serverIdle);
+        estimate.attemptStarted(work);
+        if (kind == WorkKind.PROMPT_ONLY) {
+            promptLoadMeter(server.service()).promptSent(workSeconds, queuedAtEntry);
+        }
+        return work;
+    }
+
+    /** Records that this entry has assigned a prompt to an engine, which will cache it. */
+    public void promptAssigned(BackendServer server, Prompt prompt, long now) {
+        AssignedPrompt assigned = new AssignedPrompt(server.id(), prompt.parts());
+        promptAssignedByPeer(assigned, now);
+        if (unreportedPrompts.size() < MAX_UNREPORTED_PROMPTS) {
+            unreportedPrompts.add(assigned);
+        }
+    }
+
+    /** Records that another entry has assigned a prompt to an engine. */
+    public void promptAssignedByPeer(AssignedPrompt assigned, long now) {
+        ServerEstimate estimate = estimates.get(assigned.server());
+        if (estimate != null) {
+            long computedAt = now + (long) (ranking.waitSeconds(estimate, now) * NANOSECONDS_PER_SECOND);
+            estimate.cache().promptAssigned(assigned.parts(), computedAt);
+        }
+    }
+
+    /** Records the prompt parts that an engine reports as cached. */
+    public void cacheReported(String server, List<PromptPart> parts, long now) {
+        ServerEstimate estimate = estimates.get(server);
+        if (estimate != null) {
+            estimate.cache().promptAssigned(parts, now);
+        }
+    }
+
+    /** Returns the prompts that this entry has assigned since the last call. */
+    public List<AssignedPrompt> takeUnreportedPrompts() {
+        List<AssignedPrompt> taken = List.copyOf(unreportedPrompts);
+        unreportedPrompts.clear();
+        return taken;
+    }
+
+    /** Records the first byte of an answer. */
+    public void answerStarted(AssignedWork work, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.answerStarted(work, now);
+            estimate.health().answered();
+        }
+        if (estimate != null && work.kind() == WorkKind.HANDOFF) {
+            double seconds = (now - work.startedAtNanos()) / NANOSECONDS_PER_SECOND;
+            estimate.handoffCompleted(seconds, now);
+            speeds.recordHandoff(estimate.server().service(), seconds);
+        }
+    }
+
+    /** Records a request to a model whose answer has to be complete within the allowed time. */
+    public void answerRequested(String service, Prompt prompt, Duration allowed, long now) {
+        requiredDecodeRate.recordRequest(service, prompt, allowed, now);
+    }
+
+    /** Records that an answer is complete, and its number of events. */
+    public void answerCompleted(String service, Prompt prompt, int events) {
+        requiredDecodeRate.recordCompletedAnswer(service, prompt, events);
+    }
+
+    /** Returns the event sizes that this entry has measured with enough answers. */
+    public List<EventSize> eventSizes() {
+        return requiredDecodeRate.learnedEventSizes();
+    }
+
+    /** Applies an event size reported by another entry. */
+    public void eventSizeReceived(EventSize peerSize) {
+        requiredDecodeRate.learnFromPeer(peerSize);
+    }
+
+    /** Records that an engine was ordered to change its role. Nothing new is assigned to it until it has. */
+    public void roleChangeOrdered(RoleChange change, long now) {
+        ServerEstimate estimate = estimates.get(change.server());
+        if (estimate != null) {
+            estimate.roleChangeOrdered(change.role(), now);
+        }
+    }
+
+    /** Returns whether an engine is changing its role. */
+    public boolean changingRole(String server, long now) {
+        ServerEstimate estimate = estimates.get(server);
+        return estimate != null && estimate.changingRole(now);
+    }
+
+    /**
+     * Returns whether an answer should move to another engine now because its engine will stop decoding; to be called
+     * at each event. Answers move one by one at random: if all moved at once, the other engines would read them in one
+     * after the other, and their streams would stall for too long.
+     */
+    public boolean shouldMoveAnswer(AssignedWork work, long now) {
+        return mustMoveAnswers(work, now) && random.nextInt(MEAN_EVENTS_BEFORE_MOVE) == 0;
+    }
+
+    /** Returns whether the answers of an engine have to move to another engine. */
+    boolean mustMoveAnswers(AssignedWork work, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        return estimate != null && estimate.mustMoveAnswers(now);
+    }
+
+    /**
+     * Samples the prompt load of a service; to be called several times a second.
+     *
+     * @param requestsWaiting whether requests wait at this entry for room at an engine
+     */
+    public void samplePromptLoad(String service, boolean requestsWaiting, long now) {
+        int prefillEngines = (int) engines(service).stream()
+                .filter(each -> each.server().role() == EngineRole.PREFILL && !each.changingRole(now))
+                .count();
+        promptLoadMeter(service).sample(peerLoads.activePeers() + 1, prefillEngines, requestsWaiting, now);
+    }
+
+    /** Returns the state of the engines of a service and the load on them. */
+    public ServiceLoad serviceLoad(String service, long now) {
+        List<EngineState> engines = engines(service).stream()
+                .map(each -> each.state(peerLoads.onServer(each.server().id()), now))
+                .toList();
+        return new ServiceLoad(
+                service,
+                engines,
+                requiredDecodeRate.requiredEventSeconds(service, now),
+                promptLoadMeter(service).load());
+    }
+
+    private PromptLoadMeter promptLoadMeter(String service) {
+        return promptLoadMeters.computeIfAbsent(service, unseen -> new PromptLoadMeter());
+    }
+
+    /** Records an event of an answer and the interval since the previous event. */
+    public void eventReceived(AssignedWork work, Duration interval, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.eventReceived(interval.toNanos() / NANOSECONDS_PER_SECOND, now);
+        }
+    }
+
+    /** Returns the load of a server. */
+    public EngineLoad load(String server, long now) {
+        ServerEstimate estimate = estimates.get(server);
+        return estimate == null ? EngineLoad.UNKNOWN : estimate.load(peerLoads.onServer(server), now);
+    }
+
+    /** Records how long an answer has been streaming so far, out of the time allowed for its request. */
+    public void answerStreaming(String service, Duration streamed, Duration allowed, long now) {
+        longAnswerDetector.recordStreaming(service, streamed, allowed, now);
+    }
+
+    /** Records the load that a server reported with an answer. */
+    public void loadReported(AssignedWork work, ReportedLoad load, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.loadReported(load, now);
+        }
+    }
+
+    /**
+     * Returns this entry's own load by server, to be reported to the other entries; servers without load are omitted.
+     */
+    public Map<String, EntryLoad> ownLoads(long now) {
+        Map<String, EntryLoad> loads = new HashMap<>();
+        estimates.forEach((id, estimate) -> {
+            EntryLoad load = estimate.ownLoad(now);
+            if (load.requests() > 0) {
+                loads.put(id, load);
+            }
+        });
+        return loads;
+    }
+
+    /** Returns the engine speeds that this entry has measured with enough answers. */
+    public List<LearnedSpeed> learnedSpeeds() {
+        return speeds.learnedSpeeds();
+    }
+
+    /** Applies an engine speed reported by another entry. */
+    public void speedReceived(LearnedSpeed peerSpeed) {
+        speeds.learnFromPeer(peerSpeed);
+    }
+
+    /** Returns a summary of each server. */
+    public List<ServerSummary> summaries(long now) {
+        return estimates.values().stream()
+                .map(estimate ->
+                        estimate.summary(peerLoads.onServer(estimate.server().id()), now))
+                .toList();
+    }
+
+    /** Returns whether the server has not started any answer to this entry since the attempt started. */
+    public boolean noAnswerSinceStart(AssignedWork work) {
+        ServerEstimate estimate = estimates.get(work.server());
+        return estimate == null || estimate.lastAnswerAt() < work.startedAtNanos();
+    }
+
+    /** Returns whether this entry has received no part of any answer from the attempt's server after the given time. */
+    public boolean nothingReceivedSince(AssignedWork work, long since) {
+        ServerEstimate estimate = estimates.get(work.server());
+        return estimate == null || estimate.lastReceivedAt() <= since;
+    }
+
+    /** Records that an attempt has ended, for whatever reason. */
+    public void attemptEnded(AssignedWork work) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.attemptEnded(work);
+        }
+    }
+
+    /** Records that a server responded with a failure or that its answer was lost. */
+    public void attemptFailed(AssignedWork work, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.health().failed(now);
+        }
+    }
+
+    /** Records that a server rejected work without running it. */
+    public void attemptRejected(AssignedWork work, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.attemptRejected(work, now);
+        }
+    }
+
+    /**
+     * Records that a server was unreachable: no connection was established, or another server answered at its address.
+     */
+    public void serverUnreachable(AssignedWork work, long now) {
+        ServerEstimate estimate = estimates.get(work.server());
+        if (estimate != null) {
+            estimate.health().unreachable(now);
+        }
+    }
+
+    private List<ServerEstimate> usable(PlacementRequest request, long now) {
+        List<ServerEstimate> usable = new ArrayList<>();
+        for (ServerEstimate estimate : estimates.values()) {
+            BackendServer server = estimate.server();
+            boolean takesWork = server.service().equals(request.service())
+                    && server.state() == BackendState.READY
+                    && !estimate.changingRole(now)
+                    && !request.excludedServers().contains(server.id());
+            if (takesWork) {
+                usable.add(estimate);
+            }
+        }
+        return usable;
+    }
+
+    private double fixedSeconds(ServerEstimate estimate, WorkKind kind, boolean queuedAtEntry) {
+        if (!queuedAtEntry) {
+            return ServerRanking.DEFAULT_FIXED_SECONDS;
+        }
+        return switch (kind) {
+            case PLAIN -> ServerRanking.DEFAULT_FIXED_SECONDS;
+            case PROMPT_ONLY, WHOLE -> estimate.fixedSeconds();
+            case HANDOFF -> speeds.handoffSeconds(estimate.server().service());
+        };
+    }
+
+    private List<ServerEstimate> engines(String service) {
+        return estimates.values().stream()
+                .filter(each -> each.server().service().equals(service))
+                .toList();
+    }
+}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RecentMaximum.java
@@ -2,32 +2,32 @@
 
 import java.time.Duration;
 
-/** The largest of the values that were noted within the last ten to twenty seconds. */
+/** The maximum of the values recorded within the last ten to twenty seconds. */
 final class RecentMaximum {
     private static final long SPAN_NANOSECONDS = Duration.ofSeconds(10).toNanos();
 
-    private long spanFrom;
-    private double inSpan;
-    private double inSpanBefore;
+    private long spanStart;
+    private double currentMaximum;
+    private double previousMaximum;
 
-    void note(double value, long now) {
-        turn(now);
-        inSpan = Math.max(inSpan, value);
+    void add(double value, long now) {
+        rotate(now);
+        currentMaximum = Math.max(currentMaximum, value);
     }
 
-    /** Returns the largest value; zero where none was noted lately. */
-    double most(long now) {
-        turn(now);
-        return Math.max(inSpan, inSpanBefore);
+    /** Returns the maximum, or zero if no value was recorded recently. */
+    double maximum(long now) {
+        rotate(now);
+        return Math.max(currentMaximum, previousMaximum);
     }
 
-    private void turn(long now) {
-        long spans = (now - spanFrom) / SPAN_NANOSECONDS;
+    private void rotate(long now) {
+        long spans = (now - spanStart) / SPAN_NANOSECONDS;
         if (spans <= 0) {
             return;
         }
-        inSpanBefore = spans == 1 ? inSpan : 0;
-        inSpan = 0;
-        spanFrom += spans * SPAN_NANOSECONDS;
+        previousMaximum = spans == 1 ? currentMaximum : 0;
+        currentMaximum = 0;
+        spanStart += spans * SPAN_NANOSECONDS;
     }
 }
--- /dev/null
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
@@ -0,0 +1,360 @@
+package org.aspenmoor.internal.serving;
+
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import org.aspenmoor.internal.engine.EngineRole;
+
+/**
+ * What this entry knows or estimates about one backend server: its own requests there, what other entries and the
+ * server's answers reported, and its health.
+ */
+final class ServerEstimate {
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+
+    /** Half-life of the load reported with an answer; the load of a busy server changes within about a second. */
+    private static final double HALF_LIFE_SECONDS = 1.0;
+
+    /** Weight of a new answer in the slowdown estimated from delays. */
+    private static final double DELAY_WEIGHT = 0.1;
+
+    /**
+     * Fraction of a speed correction that is attributed to the individual engine; all engines with its role learn from
+     * the answer too.
+     */
+    private static final double OWN_CORRECTION_FRACTION = 0.5;
+
+    /** Weight of a new handoff in the average of this server; a link can become slow from one moment to the next. */
+    private static final double HANDOFF_WEIGHT = 0.3;
+
+    /** Weight of a new long prompt in the typical duration; about the last twenty count. */
+    private static final double PROMPT_WEIGHT = 0.05;
+
+    /** An engine with less queued work than this, in seconds, is idle by the time a request reaches it. */
+    private static final double MAX_IDLE_WAIT_SECONDS = 0.005;
+
+    /** The slowdown is limited so that a server gets enough work to show that it has recovered. */
+    private static final double MAX_SLOWDOWN = 6;
+
+    /**
+     * Minimum expected time for the slowdown; shorter times are dominated by the network rather than by the server's
+     * speed.
+     */
+    private static final double MIN_EXPECTED_SECONDS = 0.02;
+
+    /**
+     * An engine that has not changed its role within this time did not receive the order or cannot follow it, and is
+     * used again.
+     */
+    private static final long MAX_ROLE_CHANGE_NANOSECONDS =
+            Duration.ofSeconds(20).toNanos();
+
+    private final ServerHealth health = new ServerHealth();
+    private final CacheEstimate cache = new CacheEstimate();
+    private final EventIntervalMeter eventIntervalMeter = new EventIntervalMeter();
+    private final PromptWindow promptWindow = new PromptWindow();
+    private final Deque<AssignedWork> unanswered = new ArrayDeque<>();
+    private BackendServer server;
+    private int parallelism;
+    private int cacheTokens;
+    private ReportedLoad reportedLoad = new ReportedLoad(0, 0, 1);
+    private long reportedAt;
+    private int outstandingAtReport;
+    private int outstanding;
+    private double unansweredSeconds;
+    private SpeedEstimate speed;
+    /**
+     * Measured at the speed of the settings, so that a process that has just started does not have to learn it together
+     * with the speed.
+     */
+    private double typicalPromptSeconds;
+
+    private double handoffSeconds;
+    private long handoffMeasuredAt = Long.MIN_VALUE;
+    private double slowdown = 1;
+    private double delaySlowdown = 1;
+    private long lastAnswerAt = Long.MIN_VALUE;
+    private long lastEventAt = Long.MIN_VALUE;
+    private long roleChangeStartedAt = Long.MIN_VALUE;
+    private EngineRole targetRole = EngineRole.WHOLE;
+
+    /**
+     * Creates an estimate.
+     *
+     * @param speed the speed of all servers of the service with the same role
+     */
+    ServerEstimate(BackendServer server, int cacheTokens, SpeedEstimate speed) {
+        update(server, cacheTokens, speed);
+    }
+
+    BackendServer server() {
+        return server;
+    }
+
+    /**
+     * Applies a registration of the server.
+     *
+     * @param newCacheTokens the size of its cache in tokens; above zero if it runs a model
+     * @param newSpeed the speed of all servers of the service with the same role
+     */
+    void update(BackendServer newServer, int newCacheTokens, SpeedEstimate newSpeed) {
+        if (server != null && server.role() != newServer.role()) {
+            roleChangeStartedAt = Long.MIN_VALUE;
+            health.roleChanged();
+            slowdown = 1;
+            delaySlowdown = 1;
+        }
+        speed = newSpeed;
+        server = newServer;
+        parallelism = newCacheTokens > 0 ? 1 : Math.max(1, newServer.slots());
+        cacheTokens = newCacheTokens;
+        cache.setCapacity(cacheTokens);
+    }
+
+    ServerHealth health() {
+        return health;
+    }
+
+    CacheEstimate cache() {
+        return cache;
+    }
+
+    long lastAnswerAt() {
+        return lastAnswerAt;
+    }
+
+    /** Returns when this entry last received any part of an answer from the server. */
+    long lastReceivedAt() {
+        return Math.max(lastAnswerAt, lastEventAt);
+    }
+
+    /** Returns how many times longer the server takes than the others with its role. */
+    double slowdown() {
+        return slowdown;
+    }
+
+    /** Returns how many times longer the server takes than the settings specify. */
+    double slowdownFromSettings() {
+        return runsModel() ? slowdown * speed.factor() : slowdown;
+    }
+
+    /**
+     * Returns how many times longer than expected it takes until answers start, including all waits. If engines order
+     * their queues themselves, this is the only sign of work that has not been reported to this entry.
+     */
+    double delaySlowdown() {
+        return delaySlowdown;
+    }
+
+    /**
+     * Returns how long a long prompt of this entry typically occupies the engine, in seconds; zero until one was sent.
+     */
+    double typicalPromptSeconds() {
+        return typicalPromptSeconds * slowdownFromSettings();
+    }
+
+    /** Returns whether the engine's speed was learned from enough answers. */
+    boolean speedKnown() {
+        return speed.known();
+    }
+
+    /** Returns the part of an answer's start-up time that does not depend on its work, in seconds. */
+    double fixedSeconds() {
+        return speed.fixedSeconds();
+    }
+
+    /** Records that the server was ordered to change its role; ignored if it already has that role. */
+    void roleChangeOrdered(EngineRole role, long now) {
+        if (server.role() != role && !changingRole(now)) {
+            roleChangeStartedAt = now;
+            targetRole = role;
+        }
+    }
+
+    /** Returns whether the server is changing its role and accepts nothing new. */
+    boolean changingRole(long now) {
+        return roleChangeStartedAt != Long.MIN_VALUE && now - roleChangeStartedAt < MAX_ROLE_CHANGE_NANOSECONDS;
+    }
+
+    /** Returns whether the server will stop decoding, so that its answers have to move to another engine. */
+    boolean mustMoveAnswers(long now) {
+        return changingRole(now) && targetRole == EngineRole.PREFILL;
+    }
+
+    EngineState state(EntryLoad others, long now) {
+        return new EngineState(server, load(others, now), slowdown, changingRole(now));
+    }
+
+    /** Records an event of an answer and the interval since the previous event. */
+    void eventReceived(double intervalSeconds, long now) {
+        lastEventAt = now;
+        eventIntervalMeter.recordEvent(intervalSeconds, now);
+    }
+
+    /** Returns the load of the server, given the load of the other entries there. */
+    EngineLoad load(EntryLoad others, long now) {
+        return new EngineLoad(
+                requests(others, now),
+                eventIntervalMeter.intervals(now).plus(others.eventIntervals()).secondsPerEvent());
+    }
+
+    /** Records that the server rejected work without running it. */
+    void attemptRejected(AssignedWork work, long now) {
+        if (computesPrompt(work)) {
+            promptWindow.promptRejected(now);
+        }
+    }
+
+    /** Records how long the server took from the start of a handoff to the start of the answer. */
+    void handoffCompleted(double seconds, long now) {
+        handoffSeconds += HANDOFF_WEIGHT * (seconds - handoffSeconds);
+        handoffMeasuredAt = now;
+    }
+
+    /**
+     * Returns how long a handoff to this server takes, given the typical time for its service. A slow link of an engine
+     * shows in nothing else. The measured time decays within seconds, so that the engine is tried again.
+     */
+    double handoffSeconds(double typicalSeconds, long now) {
+        if (handoffMeasuredAt == Long.MIN_VALUE) {
+            return typicalSeconds;
+        }
+        return typicalSeconds + (handoffSeconds - typicalSeconds) * decay(now - handoffMeasuredAt);
+    }
+
+    /**
+     * Returns whether one more prompt of this entry would not wait long. An engine without work from any entry has room
+     * whatever its previous queue was; otherwise requests would wait while it is idle.
+     */
+    boolean hasRoom(EntryLoad others, long now) {
+        boolean idle = promptWindow.isEmpty()
+                && !promptWindow.recentlyRejected(now)
+                && waitSeconds(others, now) < MAX_IDLE_WAIT_SECONDS;
+        return idle || promptWindow.hasRoom(now);
+    }
+
+    /** Returns the load of this entry on the server. */
+    EntryLoad ownLoad(long now) {
+        return new EntryLoad(unansweredSeconds, outstanding, eventIntervalMeter.intervals(now));
+    }
+
+    void attemptStarted(AssignedWork work) {
+        outstanding++;
+        unanswered.addLast(work);
+        unansweredSeconds += work.expectedWorkSeconds();
+        if (work.longPrompt()) {
+            promptWindow.promptSent();
+            double weight = typicalPromptSeconds == 0 ? 1 : PROMPT_WEIGHT;
+            typicalPromptSeconds +=
+                    weight * (work.learnedWorkSeconds() / slowdownFromSettings() - typicalPromptSeconds);
+        }
+    }
+
+    /** Records the first byte of the answer to an attempt. */
+    void answerStarted(AssignedWork work, long now) {
+        lastAnswerAt = now;
+        if (!unanswered.contains(work)) {
+            return;
+        }
+        double tookSeconds = (now - work.startedAtNanos()) / NANOSECONDS_PER_SECOND;
+        if (computesPrompt(work)) {
+            promptComputed(work, tookSeconds, now);
+        } else if (work.kind() == WorkKind.PLAIN) {
+            plainAnswerStarted(work, tookSeconds);
+        }
+        removeUnanswered(work);
+    }
+
+    /** The time until the answer started, minus its fixed part and its own work, was spent in the engine's queue. */
+    private void promptComputed(AssignedWork work, double tookSeconds, long now) {
+        double waitedSeconds = tookSeconds - speed.fixedSeconds() - work.learnedWorkSeconds();
+        if (work.longPrompt()) {
+            promptWindow.promptComputed(work.startedAtNanos(), now, waitedSeconds, work.toleratedWaitSeconds());
+        }
+        SpeedEstimate.Correction correction =
+                speed.observe(work.learnedWorkSeconds(), tookSeconds, work.serverWasIdle());
+        delaySlowdown = updatedDelaySlowdown(delaySlowdown, work, tookSeconds);
+        double corrected = correction.scaled(OWN_CORRECTION_FRACTION).applyTo(slowdown);
+        slowdown = Math.clamp(corrected, 1 / MAX_SLOWDOWN, MAX_SLOWDOWN);
+    }
+
+    private void plainAnswerStarted(AssignedWork work, double tookSeconds) {
+        slowdown = updatedDelaySlowdown(slowdown, work, tookSeconds);
+    }
+
+    private static double updatedDelaySlowdown(double slowdown, AssignedWork work, double tookSeconds) {
+        double expectedSeconds = Math.max(MIN_EXPECTED_SECONDS, work.expectedAnswerSeconds());
+        double ratio = Math.clamp(tookSeconds / expectedSeconds, 1, MAX_SLOWDOWN);
+        return slowdown + DELAY_WEIGHT * (ratio - slowdown);
+    }
+
+    void attemptEnded(AssignedWork work) {
+        removeUnanswered(work);
+        outstanding = Math.max(0, outstanding - 1);
+    }
+
+    void loadReported(ReportedLoad load, long now) {
+        reportedLoad = load;
+        reportedAt = now;
+        outstandingAtReport = outstanding;
+    }
+
+    /** Returns the number of requests at the server, given the load of the other entries there. */
+    double requests(EntryLoad others, long now) {
+        double reportedByServer = Math.max(0, reportedLoad.running() + reportedLoad.waiting() - outstandingAtReport);
+        return outstanding + Math.max(others.requests(), reportedByServer * decay(now - reportedAt));
+    }
+
+    /**
+     * Returns how long a new request probably waits before the server processes it, in seconds. An engine computes
+     * prompts one after the other; a plain server works in all its slots.
+     */
+    double waitSeconds(EntryLoad others, long now) {
+        double queuedSeconds = (unansweredSeconds + others.unansweredSeconds()) / parallelism;
+        return Math.max(queuedSeconds, overdueSeconds(now));
+    }
+
+    ServerSummary summary(EntryLoad others, long now) {
+        return new ServerSummary(
+                server,
+                waitSeconds(others, now),
+                load(others, now),
+                outstanding,
+                slowdown,
+                health.failureFraction(),
+                changingRole(now),
+                health.paused(now),
+                cache.tokens());
+    }
+
+    /** A server that stops answering is first detected by the age of its oldest unanswered request. */
+    private double overdueSeconds(long now) {
+        AssignedWork oldest = unanswered.peekFirst();
+        if (oldest == null) {
+            return 0;
+        }
+        return Math.max(0, (now - oldest.startedAtNanos()) / NANOSECONDS_PER_SECOND - oldest.expectedAnswerSeconds());
+    }
+
+    private void removeUnanswered(AssignedWork work) {
+        if (!unanswered.remove(work)) {
+            return;
+        }
+        unansweredSeconds = unanswered.isEmpty() ? 0 : Math.max(0, unansweredSeconds - work.expectedWorkSeconds());
+        if (work.longPrompt()) {
+            promptWindow.promptEnded();
+        }
+    }
+
+    private boolean runsModel() {
+        return server.role() != EngineRole.WHOLE || cacheTokens > 0;
+    }
+
+    private static boolean computesPrompt(AssignedWork work) {
+        return work.kind() == WorkKind.PROMPT_ONLY || work.kind() == WorkKind.WHOLE;
+    }
+
+    private static double decay(long ageNanoseconds) {
+        return Math.pow(0.5, Math.max(0, ageNanoseconds) / NANOSECONDS_PER_SECOND / HALF_LIFE_SECONDS);
+    }
+}
