--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -61,9 +61,9 @@
 import org.aspenmoor.internal.store.client.WatchedCollection;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** One entry process: an event loop with all requests, and a thread for each collection it follows in the store. */
+/** An entry process: one event loop that serves all requests, and a thread for each collection watched in the store. */
 public final class Gateway {
-    /** How often limits, doubtful servers and a planned stop are looked at. */
+    /** Interval of the periodic check of timeouts, unconfirmed servers and a graceful stop. */
     private static final long CHECK_MILLISECONDS = 100;
 
     private final GatewaySettings settings;
@@ -120,7 +120,7 @@
         this.dump = new StateDump(settings.process(), state, callers, connections, stop, fatalRequests);
     }
 
-    /** Opens the ports and begins to follow the store. */
+    /** Opens the ports and starts watching the store. */
     public void start(ObjectStore store, StoreSettings storeSettings, RegistrationDecoder decoder)
             throws AspenmoorException {
         follow(
@@ -139,7 +139,8 @@
         keeper.start();
         GaugeWithCallback.builder()
                 .name("aspenmoor_store_generation")
-                .help("Generation of the store's history; rises where the store came back from an older copy.")
+                .help(
+                        "Generation of the store's history; increases each time the store is restored from an older copy.")
                 .callback(callback -> callback.call((double) store.generation()))
                 .register(registry);
         readinessAddress = new PlainHttpServer(Map.of(settings.readinessPath(), this::readiness))
@@ -160,22 +161,22 @@
         eventLoop.scheduleWithFixedDelay(this::check, CHECK_MILLISECONDS, CHECK_MILLISECONDS, TimeUnit.MILLISECONDS);
     }
 
-    /** Returns where callers are served. */
+    /** Returns the address on which callers are served. */
     public InetSocketAddress callersAddress() {
         return callersAddress;
     }
 
-    /** Returns where readiness is told. */
+    /** Returns the address on which readiness is served. */
     public InetSocketAddress readinessAddress() {
         return readinessAddress;
     }
 
-    /** Returns where metrics are served. */
+    /** Returns the address on which metrics and the state dump are served. */
     public InetSocketAddress administrationAddress() {
         return administrationAddress;
     }
 
-    /** Takes changed settings up; addresses stay as they are. */
+    /** Applies changed settings; changed addresses are ignored. */
     public void reload(GatewaySettings changed) {
         eventLoop.execute(() -> {
             state.reload(changed.repeats(), changed.placement());
@@ -183,17 +184,17 @@
         });
     }
 
-    /** Begins a planned stop. */
+    /** Begins a graceful stop. */
     public void stop() {
         eventLoop.execute(() -> stop.begin(time.monotonicNanoseconds()));
     }
 
-    /** Waits for the end of a planned stop. */
+    /** Waits until a graceful stop has finished. */
     public void awaitEnd() throws InterruptedException {
         ended.await();
     }
 
-    /** Ends all at once, without regard to requests. */
+    /** Stops immediately and aborts requests that are being served. */
     public void close() {
         followed.forEach(WatchedCollection::close);
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
@@ -277,7 +278,7 @@
         try {
             new PrometheusTextFormatWriter(false).write(text, registry.scrape());
         } catch (IOException impossible) {
-            throw new UncheckedIOException("Writing to memory failed.", impossible);
+            throw new UncheckedIOException("Writing the metrics to memory failed.", impossible);
         }
         return page(text.toByteArray(), PrometheusTextFormatWriter.CONTENT_TYPE);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
@@ -5,17 +5,18 @@
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
 
 /**
- * The steps of a planned stop. Confined to the event loop.
+ * The steps of a graceful stop. Confined to the event loop.
  *
- * <p>A balancer goes on sending new connections until it has twice heard that the process is not ready, and callers
- * reuse theirs. A process that closed its port at once would reset them. So it says first that it is not ready, takes
- * what still comes, asks callers with each answer to close, and ends when nothing is left.
+ * <p>A load balancer sends new connections until two health checks have found the process not ready, and callers reuse
+ * their connections. Closing the port immediately would reset these connections. The process therefore first reports that
+ * it is not ready, continues to accept requests, adds "Connection: close" to each answer, and exits when no connection is
+ * left or shortly before the grace period ends.
  */
 final class GracefulStop {
-    /** The balancer asks once a second and needs two misses; the rest covers the way and a late question. */
+    /** Two health checks of the load balancer, one second apart, plus a margin for network delay and a late check. */
     private static final Duration LISTENING_ON = Duration.ofMillis(2600);
 
-    /** Kept of the time until the process is killed, so that the last answers still leave. */
+    /** Reserved at the end of the grace period, before the process is killed, for sending the last answers. */
     private static final Duration MARGIN = Duration.ofMillis(500);
 
     private final CallerServer callers;
@@ -49,7 +50,7 @@
         return begun;
     }
 
-    /** Takes the next step if its time has come. */
+    /** Performs the next step if it is due. */
     void check(long now) {
         if (!begun) {
             return;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/PlainHttpServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/PlainHttpServer.java
@@ -22,7 +22,7 @@
 import org.aspenmoor.internal.gateway.caller.ListeningPort;
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
 
-/** Answers GET requests for a few fixed paths: readiness, metrics, the state dump. */
+/** HTTP server for a fixed set of paths: readiness, metrics and the state dump. */
 final class PlainHttpServer {
     private static final int MOST_REQUEST_BYTES = 16_384;
 
@@ -46,7 +46,7 @@
                                 .addLast(new PageHandler());
                     }
                 });
-        Channel listener = ListeningPort.open(bootstrap, address, "A port for operators");
+        Channel listener = ListeningPort.open(bootstrap, address, "The port for operators");
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -55,8 +55,9 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String path = request.uri().split("\\?", 2)[0];
             Supplier<FullHttpResponse> page = pages.get(path);
-            FullHttpResponse answer =
-                    page == null ? LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "There is no such page.") : page.get();
+            FullHttpResponse answer = page == null
+                    ? LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "The path does not exist.")
+                    : page.get();
             boolean kept = HttpUtil.isKeepAlive(request);
             HttpUtil.setKeepAlive(answer, kept);
             if (kept) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
@@ -5,10 +5,10 @@
 import org.aspenmoor.AspenmoorException;
 
 /**
- * The signals that a process of an entry answers to.
+ * Handlers for the signals of an entry process.
  *
- * <p>The runtime ends a process at SIGHUP unless a handler is set, and its only interface for that is one that the
- * compiler warns of; so it is reached by name.
+ * <p>The Java runtime terminates a process on SIGHUP unless a handler is installed. The only interface for installing one
+ * is an internal class for which the compiler issues a warning, so it is accessed by reflection.
  */
 public final class Signals {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
@@ -16,12 +16,12 @@
 
     private Signals() {}
 
-    /** Runs something when the process is asked to stop. */
+    /** Runs the action on SIGTERM. */
     public static void onTerminate(Runnable action) throws AspenmoorException {
         handle("TERM", action);
     }
 
-    /** Runs something when the process is asked to read its settings again. */
+    /** Runs the action on SIGHUP, which requests that the settings are read again. */
     public static void onReload(Runnable action) throws AspenmoorException {
         handle("HUP", action);
     }
@@ -40,7 +40,7 @@
             signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signal, handler);
         } catch (ReflectiveOperationException missing) {
             throw new AspenmoorException(
-                    "The runtime offers no way to handle the signal " + name + ".",
+                    "The Java runtime cannot handle the signal " + name + ".",
                     SIGNAL_CLASS,
                     "Run with a JDK that has the module jdk.unsupported.",
                     missing);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.serving.ServerSummary;
 import org.aspenmoor.internal.serving.ServingConfiguration;
 
-/** What one entry knows and does at this moment, as JSON for operators. Confined to the event loop. */
+/** Creates a snapshot of an entry's state as JSON for operators. Confined to the event loop. */
 final class StateDump {
     private static final double MILLISECONDS = 1000;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/AwaitedAnswer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/AwaitedAnswer.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 
-/** Collects the whole answer to a call of the process itself. */
+/** Collects the complete answer to an HTTP request that the entry sends on its own behalf. */
 public final class AwaitedAnswer implements ExchangeListener {
     private static final int MOST_BODY_CHARACTERS = 1_000_000;
 
@@ -15,7 +15,7 @@
     private final StringBuilder body = new StringBuilder();
     private int status;
 
-    /** Returns what is completed with the answer, or with the failure of the call. */
+    /** Returns a future that completes with the answer, or exceptionally with an {@link IOException}. */
     public CompletableFuture<Answer> done() {
         return done;
     }
@@ -48,10 +48,10 @@
     }
 
     /**
-     * A whole answer.
+     * A complete answer.
      *
-     * @param status its HTTP status
-     * @param body its body
+     * @param status the HTTP status code
+     * @param body the body, decoded as UTF-8; parts that arrive after the size limit is reached are discarded
      */
     public record Answer(int status, String body) {}
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
@@ -16,17 +16,17 @@
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 
 /**
- * One connection to one backend server; carries one request at a time.
+ * A connection to a backend server, used for one request at a time.
  *
- * <p>A faulty server may send a second answer, an answer to an earlier request, or bytes after an answer. Handed to the
- * caller of the next request they would be somebody else's draft. So an answer must name the request that is out, and a
- * connection on which anything comes unasked is not used again.
+ * <p>A faulty server may send a second answer, an answer to an earlier request, or bytes after an answer. Forwarding them
+ * would disclose the content of one caller's request to another caller. An answer that names another request than the
+ * current one is therefore discarded, and a connection that has received unexpected data is not reused.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
-    /** Used where a server does not say how long it keeps idle connections; below the usual five seconds. */
+    /** Idle timeout for servers that do not announce one; shorter than the common server default of five seconds. */
     private static final Duration USUAL_IDLE_LIMIT = Duration.ofSeconds(3);
 
-    /** Taken off a server's own limit, so that it does not close just as the next request is on its way. */
+    /** Subtracted from the announced idle timeout, so that the server does not close the connection during a send. */
     private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
 
     private final Channel channel;
@@ -105,7 +105,7 @@
     private void take(HttpObject part) {
         DecoderResult decoded = part.decoderResult();
         if (decoded.isFailure()) {
-            breakOff("the server sent bytes that are no answer");
+            breakOff("the server sent data that is not a valid HTTP answer");
             return;
         }
         if (current == null) {
@@ -158,7 +158,7 @@
         if (content.content().isReadable()) {
             current.listener().data(content.content());
         }
-        // The decoder also ends an answer without a length when the connection is reset; that one is not complete.
+        // When a connection is reset, the decoder also ends an answer that has no content length; it is not complete.
         if (last && current != null && !failed) {
             answerComplete = true;
             giveBackIfDone();
@@ -166,8 +166,9 @@
     }
 
     /**
-     * A server may answer before it has read the whole request. The connection goes back only when both are done, since
-     * the rest of a body would otherwise be taken for the next request.
+     * Ends the exchange once its answer is complete, and returns the connection to the pool if it can be reused. A server
+     * may answer before it has read the complete request. Such a connection is closed, because the server would treat the
+     * rest of the body as the next request.
      */
     private void giveBackIfDone() {
         if (!answerComplete || current == null) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
@@ -10,10 +10,11 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * All connections to backend servers. Confined to the event loop.
+ * The connections of this entry to all backend servers. Confined to the event loop.
  *
- * <p>A server accepts a fixed number of connections from all entries together and resets those beyond it, with the
- * requests on them. So each entry opens no more than its part; a request beyond it is tried elsewhere or refused unrun.
+ * <p>A server accepts a fixed number of connections from all entries together and resets any further connection,
+ * together with the request on it. Each entry therefore opens no more than its share. A request that would need another
+ * connection is not sent; it is tried on another server or refused without having run.
  */
 public final class BackendConnections {
     private final BackendProtocol protocol;
@@ -25,9 +26,9 @@
     private long openedBefore;
 
     /**
-     * Makes the connections.
+     * Creates an instance without open connections.
      *
-     * @param mostOpen how many connections may be open to one server of a service
+     * @param mostOpen returns the maximum number of open connections to one server, given the name of its service
      */
     public BackendConnections(
             BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> mostOpen) {
@@ -38,19 +39,19 @@
         this.probes = new ServerProbes(eventLoop, ServerProbes.SECOND_LOOK);
     }
 
-    /** Sends a request, of which it takes over the reference. */
+    /** Sends a request and takes ownership of its buffer. */
     public Exchange send(BackendServer server, String requestId, FullHttpRequest request, ExchangeListener listener) {
         Exchange exchange = new Exchange(requestId, request, listener);
         connectionsTo(server).send(exchange, mostOpen.applyAsInt(server.service()));
         return exchange;
     }
 
-    /** Tells the listener whether a server that broke a connection has ended. */
+    /** Checks whether a server whose connection broke has terminated, and notifies the listener of the result. */
     public void probe(BackendServer server, ServerProbes.Listener listener) {
         probes.probe(server, listener);
     }
 
-    /** Closes idle connections to a server that is gone. */
+    /** Closes the idle connections to a server that has been removed; those in use are closed after their request. */
     public void forget(String server) {
         ServerConnections connections = byServer.remove(server);
         if (connections != null) {
@@ -59,12 +60,12 @@
         }
     }
 
-    /** Closes idle connections that servers would soon close themselves. */
+    /** Closes idle connections that have almost reached the idle timeout of their server. */
     public void closeStale() {
         byServer.values().forEach(ServerConnections::closeStale);
     }
 
-    /** Returns how many connections were opened. */
+    /** Returns the number of connections opened since the start of this process. */
     public long opened() {
         return openedBefore
                 + byServer.values().stream()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/Exchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/Exchange.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** One request to one backend server. Confined to the event loop. */
+/** A request sent to a backend server, and its answer. Confined to the event loop. */
 public final class Exchange {
     private final String requestId;
     private final FullHttpRequest request;
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Ends the exchange without telling the listener. A server drops a request whose connection closes, so that it does
-     * not go on working for a caller that has left.
+     * Ends the exchange without notifying the listener, and closes its connection. The server then aborts the request
+     * instead of working on it for a caller that has disconnected.
      */
     public void cancel() {
         if (ended) {
@@ -32,7 +32,7 @@
         connection.close();
     }
 
-    /** Stops or goes on reading the answer, so that a caller who reads slowly slows the server down. */
+    /** Pauses or resumes reading the answer, which applies the backpressure of a slow caller to the server. */
     public void read(boolean on) {
         if (connection != null && !ended) {
             connection.read(on);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
@@ -4,20 +4,20 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 
-/** Hears what becomes of one request to one backend server; exactly one of the last three calls ends it. */
+/** Receives the events of an {@link Exchange}; exactly one call of the last three methods ends it. */
 public interface ExchangeListener {
-    /** The head of the answer came. */
+    /** Called when the head of the answer has been received. */
     void head(HttpResponse head, AnswerFacts facts);
 
-    /** A part of the body came; the listener does not own the buffer. */
+    /** Called when a part of the body has been received; the buffer is valid only during the call unless retained. */
     void data(ByteBuf part);
 
-    /** The answer is complete. */
+    /** Called when the answer is complete. */
     void complete();
 
-    /** No connection came about; nothing was sent. */
+    /** Called when no connection was available; nothing was sent. */
     void neverSent(String reason);
 
-    /** The connection broke, or what came is no answer to this request. */
+    /** Called when the connection broke or the received data was not a valid answer. */
     void broken(String reason);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
@@ -14,11 +14,11 @@
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** The connections to one start of one backend server. Confined to the event loop. */
+/** The pool of connections to one incarnation of a backend server. Confined to the event loop. */
 final class ServerConnections {
     /**
-     * A server in the same region answers a connection request within a few milliseconds. One that is gone never does;
-     * the operating system would try for seconds, longer than callers wait.
+     * A server in the same region accepts a connection within a few milliseconds. A server that has been removed never
+     * does, and the operating system's timeout of several seconds is longer than callers wait.
      */
     static final int CONNECT_TIMEOUT_MILLISECONDS = 250;
 
@@ -46,7 +46,7 @@
         return server.sameStart(other);
     }
 
-    /** Sends a request, over a new connection only while fewer than the given number are open. */
+    /** Sends a request over an idle connection, or over a new one if fewer than the given number are open. */
     void send(Exchange exchange, int mostOpen) {
         BackendConnection reused = takeIdle();
         if (reused != null) {
@@ -54,8 +54,9 @@
             return;
         }
         if (open >= mostOpen) {
-            // Told later, since the sender does not yet hold what this call returns.
-            eventLoop.execute(() -> notSent(exchange, open + " connections are open, which is this entry's part"));
+            // Reported in a later task, because the sender does not have the exchange yet that is about to be returned.
+            eventLoop.execute(
+                    () -> notSent(exchange, open + " connections are open, which is the limit for this entry"));
             return;
         }
         open(exchange);
@@ -77,7 +78,7 @@
         return time.monotonicNanoseconds();
     }
 
-    /** Closes connections that the server would soon close itself. */
+    /** Closes idle connections that have almost reached the server's idle timeout. */
     void closeStale() {
         long now = now();
         while (!idle.isEmpty() && !idle.peekLast().usable(now)) {
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Keeps no connection from now on; those in use end with their request. */
+    /** Closes the idle connections; those in use are closed when their request ends. */
     void retire() {
         retired = true;
         while (!idle.isEmpty()) {
@@ -138,7 +139,9 @@
                 made[0].send(exchange);
                 return;
             }
-            notSent(exchange, "no connection: " + connected.cause().getMessage());
+            notSent(
+                    exchange,
+                    "cannot connect to the server: " + connected.cause().getMessage());
         });
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
@@ -18,14 +18,14 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * Finds out whether a server that broke a connection has ended. Confined to the event loop.
+ * Checks whether a server whose connection broke has terminated. Confined to the event loop.
  *
- * <p>Connections also break where a server lives: it closes idle ones, loses answers, resets those beyond its limit. One
- * that has ended takes no new connection. Its port may be open a moment longer than its connections, so one that is taken
- * is tried a second time. One probe tells for all who ask while it is under way.
+ * <p>A running server also breaks connections: it closes idle ones, loses answers, and resets connections that exceed its
+ * limit. A terminated server accepts no new connection. Its port may stay open a little longer than its connections, so a
+ * successful connection attempt is repeated once. Listeners that are added during a probe share its result.
  */
 public final class ServerProbes {
-    /** After which a port that is still open belongs to a server that lives. */
+    /** How long the first connection is held before the second attempt; a server whose port is then open is running. */
     static final Duration SECOND_LOOK = Duration.ofMillis(100);
 
     private final EventLoop eventLoop;
@@ -37,7 +37,7 @@
         this.secondLook = secondLook;
     }
 
-    /** Tells the listener whether the server takes no connection any more. */
+    /** Notifies the listener whether the server has stopped accepting connections. */
     void probe(BackendServer server, Listener listener) {
         boolean first = !waiting.containsKey(server);
         waiting.computeIfAbsent(server, unseen -> new ArrayList<>()).add(listener);
@@ -57,7 +57,7 @@
         });
     }
 
-    /** Looks once the first connection has broken too, or has stood for a while. */
+    /** Connects again once the first connection has broken or has been open for the delay. */
     private void lookAgain(BackendServer server, Channel first) {
         Future<?> stood = eventLoop.schedule(() -> first.close(), secondLook.toNanos(), TimeUnit.NANOSECONDS);
         first.closeFuture().addListener(closed -> {
@@ -83,7 +83,7 @@
         waiting.remove(server).forEach(listener -> listener.probed(ended));
     }
 
-    /** A connection that breaks tells enough by that. */
+    /** Closes a connection that fails; the probe only depends on whether the connection is open. */
     private static final class IgnoringHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable broken) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Hears whether a server has ended. */
+    /** Receives the result of a probe. */
     @FunctionalInterface
     public interface Listener {
         void probed(boolean ended);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ActiveRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ActiveRequest.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.gateway.caller;
 
-/** A request that is being served, as its caller's connection sees it. */
+/** A request that is being served; receives the events of its caller's connection. */
 public interface ActiveRequest {
-    /** The caller has left. */
+    /** Called when the caller has closed its connection. */
     void callerLeft();
 
-    /** Whether the caller takes more has changed. */
+    /** Called when the connection's outbound buffer has become full or writable again. */
     void writabilityChanged();
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ArrivalHandler.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ArrivalHandler.java
@@ -3,7 +3,7 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells a caller's connection of bytes before they make a whole head, so that a slow head can be timed. */
+/** Notifies a caller's connection of received bytes before HTTP decoding, so that a slow request head can time out. */
 final class ArrivalHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -27,13 +27,13 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * One connection of a caller: reads whole requests, one after the other, and writes their answers.
+ * A connection of a caller: reads complete requests, one after the other, and writes their answers.
  *
- * <p>It goes on reading while a request is served, since only so does it notice that the caller has left; what comes
- * early waits, within a bound.
+ * <p>The connection continues reading while a request is served, because otherwise it would not detect that the caller
+ * has disconnected. Parts of later requests are queued up to a limit.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerLink {
-    /** Parts of later requests that may wait behind the one being served, in HTTP objects. */
+    /** Number of queued HTTP objects of later requests beyond which reading is paused until the current request ends. */
     private static final int MOST_WAITING_PARTS = 64;
 
     private final Channel channel;
@@ -58,7 +58,7 @@
         this.quietSince = time.monotonicNanoseconds();
     }
 
-    /** Notes bytes of a request that is not complete yet. */
+    /** Records that bytes have been received, which may be the start of a request. */
     void bytesArrived() {
         if (!receiving && !serving) {
             receiving = true;
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Closes the connection where its limits say so. */
+    /** Closes the connection if it has exceeded its header or idle timeout. */
     void check(long now) {
         if (serving || closing) {
             return;
@@ -74,13 +74,15 @@
         ConnectionLimits limits = service.limits();
         long quiet = now - quietSince;
         if (receiving && quiet > limits.headerTimeout().toNanos() && head == null) {
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT, "The request's head did not arrive in time.");
+            refuse(
+                    HttpResponseStatus.REQUEST_TIMEOUT,
+                    "The request's head was not received within the header timeout.");
         } else if (quiet > limits.idleTimeout().toNanos()) {
             close();
         }
     }
 
-    /** Closes the connection if no request is on it. */
+    /** Closes the connection if no request is being received or served on it. */
     void closeIfIdle() {
         if (!serving && !receiving) {
             close();
@@ -193,11 +195,11 @@
         headArrivedAt = quietSince;
         receiving = true;
         if (request.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "The request cannot be read: it is no proper HTTP.");
+            refuse(HttpResponseStatus.BAD_REQUEST, "The request is not valid HTTP.");
             return;
         }
         if (request.headers().getAll(HttpHeaderNames.HOST).size() > 1) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "The request names more than one host.");
+            refuse(HttpResponseStatus.BAD_REQUEST, "The request has more than one Host header.");
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > service.limits().mostBodyBytes()) {
@@ -226,8 +228,8 @@
         if (!service.reserve(bytes)) {
             dropBody();
             closing = true;
-            FullHttpResponse full =
-                    LocalAnswers.notRun("Too many requests are being read.", java.time.Duration.ofSeconds(1));
+            FullHttpResponse full = LocalAnswers.notRun(
+                    "the limit on request bodies held in memory has been reached", java.time.Duration.ofSeconds(1));
             full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             channel.writeAndFlush(full).addListener(ChannelFutureListener.CLOSE);
             return;
@@ -240,9 +242,9 @@
     }
 
     /**
-     * Serves the request once all has been read that the connection holds. An entry that was short of processor time finds
-     * requests whose callers have closed long ago; served at once, before the close behind them is read, a server would
-     * work on them for nobody.
+     * Schedules the request to be served after all data available on the connection has been read. After a lack of
+     * processor time, an entry receives requests whose callers have already disconnected. If they were served before the
+     * close is read, a server would work on them although nobody waits for the answer.
      */
     private void start() {
         IncomingRequest request = new IncomingRequest(head, body, headArrivedAt);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerLink.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerLink.java
@@ -4,23 +4,23 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** The way back to the caller of one request. Confined to the event loop. */
+/** Writes the answer to one request to its caller. Confined to the event loop. */
 public interface CallerLink {
-    /** Sends a whole answer. */
+    /** Sends a complete answer. */
     void answer(FullHttpResponse answer);
 
-    /** Begins an answer whose length is not known. */
+    /** Begins an answer of unknown length. */
     void begin(HttpResponse head);
 
-    /** Sends a part of a begun answer; takes over the reference. */
+    /** Sends a part of an answer that has begun, and takes ownership of the buffer. */
     void part(ByteBuf part);
 
-    /** Ends a begun answer as complete. */
+    /** Ends an answer that has begun, as complete. */
     void end();
 
-    /** Breaks a begun answer off, so that the caller sees that it is not complete. */
+    /** Closes the connection within an answer, so that the caller detects that it is incomplete. */
     void breakOff();
 
-    /** Returns whether the caller takes more at the moment. */
+    /** Returns whether the connection's outbound buffer has room for more data. */
     boolean writable();
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
@@ -17,13 +17,13 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Listens for callers. All but the start is confined to the event loop. */
+/** Accepts the connections of callers. All methods but {@link #start} are confined to the event loop. */
 public final class CallerServer {
     private static final int MOST_INITIAL_LINE = 16_384;
     private static final int CHUNK_BYTES = 16_384;
     private static final int BACKLOG = 1024;
 
-    /** Reads of one connection in a row, so that none keeps the others waiting. */
+    /** Consecutive reads from one connection, so that no connection delays the others. */
     private static final int MOST_READS = 16;
 
     private final RequestService service;
@@ -36,7 +36,7 @@
         this.time = time;
     }
 
-    /** Opens the port; returns the address it got. */
+    /** Opens the port and returns the address it is bound to. */
     public InetSocketAddress start(EventLoopGroup group, InetSocketAddress address) throws AspenmoorException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
@@ -55,36 +55,39 @@
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Closes connections that break their limits. */
+    /** Closes connections that have exceeded their timeouts. */
     public void check(long now) {
         for (CallerConnection connection : List.copyOf(connections)) {
             connection.check(now);
         }
     }
 
-    /** Takes no new connection from now on. */
+    /** Closes the port, so that no new connections are accepted. */
     public void stopListening() {
         if (listener != null) {
             listener.close();
         }
     }
 
-    /** Closes the connections on which no request is being read or served. */
+    /** Closes the connections on which no request is being received or served. */
     public void closeIdle() {
         new ArrayList<>(connections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns how many connections are open. */
+    /** Returns the number of open connections. */
     public int open() {
         return connections.size();
     }
 
-    /** Returns how many requests are being served. */
+    /** Returns the number of requests being served. */
     public long serving() {
         return connections.stream().filter(CallerConnection::serving).count();
     }
 
-    /** By default a read that fills no buffer is the last for now, and a close behind it shows only after the next wait. */
+    /**
+     * Returns an allocator that reads until no data is left. By default, a read that does not fill its buffer ends the read
+     * loop, and a close that follows the data is detected only after the next select.
+     */
     private static RecvByteBufAllocator readToTheEnd() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
         allocator.maxMessagesPerRead(MOST_READS);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/IncomingRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/IncomingRequest.java
@@ -5,14 +5,14 @@
 import io.netty.handler.codec.http.HttpRequest;
 
 /**
- * One whole request of a caller.
+ * A complete request received from a caller.
  *
- * @param head its head
- * @param body its body; whoever takes the request releases it
- * @param arrivedAt when its head had arrived, on the monotonic clock
+ * @param head the request line and headers
+ * @param body the body; the receiver of the request releases it
+ * @param arrivedAt when the head was received, in nanoseconds of the monotonic clock
  */
 public record IncomingRequest(HttpRequest head, ByteBuf body, long arrivedAt) {
-    /** Returns the host that the request names, without a port; empty where it names none. */
+    /** Returns the value of the Host header without a port; empty if the header is missing. */
     public String host() {
         String host = head.headers().get(HttpHeaderNames.HOST, "");
         int port = host.lastIndexOf(':');
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
@@ -5,11 +5,16 @@
 import java.net.InetSocketAddress;
 import org.aspenmoor.AspenmoorException;
 
-/** Opens the ports of an entry. */
+/** Opens the listening ports of an entry. */
 public final class ListeningPort {
     private ListeningPort() {}
 
-    /** Opens a port and returns its channel; the purpose names it in the error where it is taken. */
+    /**
+     * Binds a port and returns its channel.
+     *
+     * @param purpose what the port is for; the subject of the error message
+     * @throws AspenmoorException if the port cannot be bound
+     */
     public static Channel open(AbstractBootstrap<?, ?> bootstrap, InetSocketAddress address, String purpose)
             throws AspenmoorException {
         try {
@@ -18,7 +23,7 @@
             throw new AspenmoorException(
                     purpose + " cannot be opened: " + taken.getMessage() + ".",
                     address.toString(),
-                    "Choose a free port, or end the process that has it.",
+                    "Choose a free port, or stop the process that uses this one.",
                     taken);
         }
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/LocalAnswers.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/LocalAnswers.java
@@ -11,13 +11,13 @@
 import java.time.Duration;
 import java.util.Locale;
 
-/** Answers that an entry gives itself. */
+/** Answers that an entry generates itself, without a backend server. */
 public final class LocalAnswers {
     private static final double MILLISECONDS = 1000.0;
 
     private LocalAnswers() {}
 
-    /** Returns an answer with one sentence as its body. */
+    /** Returns a plain-text answer with the message as its body. */
     public static FullHttpResponse of(HttpResponseStatus status, String sentence) {
         ByteBuf body = Unpooled.copiedBuffer(sentence + "\n", StandardCharsets.UTF_8);
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
@@ -26,7 +26,7 @@
         return answer;
     }
 
-    /** Returns the refusal of a request that has not run and will not, with the time after which to come back. */
+    /** Returns the refusal of a request that has not run and will not run, with a Retry-After header in seconds. */
     public static FullHttpResponse notRun(String reason, Duration comeBackAfter) {
         FullHttpResponse answer =
                 of(HttpResponseStatus.SERVICE_UNAVAILABLE, "The request has not run: " + reason + ".");
@@ -35,7 +35,7 @@
         return answer;
     }
 
-    /** Returns the failure of a request that may have run, without an answer in its time or at all. */
+    /** Returns the failure of a request that may have run: 504 if its deadline has passed, otherwise 502. */
     public static FullHttpResponse unknown(String reason, boolean timeIsOver) {
         HttpResponseStatus status = timeIsOver ? HttpResponseStatus.GATEWAY_TIMEOUT : HttpResponseStatus.BAD_GATEWAY;
         return of(status, "The request may have run: " + reason + ".");
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/RequestService.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/RequestService.java
@@ -2,23 +2,23 @@
 
 import org.aspenmoor.internal.serving.ConnectionLimits;
 
-/** Serves callers' requests; called on the event loop. */
+/** Serves the requests of callers. All methods are called on the event loop. */
 public interface RequestService {
-    /** Begins to serve a request. It may be answered before this returns. */
+    /** Starts serving a request; the answer may be sent before this method returns. */
     ActiveRequest serve(IncomingRequest request, CallerLink link);
 
-    /** Drops a request whose caller had left before it could be served. */
+    /** Discards a request whose caller disconnected before serving started. */
     void drop(IncomingRequest request);
 
-    /** Returns what callers' connections may do now. */
+    /** Returns the limits that currently apply to the connections of callers. */
     ConnectionLimits limits();
 
-    /** Returns whether the process is about to end, so that connections should not be kept. */
+    /** Returns whether the process is shutting down, so that connections are closed after their current request. */
     boolean stopping();
 
-    /** Returns whether more request bodies may be held in memory, given the size of one. */
+    /** Reserves memory for a part of a request body; returns false if the limit would be exceeded. */
     boolean reserve(int bytes);
 
-    /** Gives back what was reserved. */
+    /** Releases reserved memory. */
     void release(int bytes);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/package-info.java
@@ -1,2 +1,2 @@
-/** Connections of callers. */
+/** Connections of callers: receiving requests and sending answers. */
 package org.aspenmoor.internal.gateway.caller;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/package-info.java
@@ -1,2 +1,2 @@
-/** An entry that hands callers' requests to backend servers itself, over HTTP, without an agent on the way. */
+/** An entry that forwards callers' requests directly to backend servers over HTTP, without an agent in between. */
 package org.aspenmoor.internal.gateway;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/AnswerFacts.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/AnswerFacts.java
@@ -5,13 +5,13 @@
 import org.aspenmoor.internal.serving.ReportedLoad;
 
 /**
- * What the head of a backend server's answer tells.
+ * Metadata that a backend server sends in the head of an answer.
  *
- * @param requestId the request it answers
- * @param signed whether it carries the server's signature
- * @param notExecuted whether the server says that it did not run the request and will not
- * @param load the server's load
- * @param idleLimit how long the server keeps an idle connection
+ * @param requestId the request that the answer belongs to; empty if the server names none
+ * @param signed whether the answer carries the server's signature
+ * @param notExecuted whether the server states that it has not executed the request and will not execute it
+ * @param load the load that the server reports
+ * @param idleLimit how long the server keeps an idle connection open
  */
 public record AnswerFacts(
         Optional<String> requestId,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/BackendProtocol.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/BackendProtocol.java
@@ -7,32 +7,32 @@
 import java.util.Optional;
 import org.aspenmoor.internal.serving.PromptPart;
 
-/** The headers and calls that backend servers understand. */
+/** Maps an entry's own types to the headers and HTTP calls of backend servers. */
 public interface BackendProtocol {
-    /** Replaces whatever a caller wrote into headers that only an entry may set by what the delivery says. */
+    /** Sets the headers that are reserved for entries, and removes any values that the caller sent in them. */
     void address(HttpHeaders headers, Delivery delivery);
 
-    /** Reads the head of an answer. */
+    /** Reads the metadata in the head of an answer. */
     AnswerFacts read(HttpResponse head);
 
-    /** Reads the name of a computed prompt from the body of an answer; empty where there is none. */
+    /** Reads the handle of a prefilled prompt's cache from the body of an answer; empty if there is none. */
     Optional<String> readHandle(String body);
 
-    /** Returns the call that frees a computed prompt. */
+    /** Returns the HTTP request that makes an engine release the cache of a prefilled prompt. */
     FullHttpRequest release(CacheSource source);
 
-    /** Returns the call that asks an engine for a report. */
+    /** Returns the HTTP request that queries an engine's report. */
     FullHttpRequest askReport(String server);
 
-    /** Reads an engine's report; empty where the body is none. */
+    /** Reads an engine's report; empty if the body is not a report. */
     Optional<EngineReport> readReport(String body);
 
-    /** Returns the call that orders an engine to change its role. */
+    /** Returns the HTTP request that orders an engine to change its role. */
     FullHttpRequest order(RoleOrder order);
 
-    /** Returns the call that asks an engine which prompt parts it keeps. */
+    /** Returns the HTTP request that lists the prompt parts in an engine's cache. */
     FullHttpRequest askCache(String server);
 
-    /** Reads the prompt parts that an engine keeps; empty where the body names none. */
+    /** Reads the list of prompt parts in an engine's cache; empty if the body contains none. */
     List<PromptPart> readCache(String body);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerProtocol.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerProtocol.java
@@ -2,8 +2,8 @@
 
 import io.netty.handler.codec.http.HttpRequest;
 
-/** The headers that callers use. */
+/** Reads the headers of callers' requests. */
 public interface CallerProtocol {
-    /** Reads what a caller says of its request; what cannot be read counts as not said. */
+    /** Reads the headers of a request; a malformed header is treated as missing. */
     CallerRequest read(HttpRequest head);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerRequest.java
@@ -5,10 +5,10 @@
 import org.aspenmoor.internal.serving.Prompt;
 
 /**
- * What a caller says of its request beside method, path and body.
+ * Values that a caller sends in the headers of its request.
  *
- * @param id its identity; empty text where the caller gave none
- * @param patience how long the caller will wait, counted from when it sent the request
- * @param prompt what it says of its prompt
+ * @param id identifies the request; an empty string if the caller sent no identifier
+ * @param patience how long the caller waits for the answer, from the time it sent the request; empty if not stated
+ * @param prompt the description of the request's prompt; empty if not stated or incomplete
  */
 public record CallerRequest(String id, Optional<Duration> patience, Optional<Prompt> prompt) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/Delivery.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/Delivery.java
@@ -5,15 +5,15 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * How a request is handed to one backend server.
+ * Parameters that an entry passes to a backend server together with a request.
  *
- * @param server the identity that the server must have to take it
- * @param timeLeft how long the server may work on it
- * @param priority its rank; 0 goes first
- * @param work which part of it is wanted
- * @param cacheSource where the computed prompt lies, if it was computed elsewhere
- * @param holder an engine that probably keeps the shared beginning of the prompt
- * @param lastEvent the last event that the caller has, if the answer is continued
+ * @param server the identity of the intended server; a server with another identity rejects the request
+ * @param timeLeft how long the server may work on the request
+ * @param priority the priority of the request; 0 is the highest
+ * @param work the part of the request that the server executes
+ * @param cacheSource the location of the prompt's cache, if another engine has prefilled the prompt
+ * @param holder an engine that probably has the shared prefix of the prompt in its cache
+ * @param lastEvent the identifier of the last event that the caller has received, if the answer is resumed
  */
 public record Delivery(
         String server,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/EngineReport.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/EngineReport.java
@@ -3,10 +3,10 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * What an engine says of itself when asked.
+ * State of an engine, as the engine reports it in answer to a query.
  *
- * @param role its role
- * @param ordersTaken how many orders it has accepted since it started
- * @param changing whether it is carrying one out
+ * @param role the engine's current role
+ * @param ordersTaken the number of orders that the engine has accepted since it started
+ * @param changing whether the engine is executing an order
  */
 public record EngineReport(EngineRole role, long ordersTaken, boolean changing) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
@@ -5,10 +5,11 @@
 /**
  * An order to an engine to change its role.
  *
- * @param server the identity that the engine must have to take it
- * @param role the new role
- * @param holder the process that gives it
- * @param number the number under which the holder may give orders
- * @param ordersTaken how many orders the engine must have accepted before; so one that arrives late changes nothing
+ * @param server the identity of the intended engine; an engine with another identity rejects the order
+ * @param role the role to change to
+ * @param holder the process that holds the order lease and sends the order
+ * @param number the fencing number of the holder's lease
+ * @param ordersTaken the number of orders that the engine must have accepted before; an order that arrives late does
+ *     not meet this precondition and has no effect
  */
 public record RoleOrder(String server, EngineRole role, String holder, long number, long ordersTaken) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/WantedWork.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/WantedWork.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.gateway.protocol;
 
-/** Which part of a request a backend server is asked for. */
+/** The part of a request that a backend server executes. */
 public enum WantedWork {
-    /** The answer. */
+    /** Generates the answer. */
     ANSWER,
-    /** Only the computed prompt, kept for another engine to fetch; the request does not run. */
+    /** Prefills the prompt and keeps its cache for transfer to another engine; generates no answer. */
     PROMPT_ONLY
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/package-info.java
@@ -1,2 +1,2 @@
-/** What an entry asks of the words that callers and backend servers use; an adapter implements it. */
+/** Interfaces through which an entry reads and writes the protocols of callers and backend servers; adapters implement them. */
 package org.aspenmoor.internal.gateway.protocol;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
@@ -6,21 +6,21 @@
 import org.aspenmoor.internal.serving.PlacementSettings;
 
 /**
- * The settings of an entry that serves callers itself.
+ * The settings of an entry that forwards requests directly to backend servers.
  *
- * @param process its name
- * @param callers where it listens for callers
- * @param readiness where it says whether it wants new connections
- * @param readinessPath the path asked there
- * @param administration where metrics and the state dump are served
- * @param peers where it hears other entries
- * @param store the store's address
- * @param watchTime how long one call for changes may wait at the store
- * @param serverChangePause how long changes of servers may gather at the store before they are asked for
- * @param grace how long after SIGTERM the process is left alone
- * @param mostBodyBytes how many bytes of request bodies may be held at once
- * @param placement what placements go by
- * @param repeats how many repeats may be sent
+ * @param process the name of the entry process
+ * @param callers the address that callers connect to
+ * @param readiness the address at which the entry reports whether it accepts new connections
+ * @param readinessPath the path of the readiness report
+ * @param administration the address at which metrics and the state dump are served
+ * @param peers the address at which reports of other entries are received
+ * @param store the address of the store
+ * @param watchTime how long one long poll for changes may wait at the store
+ * @param serverChangePause how long changes of servers are left to accumulate at the store before the next poll
+ * @param grace how long after SIGTERM the process may run before it is killed
+ * @param mostBodyBytes the maximum total size of the request bodies held in memory, in bytes
+ * @param placement the settings for the placement of requests
+ * @param repeats the limits on repeated attempts
  */
 public record GatewaySettings(
         String process,
@@ -36,7 +36,7 @@
         int mostBodyBytes,
         PlacementSettings placement,
         RepeatSettings repeats) {
-    /** Returns whether the other names the same process and addresses, so that it can be taken up without a restart. */
+    /** Returns whether the other settings have the same process name and addresses, which only change with a restart. */
     public boolean sameAddresses(GatewaySettings other) {
         return process.equals(other.process)
                 && callers.equals(other.callers)
@@ -47,7 +47,7 @@
                 && store.equals(other.store);
     }
 
-    /** Returns the same settings with another store. */
+    /** Returns a copy of these settings with another address of the store. */
     public GatewaySettings withStore(URI otherStore) {
         return new GatewaySettings(
                 process,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -10,25 +10,25 @@
 import org.aspenmoor.internal.routing.EngineSpeedReader;
 import org.aspenmoor.internal.serving.PlacementSettings;
 
-/** Reads an entry's settings and reports all mistakes with their places at once. */
+/** Reads an entry's settings and reports all mistakes, with their locations, in one exception. */
 public final class GatewaySettingsReader {
     private static final int HIGHEST_PORT = 65_535;
     private static final int MEBIBYTE = 1024 * 1024;
     private static final int MOST_BODY_MEBIBYTES = 1024;
 
-    /** A sixth of the memory of the smallest host that entries run on. */
+    /** One sixth of the memory of the smallest host that entries run on. */
     private static final int USUAL_BODY_MEBIBYTES = 48;
 
-    /** Within this time a connection to the store that has gone silent must be noticed. */
+    /** Time within which an unresponsive connection to the store must be detected. */
     private static final int USUAL_SILENCE_MILLISECONDS = 2000;
 
-    /** Part of that time for which a call for changes waits; the rest is for giving it up and asking again. */
+    /** Fraction of that time for which a long poll waits; the rest is for its timeout and the next attempt. */
     private static final double WATCH_SHARE = 0.6;
 
-    /** For this time a leaving server still takes requests. */
+    /** Time for which a server that is leaving still accepts requests. */
     private static final int USUAL_LEAVING_MILLISECONDS = 2000;
 
-    /** Part of that time for which changes gather at the store; a late answer and a request under way fit into the rest. */
+    /** Fraction of that time for which changes accumulate at the store; the rest covers a late answer and a request in transit. */
     private static final double SERVER_PAUSE_SHARE = 0.35;
 
     private static final int MOST_MILLISECONDS = 3_600_000;
@@ -42,7 +42,7 @@
     private static final double MOST_SECONDS = 3600;
     private static final double LEAST_SECONDS = 0.1;
 
-    /** An engine that generates answers computes prompts between its decode steps, at about half its speed. */
+    /** An engine that generates answers prefills prompts between its decode steps, at about half of its prefill speed. */
     private static final double USUAL_OWN_PROMPT_SHARE = 0.5;
 
     private final Findings findings = new Findings();
@@ -52,7 +52,7 @@
         return SettingsFile.read(file, findings, this::readAll);
     }
 
-    /** Reads settings from a text. */
+    /** Reads settings from a string; the source is named in error messages. */
     public GatewaySettings read(String source, String text) throws AspenmoorException {
         return SettingsFile.read(source, text, findings, this::readAll);
     }
@@ -95,10 +95,10 @@
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (NumberFormatException notANumber) {
-            // Reported below, like a port out of range.
+            // Reported below, in the same way as a port out of range.
         }
         if (!text.isEmpty()) {
-            findings.add(reader.placeOf(name), "The address is malformed.", "Write it as IP:PORT.");
+            findings.add(reader.placeOf(name), "The address is not of the form IP:PORT.", "Write it as IP:PORT.");
         }
         return new InetSocketAddress(0);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsFollower.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsFollower.java
@@ -8,10 +8,10 @@
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 
 /**
- * Takes changed settings up, whether or not anybody signals the change.
+ * Reloads the settings file when its content has changed; no signal is required.
  *
- * <p>A file that cannot be read or has mistakes leaves the settings as they were: a slip of an editor must not stop a
- * process that serves.
+ * <p>If the file cannot be read or contains mistakes, the previous settings stay in force, because an editing mistake must
+ * not stop a process that serves requests.
  */
 public final class SettingsFollower {
     private final Path file;
@@ -28,7 +28,7 @@
         this.lastText = textOrEmpty();
     }
 
-    /** Looks at the file and hands its settings on if it has changed. */
+    /** Reads the file and passes its settings to the listener if the content has changed. */
     public synchronized void check() {
         String text = textOrEmpty();
         if (text.isEmpty() || text.equals(lastText)) {
@@ -42,12 +42,16 @@
             inForce = read;
             listener.accept(read);
             log.notable("settings-reloaded")
-                    .with("outcome", restart ? "in force, but changed addresses need a restart" : "in force")
+                    .with(
+                            "outcome",
+                            restart
+                                    ? "in force, except for the changed process name or addresses, which require a restart"
+                                    : "in force")
                     .write();
         } catch (AspenmoorException wrong) {
             log.notable("settings-refused")
                     .with("reason", wrong.getMessage())
-                    .with("outcome", "the settings before stay in force")
+                    .with("outcome", "the previous settings stay in force")
                     .write();
         }
     }
@@ -58,7 +62,7 @@
         } catch (IOException unreadable) {
             log.notable("settings-refused")
                     .with("reason", "the file cannot be read: " + unreadable.getMessage())
-                    .with("outcome", "the settings before stay in force")
+                    .with("outcome", "the previous settings stay in force")
                     .write();
             return "";
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of an entry that serves callers itself. */
+/** The settings of an entry that forwards requests directly to backend servers, and their reloading. */
 package org.aspenmoor.internal.gateway.settings;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/backend/ServerProbesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/backend/ServerProbesTest.java
@@ -20,7 +20,7 @@
 
 public class ServerProbesTest {
     private static final long PATIENCE_SECONDS = 60;
-    /** Longer than the test waits: only what the server does may bring the second look about. */
+    /** Longer than the test waits, so that only the server's behaviour can trigger the second connection attempt. */
     private static final Duration NEVER = Duration.ofMinutes(10);
 
     private NioEventLoopGroup group;
@@ -51,7 +51,8 @@
         assertEquals(probed(port.getLocalPort(), ServerProbes.SECOND_LOOK), false);
     }
 
-    // Guards against a server that is taken for living since its port closes a moment after its connections.
+    // Guards against treating a terminated server as running because its port closes slightly later than its
+    // connections.
     @Test
     public void should_look_again_where_the_port_closes_a_moment_later() throws Exception {
         int number = port.getLocalPort();
@@ -60,7 +61,7 @@
         assertEquals(probed(number, NEVER), true);
     }
 
-    // Guards against a server that is taken for ended since it resets connections beyond its limit.
+    // Guards against treating a running server as terminated because it resets connections that exceed its limit.
     @Test
     public void should_see_that_a_server_lives_which_closes_what_it_accepts() throws Exception {
         Thread.ofPlatform().daemon().start(this::acceptAndCloseAll);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
@@ -21,7 +21,7 @@
 public class GatewaySettingsReaderTest {
     private static final String LEAST = """
             {
-              // What has no default.
+              // Settings without a default.
               "process": "entry-1", "dataCentre": "here",
               "callers": "127.0.0.1:8000", "readiness": "127.0.0.1:8001", "administration": "127.0.0.1:8002",
               "peers": "127.0.0.1:8003", "store": "http://127.0.0.1:8004"
@@ -67,7 +67,8 @@
         assertEquals(taken.getFirst().grace(), Duration.ofSeconds(5));
     }
 
-    // Somebody's editor leaves half a file behind. The process that serves must go on as before, and say why.
+    // Guards against a process that stops serving because of an incomplete settings file, for example after a partial
+    // write.
     @Test
     public void should_keep_the_settings_where_the_file_is_wrong() throws Exception {
         Path file = Files.createTempFile("entry", ".json");
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP messages off a socket, byte by byte, so that nothing is hidden. */
+/** Reads HTTP messages from a stream byte by byte, so that no HTTP library hides faults in them. */
 final class HttpReader {
     private static final int HEX = 16;
 
@@ -30,7 +30,8 @@
         while (true) {
             int next = input.read();
             if (next < 0) {
-                throw new EOFException("The connection ended after: " + line.toString(StandardCharsets.UTF_8));
+                throw new EOFException(
+                        "The connection was closed within a line, after: " + line.toString(StandardCharsets.UTF_8));
             }
             if (next == '\n') {
                 return line.toString(StandardCharsets.UTF_8).replace("\r", "");
@@ -71,7 +72,7 @@
     private String readExactly(int length) throws IOException {
         byte[] bytes = input.readNBytes(length);
         if (bytes.length < length) {
-            throw new EOFException("The connection ended within a body.");
+            throw new EOFException("The connection was closed within a body.");
         }
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ReceivedRequest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ReceivedRequest.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * One request as a stand-in received it.
+ * A message as a stand-in received it.
  *
- * @param line its first line
- * @param headers its headers, with names in lower case
- * @param body its body
+ * @param line the first line: the request line, or the status line of an answer
+ * @param headers the headers, with names in lower case
+ * @param body the body
  */
 public record ReceivedRequest(String line, Map<String, String> headers, String body) {
     public ReceivedRequest {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A backend server that answers each request with the bytes its script says, good or bad. */
+/** A backend server that answers each request with the bytes that its script returns, valid HTTP or not. */
 public final class ScriptedBackend implements AutoCloseable {
     private static final long PATIENCE_SECONDS = 20;
 
@@ -41,17 +41,17 @@
         return received;
     }
 
-    /** Waits for a request. */
+    /** Waits for the next request and returns it. */
     public ReceivedRequest awaitRequest() throws InterruptedException {
         return present(arrivals.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Waits until a caller closes its connection. */
+    /** Waits until a client closes its connection. */
     public void awaitClose() throws InterruptedException {
         present(closed.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Returns whether a request has ended this server. */
+    /** Returns whether a request has made this server crash. */
     public boolean ended() {
         return ended;
     }
@@ -61,7 +61,7 @@
         listener.close();
     }
 
-    /** Takes no connection any more and breaks all that are open, as a process that crashes does. */
+    /** Stops accepting connections and closes all open ones, as a process that crashes does. */
     private void crash() throws IOException {
         int port = port();
         listener.close();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** A port that is closed while a thread waits at it stays open until that thread has woken. */
+    /** A port that is closed while a thread waits in accept stays open until that thread has been woken. */
     private static boolean takesConnections(int port) {
         try (Socket probe = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return probe.isConnected();
@@ -135,24 +135,25 @@
 
     private static <T> T present(T value) {
         if (value == null) {
-            throw new UncheckedIOException(new IOException("Nothing came within " + PATIENCE_SECONDS + " s."));
+            throw new UncheckedIOException(
+                    new IOException("The expected event did not happen within " + PATIENCE_SECONDS + " s."));
         }
         return value;
     }
 
-    /** What a backend server does with a request. */
+    /** Determines how a backend server replies to a request. */
     @FunctionalInterface
     public interface Script {
         Reply replyTo(ReceivedRequest request);
     }
 
     /**
-     * The bytes of a reply.
+     * A reply to a request.
      *
-     * @param bytes what is written
-     * @param later what is written some time after them
-     * @param closes whether the connection is closed after all of it
-     * @param crashes whether the server ends instead
+     * @param bytes the bytes that are written immediately
+     * @param later the part that is written later, if any
+     * @param closes whether the connection is closed after the reply
+     * @param crashes whether the server crashes instead of replying
      */
     public record Reply(String bytes, Optional<LaterPart> later, boolean closes, boolean crashes) {
         public static Reply of(String bytes) {
@@ -173,10 +174,10 @@
     }
 
     /**
-     * The rest of a reply.
+     * The delayed part of a reply.
      *
-     * @param due opens when it is written
-     * @param bytes what is written
+     * @param due the latch that is opened to have the part written
+     * @param bytes the bytes of the part
      */
     public record LaterPart(CountDownLatch due, String bytes) {}
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
@@ -5,7 +5,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A caller with one connection, which writes and reads plain text. */
+/** A caller that writes and reads HTTP messages as text on one connection. */
 public final class TestCaller implements AutoCloseable {
     private static final int PATIENCE_MILLISECONDS = 20_000;
 
@@ -23,7 +23,7 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads a whole answer; its first line is the status line. */
+    /** Reads a complete answer; its first line is the status line. */
     public ReceivedRequest answer() throws IOException {
         return reader.readMessage();
     }
@@ -32,7 +32,7 @@
         return reader.readLine();
     }
 
-    /** Returns whether the other side has closed the connection. */
+    /** Reads one byte and returns whether the connection was closed or reset instead. */
     public boolean closed() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -42,13 +42,13 @@
 import org.aspenmoor.internal.store.client.StoreSettings;
 import org.aspenmoor.internal.time.SystemTimeSource;
 
-/** A gateway on free ports of the loopback address, with a store in memory. */
+/** A gateway on free ports of the loopback address, with an in-memory store. */
 public final class TestGateway implements AutoCloseable {
     public static final String HOST = "house.example";
     public static final String HERE = "here";
 
     private static final Duration TIMEOUT = Duration.ofSeconds(15);
-    /** Only bounds how long a failing test takes; nothing is judged by it. */
+    /** Only limits how long a failing test takes; no assertion depends on it. */
     private static final Duration PATIENCE = Duration.ofSeconds(60);
 
     private final InMemoryObjectStore store;
@@ -97,19 +97,19 @@
         gateway.start(store, StoreSettings.defaults(), new Decoder());
     }
 
-    /** Starts another entry of the same fleet, and returns once it serves requests. */
+    /** Starts another entry for the same backend servers, and returns when it is ready. */
     public TestGateway another(String process) throws AspenmoorException, IOException {
         TestGateway other = new TestGateway(process, store, configurations, servers);
         other.awaitReady();
         return other;
     }
 
-    /** Adds a route to a service; it is in force after {@link #publish}. */
+    /** Adds a route to a service; it applies after {@link #publish}. */
     public TestGateway route(String path, RepeatRule rule, boolean streamed, int mostBackends, String service) {
         return route(path, rule, streamed, mostBackends, service, TIMEOUT);
     }
 
-    /** Adds a route whose callers leave after a silence; it is in force after {@link #publish}. */
+    /** Adds a route whose callers disconnect when a stream pauses for too long; it applies after {@link #publish}. */
     public TestGateway route(
             String path, RepeatRule rule, boolean streamed, int mostBackends, String service, Duration silence) {
         routes.add(new Route(
@@ -127,19 +127,19 @@
         return this;
     }
 
-    /** Bounds the connections that one server of a plain service accepts; it is in force after {@link #publish}. */
+    /** Limits the connections that one server of a plain service accepts; it applies after {@link #publish}. */
     public TestGateway connectionLimit(String service, int mostConnections) {
         services.add(new ServiceTraits(service, mostConnections, Optional.empty()));
         return this;
     }
 
-    /** Starts and registers a plain server that answers by a script; it ends with the gateway. */
+    /** Starts and registers a plain server that replies by a script; it is closed with the gateway. */
     public ScriptedBackend backend(String id, String service, ScriptedBackend.Script script)
             throws IOException, StoreException {
         return backend(id, service, EngineRole.WHOLE, HERE, script);
     }
 
-    /** Starts and registers a server that answers by a script; it ends with the gateway. */
+    /** Starts and registers a server that replies by a script; it is closed with the gateway. */
     public ScriptedBackend backend(
             String id, String service, EngineRole role, String dataCentre, ScriptedBackend.Script script)
             throws IOException, StoreException {
@@ -159,7 +159,7 @@
         return server(id, service, port, role, HERE);
     }
 
-    /** Registers a server in a data centre; this entry stands in {@link #HERE}. */
+    /** Registers a server in a data centre; this entry runs in {@link #HERE}. */
     public TestGateway server(String id, String service, int port, EngineRole role, String dataCentre)
             throws StoreException {
         BackendServer server =
@@ -169,7 +169,7 @@
         return this;
     }
 
-    /** Puts the routes in force and waits until requests are served. */
+    /** Publishes the routes and waits until requests are served. */
     public void publish() throws StoreException, IOException {
         services.add(new ServiceTraits("model", 100, Optional.of(new GenerationTraits(100_000))));
         ServingConfiguration configuration = new ServingConfiguration(7, routes, services, ConnectionLimits.usual());
@@ -179,7 +179,7 @@
     }
 
     private void awaitReady() throws IOException {
-        // Servers that were registered after the first listing come one by one, perhaps after the entry is ready.
+        // Servers that are registered after the first listing arrive one by one, possibly after the entry is ready.
         for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
             boolean ready =
                     statusOf(gateway.readinessAddress().getPort(), "/ready").contains(" 200 ");
@@ -188,10 +188,10 @@
                 return;
             }
         }
-        throw new IOException("The gateway did not become ready for all servers; it believes:\n" + state());
+        throw new IOException("The gateway did not become ready with all servers; its state:\n" + state());
     }
 
-    /** Lets another entry tell that it has ordered a server to take another role; returns when the gateway knows. */
+    /** Reports, as another entry, an order for a role change; returns when the gateway has received the report. */
     public void roleChanging(String server, EngineRole role) throws StoreException, IOException {
         ObjectKey own = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, "entry-under-test");
         ReportSender.tell(store.read(own).orElseThrow(), new RoleChange(server, role));
@@ -200,10 +200,10 @@
                 return;
             }
         }
-        throw new IOException("The gateway did not hear of the change; it believes:\n" + state());
+        throw new IOException("The gateway did not receive the report of the role change; its state:\n" + state());
     }
 
-    /** Returns the store, which can come back from an older copy. */
+    /** Returns the store, which can be restored from an older copy. */
     public InMemoryObjectStore store() {
         return store;
     }
@@ -212,7 +212,7 @@
         return new TestCaller(gateway.callersAddress().getPort());
     }
 
-    /** Returns the first line of the answer to a GET of a page for operators. */
+    /** Sends a GET request for a path for operators and returns the status line of the answer. */
     public String statusOf(int port, String path) throws IOException {
         try (TestCaller question = new TestCaller(port)) {
             question.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -244,12 +244,12 @@
         return gateway;
     }
 
-    /** Waits until a line of the log contains the text. */
+    /** Waits until a line of the log contains the text, and returns the line. */
     public String awaitLogged(String text) throws IOException {
         return awaitLogged(text, 1);
     }
 
-    /** Waits until so many lines of the log contain the text; returns the last of them. */
+    /** Waits until the given number of log lines contain the text; returns the last of these lines. */
     public String awaitLogged(String text, int times) throws IOException {
         for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
             List<String> found = logged.toString(StandardCharsets.UTF_8)
@@ -261,7 +261,7 @@
             }
             statusOf(gateway.readinessAddress().getPort(), "/ready");
         }
-        throw new IOException("Not logged " + times + " times: " + text + "; all that was:\n" + logged);
+        throw new IOException("Text not logged " + times + " times: " + text + "; the complete log:\n" + logged);
     }
 
     @Override
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
@@ -24,7 +24,7 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.PromptPart;
 
-/** The simplest headers that carry what a gateway needs. */
+/** A minimal set of headers with the values that a gateway needs. */
 public final class TestProtocols implements CallerProtocol, BackendProtocol {
     public static final String ID = "Test-Id";
     public static final String SIGNED = "Test-Signed";
@@ -36,18 +36,18 @@
     public static final String AFTER = "Test-After";
     public static final String PROMPT = "Test-Prompt";
 
-    /** A request with this header keeps the entry busy until it is released. */
+    /** A request with this header blocks the entry's event loop until {@link #release()} is called. */
     public static final String BUSY = "Test-Busy";
 
     private final Semaphore busy = new Semaphore(0);
     private final Semaphore released = new Semaphore(0);
 
-    /** Waits until a request keeps the entry busy. */
+    /** Waits until a request blocks the event loop. */
     public void awaitBusy() {
         busy.acquireUninterruptibly();
     }
 
-    /** Lets the entry go on. */
+    /** Unblocks the event loop. */
     public void release() {
         released.release();
     }
@@ -121,7 +121,7 @@
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/cache");
     }
 
-    /** A body lists parts as IDENTITY:TOKENS, separated by spaces. */
+    /** Reads parts of the form IDENTITY:TOKENS, separated by spaces. */
     @Override
     public List<PromptPart> readCache(String body) {
         List<PromptPart> parts = new ArrayList<>();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/Waiting.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/Waiting.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** Waits in scripts of stand-ins, which cannot throw. */
+/** Waits without checked exceptions, for use in scripts of stand-ins. */
 public final class Waiting {
     private Waiting() {}
 
-    /** Waits until the latch is open, or until the thread is to end. */
+    /** Waits until the latch is open or the thread is interrupted; keeps the interrupt status. */
     public static void on(CountDownLatch latch) {
         try {
             latch.await();
