--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -27,7 +27,7 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 import org.aspenmoor.AspenmoorException;
-import org.aspenmoor.internal.gateway.backend.AwaitedAnswer;
+import org.aspenmoor.internal.gateway.backend.AnswerCollector;
 import org.aspenmoor.internal.gateway.backend.BackendConnections;
 import org.aspenmoor.internal.gateway.caller.CallerServer;
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
@@ -64,7 +64,7 @@
 /** An entry process: one event loop that serves all requests, and a thread for each collection watched in the store. */
 public final class Gateway {
     /** Interval of the periodic check of timeouts, unconfirmed servers and a graceful stop. */
-    private static final long CHECK_MILLISECONDS = 100;
+    private static final long CHECK_INTERVAL_MILLISECONDS = 100;
 
     private final GatewaySettings settings;
     private final TimeSource time;
@@ -76,15 +76,15 @@
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final ServingState state;
     private final BackendConnections connections;
-    private final WaitingRequests lines;
+    private final WaitingRequests waitingRequests;
     private final FatalRequests fatalRequests;
     private final RequestDispatcher dispatcher;
     private final CallerServer callers;
-    private final GracefulStop stop;
-    private final StateDump dump;
+    private final GracefulStop gracefulStop;
+    private final StateDump stateDump;
     private final PeerExchange peers;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final List<WatchedCollection> followed = new ArrayList<>();
+    private final CountDownLatch stopped = new CountDownLatch(1);
+    private final List<WatchedCollection> watchedCollections = new ArrayList<>();
     private InetSocketAddress callersAddress;
     private InetSocketAddress readinessAddress;
     private InetSocketAddress administrationAddress;
@@ -103,49 +103,50 @@
         this.backendProtocol = backendProtocol;
         this.state = new ServingState(time, random, settings.repeats(), log, settings.placement());
         this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
-        this.lines = new WaitingRequests(time, eventLoop);
+        this.waitingRequests = new WaitingRequests(time, eventLoop);
         this.fatalRequests = new FatalRequests(time, log);
         RequestTools tools = new RequestTools(
                 state,
                 connections,
                 backendProtocol,
                 eventLoop,
-                new GatewayMetrics(registry, connections::opened, state::servers, fatalRequests::quarantined),
-                lines,
+                new GatewayMetrics(registry, connections::openedTotal, state::servers, fatalRequests::quarantined),
+                waitingRequests,
                 fatalRequests);
-        this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.mostBodyBytes());
+        this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.maxBodyBytes());
         this.callers = new CallerServer(dispatcher, time);
-        this.peers = new PeerExchange(settings.process(), time, eventLoop, log, this::heard);
-        this.stop = new GracefulStop(callers, dispatcher, settings.grace(), ended::countDown);
-        this.dump = new StateDump(settings.process(), state, callers, connections, stop, fatalRequests);
+        this.peers = new PeerExchange(settings.process(), time, eventLoop, log, this::receivePeerReport);
+        this.gracefulStop = new GracefulStop(callers, dispatcher, settings.gracePeriod(), stopped::countDown);
+        this.stateDump = new StateDump(settings.process(), state, callers, connections, gracefulStop, fatalRequests);
     }
 
     /** Opens the ports and starts watching the store. */
     public void start(ObjectStore store, StoreSettings storeSettings, RegistrationDecoder decoder)
             throws AspenmoorException {
-        follow(
+        watch(
                 store,
                 storeSettings,
                 ObjectKind.SERVING_CONFIGURATION,
                 new ConfigurationListener(decoder, state, eventLoop, log));
-        follow(
+        watch(
                 store,
                 storeSettings,
                 ObjectKind.BACKEND_SERVER,
                 new ServerListener(decoder, state, connections, eventLoop, time, log, store::generation));
-        FatalRequestKeeper keeper =
+        FatalRequestKeeper fatalRequestManager =
                 new FatalRequestKeeper(store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
-        follow(store, storeSettings, ObjectKind.FATAL_REQUEST, keeper);
-        keeper.start();
+        watch(store, storeSettings, ObjectKind.FATAL_REQUEST, fatalRequestManager);
+        fatalRequestManager.start();
         GaugeWithCallback.builder()
                 .name("aspenmoor_store_generation")
                 .help(
                         "Generation of the store's history; increases each time the store is restored from an older copy.")
                 .callback(callback -> callback.call((double) store.generation()))
                 .register(registry);
-        readinessAddress = new PlainHttpServer(Map.of(settings.readinessPath(), this::readiness))
+        readinessAddress = new OperatorHttpServer(Map.of(settings.readinessPath(), this::readinessAnswer))
                 .start(group, settings.readiness());
-        administrationAddress = new PlainHttpServer(Map.of("/metrics", this::metrics, "/state", this::stateDump))
+        administrationAddress = new OperatorHttpServer(
+                        Map.of("/metrics", this::metricsAnswer, "/state", this::stateDumpAnswer))
                 .start(group, settings.administration());
         peers.open(settings.peers());
         new PeerDirectory(
@@ -155,10 +156,14 @@
                         addresses -> eventLoop.execute(() -> peers.know(addresses)),
                         log)
                 .start();
-        eventLoop.execute(this::tellPeers);
-        startRoleKeeper(store);
+        eventLoop.execute(this::reportToPeers);
+        startRoleManagement(store);
         callersAddress = callers.start(group, settings.callers());
-        eventLoop.scheduleWithFixedDelay(this::check, CHECK_MILLISECONDS, CHECK_MILLISECONDS, TimeUnit.MILLISECONDS);
+        eventLoop.scheduleWithFixedDelay(
+                this::runPeriodicChecks,
+                CHECK_INTERVAL_MILLISECONDS,
+                CHECK_INTERVAL_MILLISECONDS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Returns the address on which callers are served. */
@@ -177,52 +182,60 @@
     }
 
     /** Applies changed settings; changed addresses are ignored. */
-    public void reload(GatewaySettings changed) {
+    public void reload(GatewaySettings newSettings) {
         eventLoop.execute(() -> {
-            state.reload(changed.repeats(), changed.placement());
-            stop.reload(changed.grace());
+            state.reload(newSettings.repeats(), newSettings.placement());
+            gracefulStop.setGracePeriod(newSettings.gracePeriod());
         });
     }
 
     /** Begins a graceful stop. */
     public void stop() {
-        eventLoop.execute(() -> stop.begin(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> gracefulStop.begin(time.monotonicNanoseconds()));
     }
 
     /** Waits until a graceful stop has finished. */
-    public void awaitEnd() throws InterruptedException {
-        ended.await();
+    public void awaitStopped() throws InterruptedException {
+        stopped.await();
     }
 
     /** Stops immediately and aborts requests that are being served. */
     public void close() {
-        followed.forEach(WatchedCollection::close);
+        watchedCollections.forEach(WatchedCollection::close);
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
-    private void follow(ObjectStore store, StoreSettings storeSettings, ObjectKind kind, CollectionListener listener) {
+    private void watch(ObjectStore store, StoreSettings storeSettings, ObjectKind kind, CollectionListener listener) {
         WatchedCollection collection = new WatchedCollection(store, kind, listener, random, storeSettings);
-        followed.add(collection);
+        watchedCollections.add(collection);
         collection.start();
     }
 
-    private void startRoleKeeper(ObjectStore store) {
+    private void startRoleManagement(ObjectStore store) {
         ObjectKey key = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
-        OrderRight right = new OrderRight(store, key, settings.process(), time);
-        Supplier<FleetSnapshot> fleet =
+        OrderRight orderLease = new OrderRight(store, key, settings.process(), time);
+        Supplier<FleetSnapshot> fleetSnapshot =
                 () -> CompletableFuture.supplyAsync(() -> state.snapshot(settings.process()), eventLoop)
                         .join();
-        Consumer<RoleChange> accepted = change -> eventLoop.execute(() -> state.roleOrdered(change));
-        new RoleKeeper(settings.process(), fleet, accepted, right, connections, backendProtocol, eventLoop, log)
+        Consumer<RoleChange> onAcceptedOrder = change -> eventLoop.execute(() -> state.roleOrdered(change));
+        new RoleKeeper(
+                        settings.process(),
+                        fleetSnapshot,
+                        onAcceptedOrder,
+                        orderLease,
+                        connections,
+                        backendProtocol,
+                        eventLoop,
+                        log)
                 .start();
     }
 
-    private void heard(PeerReport report) {
+    private void receivePeerReport(PeerReport report) {
         state.peerHeard(report, time.monotonicNanoseconds());
         fatalRequests.heard(report.ends(), report.entry());
     }
 
-    private void tellPeers() {
+    private void reportToPeers() {
         peers.tell(
                 state.ownShares(),
                 state.takeUntoldPrompts(),
@@ -230,25 +243,25 @@
                 state.eventLengths(),
                 state.roleChanges(),
                 fatalRequests.takeNews(),
-                stop.begun());
-        eventLoop.schedule(this::tellPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
+                gracefulStop.begun());
+        eventLoop.schedule(this::reportToPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private void check() {
-        long now = time.monotonicNanoseconds();
-        state.expirePeers(now);
+    private void runPeriodicChecks() {
+        long nowNanos = time.monotonicNanoseconds();
+        state.expirePeers(nowNanos);
         fatalRequests.check();
-        state.samplePressure(lines::anyFor);
-        state.takeUnlistedEngines().forEach(this::askCache);
-        state.expireServers(now).forEach(connections::forget);
+        state.samplePressure(waitingRequests::anyFor);
+        state.takeUnlistedEngines().forEach(this::queryCacheList);
+        state.expireServers(nowNanos).forEach(connections::remove);
         connections.closeStale();
-        callers.check(now);
-        stop.check(now);
+        callers.enforceTimeouts(nowNanos);
+        gracefulStop.advance(nowNanos);
     }
 
-    private void askCache(BackendServer engine) {
-        AwaitedAnswer answer = new AwaitedAnswer();
-        answer.done().whenComplete((told, failure) -> {
+    private void queryCacheList(BackendServer engine) {
+        AnswerCollector collector = new AnswerCollector();
+        collector.future().whenComplete((cacheList, failure) -> {
             if (failure != null) {
                 log.notable("cache-unknown")
                         .with("server", engine.id())
@@ -256,38 +269,38 @@
                         .write();
                 return;
             }
-            state.cacheListed(engine, backendProtocol.readCache(told.body()), time.monotonicNanoseconds());
+            state.cacheListed(engine, backendProtocol.readCacheList(cacheList.body()), time.monotonicNanoseconds());
         });
-        connections.send(engine, "", backendProtocol.askCache(engine.id()), answer);
+        connections.send(engine, "", backendProtocol.createCacheListRequest(engine.id()), collector);
     }
 
-    private FullHttpResponse readiness() {
-        boolean ready = state.ready() && !stop.begun();
+    private FullHttpResponse readinessAnswer() {
+        boolean ready = state.ready() && !gracefulStop.begun();
         return ready
                 ? LocalAnswers.of(HttpResponseStatus.OK, "ready")
                 : LocalAnswers.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "not ready");
     }
 
-    private FullHttpResponse stateDump() {
-        byte[] text = dump.take().toPrettyString().getBytes(StandardCharsets.UTF_8);
-        return page(text, "application/json");
+    private FullHttpResponse stateDumpAnswer() {
+        byte[] text = stateDump.create().toPrettyString().getBytes(StandardCharsets.UTF_8);
+        return answerWith(text, "application/json");
     }
 
-    private FullHttpResponse metrics() {
+    private FullHttpResponse metricsAnswer() {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
             new PrometheusTextFormatWriter(false).write(text, registry.scrape());
-        } catch (IOException impossible) {
-            throw new UncheckedIOException("Writing the metrics to memory failed.", impossible);
+        } catch (IOException cause) {
+            throw new UncheckedIOException("Writing the metrics to memory failed.", cause);
         }
-        return page(text.toByteArray(), PrometheusTextFormatWriter.CONTENT_TYPE);
+        return answerWith(text.toByteArray(), PrometheusTextFormatWriter.CONTENT_TYPE);
     }
 
-    private static FullHttpResponse page(byte[] text, String type) {
+    private static FullHttpResponse answerWith(byte[] body, String contentType) {
         FullHttpResponse answer =
-                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(text));
-        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
-        answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, text.length);
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
+        answer.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
+        answer.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return answer;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
@@ -14,36 +14,36 @@
  */
 final class GracefulStop {
     /** Two health checks of the load balancer, one second apart, plus a margin for network delay and a late check. */
-    private static final Duration LISTENING_ON = Duration.ofMillis(2600);
+    private static final Duration LISTENING_PERIOD = Duration.ofMillis(2600);
 
     /** Reserved at the end of the grace period, before the process is killed, for sending the last answers. */
-    private static final Duration MARGIN = Duration.ofMillis(500);
+    private static final Duration EXIT_MARGIN = Duration.ofMillis(500);
 
     private final CallerServer callers;
     private final RequestDispatcher dispatcher;
-    private final Runnable exit;
-    private Duration grace;
+    private final Runnable onFinished;
+    private Duration gracePeriod;
     private boolean begun;
-    private boolean closed;
-    private long begunAt;
+    private boolean listenerClosed;
+    private long begunAtNanos;
 
-    GracefulStop(CallerServer callers, RequestDispatcher dispatcher, Duration grace, Runnable exit) {
+    GracefulStop(CallerServer callers, RequestDispatcher dispatcher, Duration gracePeriod, Runnable onFinished) {
         this.callers = callers;
         this.dispatcher = dispatcher;
-        this.grace = grace;
-        this.exit = exit;
+        this.gracePeriod = gracePeriod;
+        this.onFinished = onFinished;
     }
 
-    void begin(long now) {
+    void begin(long nowNanos) {
         if (!begun) {
             begun = true;
-            begunAt = now;
+            begunAtNanos = nowNanos;
             dispatcher.stop();
         }
     }
 
-    void reload(Duration newGrace) {
-        grace = newGrace;
+    void setGracePeriod(Duration newGracePeriod) {
+        gracePeriod = newGracePeriod;
     }
 
     boolean begun() {
@@ -51,21 +51,22 @@
     }
 
     /** Performs the next step if it is due. */
-    void check(long now) {
+    void advance(long nowNanos) {
         if (!begun) {
             return;
         }
-        long elapsed = now - begunAt;
-        if (elapsed < LISTENING_ON.toNanos()) {
+        long elapsedNanos = nowNanos - begunAtNanos;
+        if (elapsedNanos < LISTENING_PERIOD.toNanos()) {
             return;
         }
-        if (!closed) {
-            closed = true;
+        if (!listenerClosed) {
+            listenerClosed = true;
             callers.stopListening();
         }
         callers.closeIdle();
-        if (callers.open() == 0 || elapsed > grace.minus(MARGIN).toNanos()) {
-            exit.run();
+        if (callers.openConnections() == 0
+                || elapsedNanos > gracePeriod.minus(EXIT_MARGIN).toNanos()) {
+            onFinished.run();
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/PlainHttpServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/OperatorHttpServer.java
@@ -23,12 +23,12 @@
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
 
 /** HTTP server for a fixed set of paths: readiness, metrics and the state dump. */
-final class PlainHttpServer {
-    private static final int MOST_REQUEST_BYTES = 16_384;
+final class OperatorHttpServer {
+    private static final int MAX_REQUEST_BYTES = 16_384;
 
     private final Map<String, Supplier<FullHttpResponse>> pages;
 
-    PlainHttpServer(Map<String, Supplier<FullHttpResponse>> pages) {
+    OperatorHttpServer(Map<String, Supplier<FullHttpResponse>> pages) {
         this.pages = Map.copyOf(pages);
     }
 
@@ -42,7 +42,7 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(MOST_REQUEST_BYTES))
+                                .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
                                 .addLast(new PageHandler());
                     }
                 });
@@ -58,9 +58,9 @@
             FullHttpResponse answer = page == null
                     ? LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "The path does not exist.")
                     : page.get();
-            boolean kept = HttpUtil.isKeepAlive(request);
-            HttpUtil.setKeepAlive(answer, kept);
-            if (kept) {
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            HttpUtil.setKeepAlive(answer, keepAlive);
+            if (keepAlive) {
                 context.writeAndFlush(answer);
             } else {
                 context.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
@@ -30,20 +30,20 @@
         try {
             Class<?> signalClass = Class.forName(SIGNAL_CLASS);
             Class<?> handlerClass = Class.forName(HANDLER_CLASS);
-            InvocationHandler runs = (proxy, method, arguments) -> {
+            InvocationHandler invocationHandler = (proxy, method, arguments) -> {
                 action.run();
                 return null;
             };
-            Object handler =
-                    Proxy.newProxyInstance(Signals.class.getClassLoader(), new Class<?>[] {handlerClass}, runs);
+            Object handler = Proxy.newProxyInstance(
+                    Signals.class.getClassLoader(), new Class<?>[] {handlerClass}, invocationHandler);
             Object signal = signalClass.getConstructor(String.class).newInstance(name);
             signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signal, handler);
-        } catch (ReflectiveOperationException missing) {
+        } catch (ReflectiveOperationException cause) {
             throw new AspenmoorException(
                     "The Java runtime cannot handle the signal " + name + ".",
                     SIGNAL_CLASS,
                     "Run with a JDK that has the module jdk.unsupported.",
-                    missing);
+                    cause);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -14,13 +14,13 @@
 
 /** Creates a snapshot of an entry's state as JSON for operators. Confined to the event loop. */
 final class StateDump {
-    private static final double MILLISECONDS = 1000;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
 
     private final String process;
     private final ServingState state;
     private final CallerServer callers;
     private final BackendConnections connections;
-    private final GracefulStop stop;
+    private final GracefulStop gracefulStop;
     private final FatalRequests fatalRequests;
 
     StateDump(
@@ -28,35 +28,35 @@
             ServingState state,
             CallerServer callers,
             BackendConnections connections,
-            GracefulStop stop,
+            GracefulStop gracefulStop,
             FatalRequests fatalRequests) {
         this.process = process;
         this.state = state;
         this.callers = callers;
         this.connections = connections;
-        this.stop = stop;
+        this.gracefulStop = gracefulStop;
         this.fatalRequests = fatalRequests;
     }
 
-    ObjectNode take() {
+    ObjectNode create() {
         ObjectNode dump = JsonNodeFactory.instance.objectNode();
         dump.put("process", process);
         dump.put("ready", state.ready());
-        dump.put("stopping", stop.begun());
+        dump.put("stopping", gracefulStop.begun());
         dump.put(
                 "configuration",
                 state.configuration().map(ServingConfiguration::version).orElse(-1L));
         dump.put("otherEntries", state.heardEntries());
-        dump.put("callerConnections", callers.open());
-        dump.put("requests", callers.serving());
-        dump.put("connectionsOpened", connections.opened());
+        dump.put("callerConnections", callers.openConnections());
+        dump.put("requests", callers.servedRequests());
+        dump.put("connectionsOpened", connections.openedTotal());
         dump.put("quarantinedRequests", fatalRequests.quarantined());
         ArrayNode servers = dump.putArray("servers");
-        state.servers().forEach(server -> describe(server, servers.addObject()));
+        state.servers().forEach(server -> writeServer(server, servers.addObject()));
         return dump;
     }
 
-    private static void describe(ServerSummary summary, ObjectNode node) {
+    private static void writeServer(ServerSummary summary, ObjectNode node) {
         BackendServer server = summary.server();
         node.put("id", server.id());
         node.put("service", server.service());
@@ -64,9 +64,12 @@
         node.put("dataCentre", server.dataCentre());
         node.put("state", lowerCase(server.state()));
         node.put("role", lowerCase(server.role()));
-        node.put("waitMilliseconds", Math.round(summary.waitSeconds() * MILLISECONDS));
+        node.put("waitMilliseconds", Math.round(summary.waitSeconds() * MILLISECONDS_PER_SECOND));
         node.put("requests", Math.round(summary.load().requests()));
-        summary.load().secondsPerEvent().ifPresent(pace -> node.put("millisecondsPerEvent", pace * MILLISECONDS));
+        summary.load()
+                .secondsPerEvent()
+                .ifPresent(
+                        secondsPerEvent -> node.put("millisecondsPerEvent", secondsPerEvent * MILLISECONDS_PER_SECOND));
         node.put("ownRequests", summary.ownRequests());
         node.put("slowness", summary.slowness());
         node.put("failureShare", summary.failureShare());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/AwaitedAnswer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/AnswerCollector.java
@@ -5,46 +5,46 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 
 /** Collects the complete answer to an HTTP request that the entry sends on its own behalf. */
-public final class AwaitedAnswer implements ExchangeListener {
-    private static final int MOST_BODY_CHARACTERS = 1_000_000;
+public final class AnswerCollector implements ExchangeListener {
+    private static final int MAX_BODY_CHARACTERS = 1_000_000;
 
-    private final CompletableFuture<Answer> done = new CompletableFuture<>();
+    private final CompletableFuture<Answer> future = new CompletableFuture<>();
     private final StringBuilder body = new StringBuilder();
     private int status;
 
     /** Returns a future that completes with the answer, or exceptionally with an {@link IOException}. */
-    public CompletableFuture<Answer> done() {
-        return done;
+    public CompletableFuture<Answer> future() {
+        return future;
     }
 
     @Override
-    public void head(HttpResponse head, AnswerFacts facts) {
+    public void headReceived(HttpResponse head, AnswerMetadata metadata) {
         status = head.status().code();
     }
 
     @Override
-    public void data(ByteBuf part) {
-        if (body.length() < MOST_BODY_CHARACTERS) {
+    public void dataReceived(ByteBuf part) {
+        if (body.length() < MAX_BODY_CHARACTERS) {
             body.append(part.toString(StandardCharsets.UTF_8));
         }
     }
 
     @Override
-    public void complete() {
-        done.complete(new Answer(status, body.toString()));
+    public void completed() {
+        future.complete(new Answer(status, body.toString()));
     }
 
     @Override
     public void neverSent(String reason) {
-        done.completeExceptionally(new IOException(reason));
+        future.completeExceptionally(new IOException(reason));
     }
 
     @Override
-    public void broken(String reason) {
-        done.completeExceptionally(new IOException(reason));
+    public void failed(String reason) {
+        future.completeExceptionally(new IOException(reason));
     }
 
     /**
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.util.ReferenceCountUtil;
 import java.time.Duration;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 
 /**
@@ -24,66 +24,66 @@
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
     /** Idle timeout for servers that do not announce one; shorter than the common server default of five seconds. */
-    private static final Duration USUAL_IDLE_LIMIT = Duration.ofSeconds(3);
+    private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(3);
 
     /** Subtracted from the announced idle timeout, so that the server does not close the connection during a send. */
-    private static final Duration IDLE_MARGIN = Duration.ofMillis(700);
+    private static final Duration IDLE_TIMEOUT_MARGIN = Duration.ofMillis(700);
 
     private final Channel channel;
     private final BackendProtocol protocol;
-    private final ServerConnections owner;
-    private Exchange current;
-    private boolean skipping;
-    private boolean headSeen;
+    private final ServerConnectionPool pool;
+    private Exchange currentExchange;
+    private boolean skippingAnswer;
+    private boolean headReceived;
     private boolean answerComplete;
     private boolean requestWritten;
     private boolean reusable = true;
-    private boolean failed;
-    private Duration idleLimit = USUAL_IDLE_LIMIT;
-    private long idleSince;
+    private boolean connectionFailed;
+    private Duration idleTimeout = DEFAULT_IDLE_TIMEOUT;
+    private long idleSinceNanos;
 
-    BackendConnection(Channel channel, BackendProtocol protocol, ServerConnections owner) {
+    BackendConnection(Channel channel, BackendProtocol protocol, ServerConnectionPool pool) {
         this.channel = channel;
         this.protocol = protocol;
-        this.owner = owner;
+        this.pool = pool;
     }
 
     void send(Exchange exchange) {
-        current = exchange;
-        skipping = false;
-        headSeen = false;
+        currentExchange = exchange;
+        skippingAnswer = false;
+        headReceived = false;
         answerComplete = false;
         requestWritten = false;
-        exchange.connected(this);
-        channel.writeAndFlush(exchange.request()).addListener(written -> {
-            requestWritten = written.isSuccess();
-            if (!written.isSuccess()) {
+        exchange.attach(this);
+        channel.writeAndFlush(exchange.request()).addListener(writeResult -> {
+            requestWritten = writeResult.isSuccess();
+            if (!writeResult.isSuccess()) {
                 channel.close();
                 return;
             }
-            giveBackIfDone();
+            finishExchangeIfComplete();
         });
     }
 
-    void read(boolean on) {
-        channel.config().setAutoRead(on);
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
     }
 
     void close() {
-        current = null;
+        currentExchange = null;
         reusable = false;
         channel.close();
     }
 
-    boolean usable(long now) {
-        return channel.isActive() && reusable && now - idleSince < idleLimit.toNanos();
+    boolean canBeReused(long nowNanos) {
+        return channel.isActive() && reusable && nowNanos - idleSinceNanos < idleTimeout.toNanos();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
         try {
             if (message instanceof HttpObject part) {
-                take(part);
+                handle(part);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -92,76 +92,76 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        failed = true;
-        breakOff("the connection failed: " + cause.getMessage());
+        connectionFailed = true;
+        fail("the connection failed: " + cause.getMessage());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        owner.closed(this);
-        breakOff("the server closed the connection");
+        pool.removeClosed(this);
+        fail("the server closed the connection");
     }
 
-    private void take(HttpObject part) {
-        DecoderResult decoded = part.decoderResult();
-        if (decoded.isFailure()) {
-            breakOff("the server sent data that is not a valid HTTP answer");
+    private void handle(HttpObject part) {
+        DecoderResult decoderResult = part.decoderResult();
+        if (decoderResult.isFailure()) {
+            fail("the server sent data that is not a valid HTTP answer");
             return;
         }
-        if (current == null) {
+        if (currentExchange == null) {
             reusable = false;
             channel.close();
             return;
         }
         if (part instanceof HttpResponse head) {
-            takeHead(head);
+            handleHead(head);
         }
-        if (part instanceof HttpContent content && current != null) {
-            takeContent(content);
+        if (part instanceof HttpContent content && currentExchange != null) {
+            handleContent(content);
         }
     }
 
-    private void takeHead(HttpResponse head) {
+    private void handleHead(HttpResponse head) {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            skipping = true;
+            skippingAnswer = true;
             return;
         }
         if (answerComplete) {
             reusable = false;
-            skipping = true;
+            skippingAnswer = true;
             return;
         }
-        AnswerFacts facts = protocol.read(head);
+        AnswerMetadata metadata = protocol.readHead(head);
         boolean otherRequest =
-                facts.requestId().isPresent() && !facts.requestId().get().equals(current.requestId());
-        skipping = otherRequest;
+                metadata.requestId().isPresent() && !metadata.requestId().get().equals(currentExchange.requestId());
+        skippingAnswer = otherRequest;
         if (otherRequest) {
             reusable = false;
             return;
         }
-        headSeen = true;
+        headReceived = true;
         reusable &= HttpUtil.isKeepAlive(head)
                 && (HttpUtil.isContentLengthSet(head) || HttpUtil.isTransferEncodingChunked(head));
-        facts.idleLimit().ifPresent(limit -> idleLimit = limit.minus(IDLE_MARGIN));
-        current.listener().head(head, facts);
+        metadata.idleTimeout().ifPresent(timeout -> idleTimeout = timeout.minus(IDLE_TIMEOUT_MARGIN));
+        currentExchange.listener().headReceived(head, metadata);
     }
 
-    private void takeContent(HttpContent content) {
+    private void handleContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (skipping) {
-            skipping = !last;
+        if (skippingAnswer) {
+            skippingAnswer = !last;
             return;
         }
-        if (!headSeen) {
+        if (!headReceived) {
             return;
         }
         if (content.content().isReadable()) {
-            current.listener().data(content.content());
+            currentExchange.listener().dataReceived(content.content());
         }
         // When a connection is reset, the decoder also ends an answer that has no content length; it is not complete.
-        if (last && current != null && !failed) {
+        if (last && currentExchange != null && !connectionFailed) {
             answerComplete = true;
-            giveBackIfDone();
+            finishExchangeIfComplete();
         }
     }
 
@@ -170,34 +170,34 @@
      * may answer before it has read the complete request. Such a connection is closed, because the server would treat the
      * rest of the body as the next request.
      */
-    private void giveBackIfDone() {
-        if (!answerComplete || current == null) {
+    private void finishExchangeIfComplete() {
+        if (!answerComplete || currentExchange == null) {
             return;
         }
         if (!requestWritten) {
             reusable = false;
         }
-        Exchange done = current;
-        current = null;
-        done.finish();
-        idleSince = owner.now();
+        Exchange finishedExchange = currentExchange;
+        currentExchange = null;
+        finishedExchange.markEnded();
+        idleSinceNanos = pool.nowNanos();
         if (reusable && channel.isActive()) {
             channel.config().setAutoRead(true);
-            owner.idle(this);
+            pool.returnConnection(this);
         } else {
             channel.close();
         }
-        done.listener().complete();
+        finishedExchange.listener().completed();
     }
 
-    private void breakOff(String reason) {
+    private void fail(String reason) {
         reusable = false;
-        Exchange lost = current;
-        current = null;
+        Exchange failedExchange = currentExchange;
+        currentExchange = null;
         channel.close();
-        if (lost != null && !lost.ended()) {
-            lost.finish();
-            lost.listener().broken(reason);
+        if (failedExchange != null && !failedExchange.ended()) {
+            failedExchange.markEnded();
+            failedExchange.listener().failed(reason);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
@@ -20,29 +20,29 @@
     private final BackendProtocol protocol;
     private final EventLoop eventLoop;
     private final TimeSource time;
-    private final Map<String, ServerConnections> byServer = new HashMap<>();
-    private final ToIntFunction<String> mostOpen;
+    private final Map<String, ServerConnectionPool> poolsByServer = new HashMap<>();
+    private final ToIntFunction<String> maxOpenByService;
     private final ServerProbes probes;
-    private long openedBefore;
+    private long openedByRemovedPools;
 
     /**
      * Creates an instance without open connections.
      *
-     * @param mostOpen returns the maximum number of open connections to one server, given the name of its service
+     * @param maxOpenByService returns the maximum number of open connections to one server, given the name of its service
      */
     public BackendConnections(
-            BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> mostOpen) {
-        this.mostOpen = mostOpen;
+            BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> maxOpenByService) {
+        this.maxOpenByService = maxOpenByService;
         this.protocol = protocol;
         this.eventLoop = eventLoop;
         this.time = time;
-        this.probes = new ServerProbes(eventLoop, ServerProbes.SECOND_LOOK);
+        this.probes = new ServerProbes(eventLoop, ServerProbes.SECOND_ATTEMPT_DELAY);
     }
 
     /** Sends a request and takes ownership of its buffer. */
     public Exchange send(BackendServer server, String requestId, FullHttpRequest request, ExchangeListener listener) {
         Exchange exchange = new Exchange(requestId, request, listener);
-        connectionsTo(server).send(exchange, mostOpen.applyAsInt(server.service()));
+        poolFor(server).send(exchange, maxOpenByService.applyAsInt(server.service()));
         return exchange;
     }
 
@@ -52,35 +52,35 @@
     }
 
     /** Closes the idle connections to a server that has been removed; those in use are closed after their request. */
-    public void forget(String server) {
-        ServerConnections connections = byServer.remove(server);
-        if (connections != null) {
-            openedBefore += connections.opened();
-            connections.retire();
+    public void remove(String serverId) {
+        ServerConnectionPool pool = poolsByServer.remove(serverId);
+        if (pool != null) {
+            openedByRemovedPools += pool.openedTotal();
+            pool.retire();
         }
     }
 
     /** Closes idle connections that have almost reached the idle timeout of their server. */
     public void closeStale() {
-        byServer.values().forEach(ServerConnections::closeStale);
+        poolsByServer.values().forEach(ServerConnectionPool::closeStale);
     }
 
     /** Returns the number of connections opened since the start of this process. */
-    public long opened() {
-        return openedBefore
-                + byServer.values().stream()
-                        .mapToLong(ServerConnections::opened)
+    public long openedTotal() {
+        return openedByRemovedPools
+                + poolsByServer.values().stream()
+                        .mapToLong(ServerConnectionPool::openedTotal)
                         .sum();
     }
 
-    private ServerConnections connectionsTo(BackendServer server) {
-        ServerConnections known = byServer.get(server.id());
-        if (known != null && known.leadTo(server)) {
-            return known;
+    private ServerConnectionPool poolFor(BackendServer server) {
+        ServerConnectionPool existing = poolsByServer.get(server.id());
+        if (existing != null && existing.connectsTo(server)) {
+            return existing;
         }
-        forget(server.id());
-        ServerConnections made = new ServerConnections(server, protocol, eventLoop, time);
-        byServer.put(server.id(), made);
-        return made;
+        remove(server.id());
+        ServerConnectionPool created = new ServerConnectionPool(server, protocol, eventLoop, time);
+        poolsByServer.put(server.id(), created);
+        return created;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/Exchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/Exchange.java
@@ -33,9 +33,9 @@
     }
 
     /** Pauses or resumes reading the answer, which applies the backpressure of a slow caller to the server. */
-    public void read(boolean on) {
+    public void setReading(boolean enabled) {
         if (connection != null && !ended) {
-            connection.read(on);
+            connection.setReading(enabled);
         }
     }
 
@@ -55,11 +55,11 @@
         return listener;
     }
 
-    void connected(BackendConnection to) {
-        connection = to;
+    void attach(BackendConnection newConnection) {
+        connection = newConnection;
     }
 
-    void finish() {
+    void markEnded() {
         ended = true;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
@@ -2,22 +2,22 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 
 /** Receives the events of an {@link Exchange}; exactly one call of the last three methods ends it. */
 public interface ExchangeListener {
     /** Called when the head of the answer has been received. */
-    void head(HttpResponse head, AnswerFacts facts);
+    void headReceived(HttpResponse head, AnswerMetadata metadata);
 
     /** Called when a part of the body has been received; the buffer is valid only during the call unless retained. */
-    void data(ByteBuf part);
+    void dataReceived(ByteBuf part);
 
     /** Called when the answer is complete. */
-    void complete();
+    void completed();
 
     /** Called when no connection was available; nothing was sent. */
     void neverSent(String reason);
 
     /** Called when the connection broke or the received data was not a valid answer. */
-    void broken(String reason);
+    void failed(String reason);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnectionPool.java
@@ -15,94 +15,94 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /** The pool of connections to one incarnation of a backend server. Confined to the event loop. */
-final class ServerConnections {
+final class ServerConnectionPool {
     /**
      * A server in the same region accepts a connection within a few milliseconds. A server that has been removed never
      * does, and the operating system's timeout of several seconds is longer than callers wait.
      */
     static final int CONNECT_TIMEOUT_MILLISECONDS = 250;
 
-    private static final int MOST_INITIAL_LINE = 8192;
-    private static final int MOST_HEADER_BYTES = 65_536;
-    private static final int CHUNK_BYTES = 16_384;
+    private static final int MAX_INITIAL_LINE_LENGTH = 8192;
+    private static final int MAX_HEADER_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 16_384;
 
     private final BackendServer server;
     private final BackendProtocol protocol;
     private final EventLoop eventLoop;
     private final TimeSource time;
-    private final Deque<BackendConnection> idle = new ArrayDeque<>();
-    private int open;
-    private long opened;
+    private final Deque<BackendConnection> idleConnections = new ArrayDeque<>();
+    private int openCount;
+    private long openedTotal;
     private boolean retired;
 
-    ServerConnections(BackendServer server, BackendProtocol protocol, EventLoop eventLoop, TimeSource time) {
+    ServerConnectionPool(BackendServer server, BackendProtocol protocol, EventLoop eventLoop, TimeSource time) {
         this.server = server;
         this.protocol = protocol;
         this.eventLoop = eventLoop;
         this.time = time;
     }
 
-    boolean leadTo(BackendServer other) {
+    boolean connectsTo(BackendServer other) {
         return server.sameStart(other);
     }
 
     /** Sends a request over an idle connection, or over a new one if fewer than the given number are open. */
-    void send(Exchange exchange, int mostOpen) {
+    void send(Exchange exchange, int maxOpen) {
         BackendConnection reused = takeIdle();
         if (reused != null) {
             reused.send(exchange);
             return;
         }
-        if (open >= mostOpen) {
+        if (openCount >= maxOpen) {
             // Reported in a later task, because the sender does not have the exchange yet that is about to be returned.
-            eventLoop.execute(
-                    () -> notSent(exchange, open + " connections are open, which is the limit for this entry"));
+            eventLoop.execute(() ->
+                    reportNeverSent(exchange, openCount + " connections are open, which is the limit for this entry"));
             return;
         }
-        open(exchange);
+        connectAndSend(exchange);
     }
 
-    void idle(BackendConnection connection) {
+    void returnConnection(BackendConnection connection) {
         if (retired) {
             connection.close();
             return;
         }
-        idle.addFirst(connection);
+        idleConnections.addFirst(connection);
     }
 
-    void closed(BackendConnection connection) {
-        idle.remove(connection);
+    void removeClosed(BackendConnection connection) {
+        idleConnections.remove(connection);
     }
 
-    long now() {
+    long nowNanos() {
         return time.monotonicNanoseconds();
     }
 
     /** Closes idle connections that have almost reached the server's idle timeout. */
     void closeStale() {
-        long now = now();
-        while (!idle.isEmpty() && !idle.peekLast().usable(now)) {
-            idle.pollLast().close();
+        long nowNanos = nowNanos();
+        while (!idleConnections.isEmpty() && !idleConnections.peekLast().canBeReused(nowNanos)) {
+            idleConnections.pollLast().close();
         }
     }
 
     /** Closes the idle connections; those in use are closed when their request ends. */
     void retire() {
         retired = true;
-        while (!idle.isEmpty()) {
-            idle.pollFirst().close();
+        while (!idleConnections.isEmpty()) {
+            idleConnections.pollFirst().close();
         }
     }
 
-    long opened() {
-        return opened;
+    long openedTotal() {
+        return openedTotal;
     }
 
     private BackendConnection takeIdle() {
-        long now = now();
-        while (!idle.isEmpty()) {
-            BackendConnection connection = idle.pollFirst();
-            if (connection.usable(now)) {
+        long nowNanos = nowNanos();
+        while (!idleConnections.isEmpty()) {
+            BackendConnection connection = idleConnections.pollFirst();
+            if (connection.canBeReused(nowNanos)) {
                 return connection;
             }
             connection.close();
@@ -110,11 +110,11 @@
         return null;
     }
 
-    private void open(Exchange exchange) {
-        opened++;
-        open++;
-        BackendConnection[] made = new BackendConnection[1];
-        ChannelFuture connecting = new Bootstrap()
+    private void connectAndSend(Exchange exchange) {
+        openedTotal++;
+        openCount++;
+        BackendConnection[] created = new BackendConnection[1];
+        ChannelFuture connectFuture = new Bootstrap()
                 .group(eventLoop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLISECONDS)
@@ -122,34 +122,35 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        made[0] = new BackendConnection(channel, protocol, ServerConnections.this);
+                        created[0] = new BackendConnection(channel, protocol, ServerConnectionPool.this);
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(MOST_INITIAL_LINE, MOST_HEADER_BYTES, CHUNK_BYTES))
-                                .addLast(made[0]);
+                                .addLast(
+                                        new HttpClientCodec(MAX_INITIAL_LINE_LENGTH, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
+                                .addLast(created[0]);
                     }
                 })
                 .connect(server.host(), server.port());
-        connecting.channel().closeFuture().addListener(closed -> open--);
-        connecting.addListener(connected -> {
+        connectFuture.channel().closeFuture().addListener(closed -> openCount--);
+        connectFuture.addListener(connectResult -> {
             if (exchange.ended()) {
-                connecting.channel().close();
+                connectFuture.channel().close();
                 return;
             }
-            if (connected.isSuccess()) {
-                made[0].send(exchange);
+            if (connectResult.isSuccess()) {
+                created[0].send(exchange);
                 return;
             }
-            notSent(
+            reportNeverSent(
                     exchange,
-                    "cannot connect to the server: " + connected.cause().getMessage());
+                    "cannot connect to the server: " + connectResult.cause().getMessage());
         });
     }
 
-    private static void notSent(Exchange exchange, String reason) {
+    private static void reportNeverSent(Exchange exchange, String reason) {
         if (exchange.ended()) {
             return;
         }
-        exchange.finish();
+        exchange.markEnded();
         exchange.request().release();
         exchange.listener().neverSent(reason);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
@@ -26,46 +26,47 @@
  */
 public final class ServerProbes {
     /** How long the first connection is held before the second attempt; a server whose port is then open is running. */
-    static final Duration SECOND_LOOK = Duration.ofMillis(100);
+    static final Duration SECOND_ATTEMPT_DELAY = Duration.ofMillis(100);
 
     private final EventLoop eventLoop;
-    private final Duration secondLook;
-    private final Map<BackendServer, List<Listener>> waiting = new HashMap<>();
+    private final Duration secondAttemptDelay;
+    private final Map<BackendServer, List<Listener>> waitingListeners = new HashMap<>();
 
-    ServerProbes(EventLoop eventLoop, Duration secondLook) {
+    ServerProbes(EventLoop eventLoop, Duration secondAttemptDelay) {
         this.eventLoop = eventLoop;
-        this.secondLook = secondLook;
+        this.secondAttemptDelay = secondAttemptDelay;
     }
 
     /** Notifies the listener whether the server has stopped accepting connections. */
     void probe(BackendServer server, Listener listener) {
-        boolean first = !waiting.containsKey(server);
-        waiting.computeIfAbsent(server, unseen -> new ArrayList<>()).add(listener);
-        if (first) {
-            lookFirst(server);
+        boolean startsProbe = !waitingListeners.containsKey(server);
+        waitingListeners.computeIfAbsent(server, key -> new ArrayList<>()).add(listener);
+        if (startsProbe) {
+            connectFirst(server);
         }
     }
 
-    private void lookFirst(BackendServer server) {
-        ChannelFuture connecting = connect(server);
-        connecting.addListener(connected -> {
-            if (connected.isSuccess()) {
-                lookAgain(server, connecting.channel());
+    private void connectFirst(BackendServer server) {
+        ChannelFuture connectFuture = connect(server);
+        connectFuture.addListener(connectResult -> {
+            if (connectResult.isSuccess()) {
+                connectAgain(server, connectFuture.channel());
             } else {
-                tell(server, true);
+                notifyListeners(server, true);
             }
         });
     }
 
     /** Connects again once the first connection has broken or has been open for the delay. */
-    private void lookAgain(BackendServer server, Channel first) {
-        Future<?> stood = eventLoop.schedule(() -> first.close(), secondLook.toNanos(), TimeUnit.NANOSECONDS);
-        first.closeFuture().addListener(closed -> {
-            stood.cancel(false);
-            ChannelFuture connecting = connect(server);
-            connecting.addListener(connected -> {
-                connecting.channel().close();
-                tell(server, !connected.isSuccess());
+    private void connectAgain(BackendServer server, Channel firstConnection) {
+        Future<?> closeTask =
+                eventLoop.schedule(() -> firstConnection.close(), secondAttemptDelay.toNanos(), TimeUnit.NANOSECONDS);
+        firstConnection.closeFuture().addListener(closed -> {
+            closeTask.cancel(false);
+            ChannelFuture connectFuture = connect(server);
+            connectFuture.addListener(connectResult -> {
+                connectFuture.channel().close();
+                notifyListeners(server, !connectResult.isSuccess());
             });
         });
     }
@@ -74,19 +75,19 @@
         return new Bootstrap()
                 .group(eventLoop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ServerConnections.CONNECT_TIMEOUT_MILLISECONDS)
-                .handler(new IgnoringHandler())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ServerConnectionPool.CONNECT_TIMEOUT_MILLISECONDS)
+                .handler(new CloseOnErrorHandler())
                 .connect(server.host(), server.port());
     }
 
-    private void tell(BackendServer server, boolean ended) {
-        waiting.remove(server).forEach(listener -> listener.probed(ended));
+    private void notifyListeners(BackendServer server, boolean terminated) {
+        waitingListeners.remove(server).forEach(listener -> listener.probed(terminated));
     }
 
     /** Closes a connection that fails; the probe only depends on whether the connection is open. */
-    private static final class IgnoringHandler extends ChannelInboundHandlerAdapter {
+    private static final class CloseOnErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable broken) {
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
@@ -94,6 +95,6 @@
     /** Receives the result of a probe. */
     @FunctionalInterface
     public interface Listener {
-        void probed(boolean ended);
+        void probed(boolean terminated);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerLink.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/AnswerWriter.java
@@ -5,21 +5,21 @@
 import io.netty.handler.codec.http.HttpResponse;
 
 /** Writes the answer to one request to its caller. Confined to the event loop. */
-public interface CallerLink {
+public interface AnswerWriter {
     /** Sends a complete answer. */
-    void answer(FullHttpResponse answer);
+    void sendAnswer(FullHttpResponse answer);
 
     /** Begins an answer of unknown length. */
-    void begin(HttpResponse head);
+    void beginAnswer(HttpResponse head);
 
     /** Sends a part of an answer that has begun, and takes ownership of the buffer. */
-    void part(ByteBuf part);
+    void sendPart(ByteBuf part);
 
     /** Ends an answer that has begun, as complete. */
-    void end();
+    void endAnswer();
 
     /** Closes the connection within an answer, so that the caller detects that it is incomplete. */
-    void breakOff();
+    void abortAnswer();
 
     /** Returns whether the connection's outbound buffer has room for more data. */
     boolean writable();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ArrivalHandler.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/BytesReceivedHandler.java
@@ -4,16 +4,16 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /** Notifies a caller's connection of received bytes before HTTP decoding, so that a slow request head can time out. */
-final class ArrivalHandler extends ChannelInboundHandlerAdapter {
+final class BytesReceivedHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ArrivalHandler(CallerConnection connection) {
+    BytesReceivedHandler(CallerConnection connection) {
         this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        connection.bytesArrived();
+        connection.bytesReceived();
         context.fireChannelRead(message);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -32,52 +32,52 @@
  * <p>The connection continues reading while a request is served, because otherwise it would not detect that the caller
  * has disconnected. Parts of later requests are queued up to a limit.
  */
-final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerLink {
+final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerWriter {
     /** Number of queued HTTP objects of later requests beyond which reading is paused until the current request ends. */
-    private static final int MOST_WAITING_PARTS = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final Channel channel;
     private final RequestService service;
     private final TimeSource time;
-    private final Deque<Object> waiting = new ArrayDeque<>();
+    private final Deque<Object> queuedMessages = new ArrayDeque<>();
     private HttpRequest head;
     private CompositeByteBuf body;
-    private int reserved;
-    private long headArrivedAt;
-    private long quietSince;
+    private int reservedBytes;
+    private long headReceivedAtNanos;
+    private long lastActivityNanos;
     private boolean receiving;
     private boolean serving;
     private boolean keepAlive = true;
     private boolean closing;
-    private ActiveRequest active;
+    private ActiveRequest activeRequest;
 
     CallerConnection(Channel channel, RequestService service, TimeSource time) {
         this.channel = channel;
         this.service = service;
         this.time = time;
-        this.quietSince = time.monotonicNanoseconds();
+        this.lastActivityNanos = time.monotonicNanoseconds();
     }
 
     /** Records that bytes have been received, which may be the start of a request. */
-    void bytesArrived() {
+    void bytesReceived() {
         if (!receiving && !serving) {
             receiving = true;
-            quietSince = time.monotonicNanoseconds();
+            lastActivityNanos = time.monotonicNanoseconds();
         }
     }
 
     /** Closes the connection if it has exceeded its header or idle timeout. */
-    void check(long now) {
+    void enforceTimeouts(long nowNanos) {
         if (serving || closing) {
             return;
         }
-        ConnectionLimits limits = service.limits();
-        long quiet = now - quietSince;
-        if (receiving && quiet > limits.headerTimeout().toNanos() && head == null) {
+        ConnectionLimits limits = service.connectionLimits();
+        long idleNanos = nowNanos - lastActivityNanos;
+        if (receiving && idleNanos > limits.headerTimeout().toNanos() && head == null) {
             refuse(
                     HttpResponseStatus.REQUEST_TIMEOUT,
                     "The request's head was not received within the header timeout.");
-        } else if (quiet > limits.idleTimeout().toNanos()) {
+        } else if (idleNanos > limits.idleTimeout().toNanos()) {
             close();
         }
     }
@@ -100,19 +100,19 @@
             return;
         }
         if (serving) {
-            waiting.addLast(message);
-            if (waiting.size() > MOST_WAITING_PARTS) {
+            queuedMessages.addLast(message);
+            if (queuedMessages.size() > MAX_QUEUED_MESSAGES) {
                 channel.config().setAutoRead(false);
             }
             return;
         }
-        take(message);
+        handle(message);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (active != null) {
-            active.writabilityChanged();
+        if (activeRequest != null) {
+            activeRequest.writabilityChanged();
         }
     }
 
@@ -124,29 +124,29 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
-        ActiveRequest left = active;
-        active = null;
-        dropBody();
-        while (!waiting.isEmpty()) {
-            ReferenceCountUtil.release(waiting.pollFirst());
+        ActiveRequest abandonedRequest = activeRequest;
+        activeRequest = null;
+        discardRequest();
+        while (!queuedMessages.isEmpty()) {
+            ReferenceCountUtil.release(queuedMessages.pollFirst());
         }
-        if (left != null) {
-            left.callerLeft();
+        if (abandonedRequest != null) {
+            abandonedRequest.callerDisconnected();
         }
     }
 
     @Override
-    public void answer(FullHttpResponse answer) {
-        boolean kept = keepAlive && !service.stopping();
-        HttpUtil.setKeepAlive(answer, kept);
-        if (!kept) {
+    public void sendAnswer(FullHttpResponse answer) {
+        boolean keepOpen = keepAlive && !service.stopping();
+        HttpUtil.setKeepAlive(answer, keepOpen);
+        if (!keepOpen) {
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        finish(channel.writeAndFlush(answer), kept);
+        finish(channel.writeAndFlush(answer), keepOpen);
     }
 
     @Override
-    public void begin(HttpResponse answerHead) {
+    public void beginAnswer(HttpResponse answerHead) {
         keepAlive &= !service.stopping();
         HttpUtil.setKeepAlive(answerHead, keepAlive);
         if (!keepAlive) {
@@ -157,18 +157,18 @@
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void sendPart(ByteBuf part) {
         channel.writeAndFlush(new DefaultHttpContent(part));
     }
 
     @Override
-    public void end() {
+    public void endAnswer() {
         finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive);
     }
 
     @Override
-    public void breakOff() {
-        active = null;
+    public void abortAnswer() {
+        activeRequest = null;
         close();
     }
 
@@ -177,22 +177,22 @@
         return channel.isWritable();
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         try {
             if (message instanceof HttpRequest request) {
-                takeHead(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && head != null) {
-                takeContent(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void takeHead(HttpRequest request) {
-        quietSince = time.monotonicNanoseconds();
-        headArrivedAt = quietSince;
+    private void handleHead(HttpRequest request) {
+        lastActivityNanos = time.monotonicNanoseconds();
+        headReceivedAtNanos = lastActivityNanos;
         receiving = true;
         if (request.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "The request is not valid HTTP.");
@@ -202,7 +202,7 @@
             refuse(HttpResponseStatus.BAD_REQUEST, "The request has more than one Host header.");
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > service.limits().mostBodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > service.connectionLimits().mostBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
@@ -214,30 +214,30 @@
         }
     }
 
-    private void takeContent(HttpContent content) {
-        quietSince = time.monotonicNanoseconds();
+    private void handleContent(HttpContent content) {
+        lastActivityNanos = time.monotonicNanoseconds();
         if (content.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "The request's body cannot be read.");
             return;
         }
-        int bytes = content.content().readableBytes();
-        if (body.readableBytes() + bytes > service.limits().mostBodyBytes()) {
+        int byteCount = content.content().readableBytes();
+        if (body.readableBytes() + byteCount > service.connectionLimits().mostBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
-        if (!service.reserve(bytes)) {
-            dropBody();
+        if (!service.reserveBodyBytes(byteCount)) {
+            discardRequest();
             closing = true;
-            FullHttpResponse full = LocalAnswers.notRun(
+            FullHttpResponse refusal = LocalAnswers.notRun(
                     "the limit on request bodies held in memory has been reached", java.time.Duration.ofSeconds(1));
-            full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            channel.writeAndFlush(full).addListener(ChannelFutureListener.CLOSE);
+            refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            channel.writeAndFlush(refusal).addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        reserved += bytes;
+        reservedBytes += byteCount;
         body.addComponent(true, content.content().retain());
         if (content instanceof LastHttpContent) {
-            start();
+            scheduleServing();
         }
     }
 
@@ -246,8 +246,8 @@
      * processor time, an entry receives requests whose callers have already disconnected. If they were served before the
      * close is read, a server would work on them although nobody waits for the answer.
      */
-    private void start() {
-        IncomingRequest request = new IncomingRequest(head, body, headArrivedAt);
+    private void scheduleServing() {
+        IncomingRequest request = new IncomingRequest(head, body, headReceivedAtNanos);
         head = null;
         body = null;
         receiving = false;
@@ -257,54 +257,54 @@
 
     private void serve(IncomingRequest request) {
         if (!channel.isActive()) {
-            service.release(reserved);
-            reserved = 0;
-            service.drop(request);
+            service.releaseBodyBytes(reservedBytes);
+            reservedBytes = 0;
+            service.discard(request);
             return;
         }
-        ActiveRequest begun = service.serve(request, this);
+        ActiveRequest startedRequest = service.serve(request, this);
         if (serving) {
-            active = begun;
+            activeRequest = startedRequest;
         }
     }
 
-    private void finish(ChannelFuture written, boolean kept) {
-        active = null;
+    private void finish(ChannelFuture writeFuture, boolean keepOpen) {
+        activeRequest = null;
         serving = false;
-        service.release(reserved);
-        reserved = 0;
-        quietSince = time.monotonicNanoseconds();
-        if (!kept) {
+        service.releaseBodyBytes(reservedBytes);
+        reservedBytes = 0;
+        lastActivityNanos = time.monotonicNanoseconds();
+        if (!keepOpen) {
             closing = true;
-            written.addListener(ChannelFutureListener.CLOSE);
+            writeFuture.addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel.config().setAutoRead(true);
-        channel.eventLoop().execute(this::takeWaiting);
+        channel.eventLoop().execute(this::handleQueuedMessages);
     }
 
-    private void takeWaiting() {
-        while (!serving && !closing && !waiting.isEmpty()) {
-            take(waiting.pollFirst());
+    private void handleQueuedMessages() {
+        while (!serving && !closing && !queuedMessages.isEmpty()) {
+            handle(queuedMessages.pollFirst());
         }
     }
 
-    private void refuse(HttpResponseStatus status, String sentence) {
-        dropBody();
+    private void refuse(HttpResponseStatus status, String message) {
+        discardRequest();
         closing = true;
-        FullHttpResponse answer = LocalAnswers.of(status, sentence);
+        FullHttpResponse answer = LocalAnswers.of(status, message);
         answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void dropBody() {
+    private void discardRequest() {
         head = null;
         if (body != null) {
             body.release();
             body = null;
         }
-        service.release(reserved);
-        reserved = 0;
+        service.releaseBodyBytes(reservedBytes);
+        reservedBytes = 0;
     }
 
     private void close() {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
@@ -19,17 +19,17 @@
 
 /** Accepts the connections of callers. All methods but {@link #start} are confined to the event loop. */
 public final class CallerServer {
-    private static final int MOST_INITIAL_LINE = 16_384;
-    private static final int CHUNK_BYTES = 16_384;
+    private static final int MAX_INITIAL_LINE_LENGTH = 16_384;
+    private static final int MAX_CHUNK_BYTES = 16_384;
     private static final int BACKLOG = 1024;
 
     /** Consecutive reads from one connection, so that no connection delays the others. */
-    private static final int MOST_READS = 16;
+    private static final int MAX_CONSECUTIVE_READS = 16;
 
     private final RequestService service;
     private final TimeSource time;
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
-    private Channel listener;
+    private Channel listenerChannel;
 
     public CallerServer(RequestService service, TimeSource time) {
         this.service = service;
@@ -44,28 +44,28 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readToTheEnd())
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readAllAllocator())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
                 });
-        listener = ListeningPort.open(bootstrap, address, "The port for callers");
-        return (InetSocketAddress) listener.localAddress();
+        listenerChannel = ListeningPort.open(bootstrap, address, "The port for callers");
+        return (InetSocketAddress) listenerChannel.localAddress();
     }
 
     /** Closes connections that have exceeded their timeouts. */
-    public void check(long now) {
+    public void enforceTimeouts(long nowNanos) {
         for (CallerConnection connection : List.copyOf(connections)) {
-            connection.check(now);
+            connection.enforceTimeouts(nowNanos);
         }
     }
 
     /** Closes the port, so that no new connections are accepted. */
     public void stopListening() {
-        if (listener != null) {
-            listener.close();
+        if (listenerChannel != null) {
+            listenerChannel.close();
         }
     }
 
@@ -75,12 +75,12 @@
     }
 
     /** Returns the number of open connections. */
-    public int open() {
+    public int openConnections() {
         return connections.size();
     }
 
     /** Returns the number of requests being served. */
-    public long serving() {
+    public long servedRequests() {
         return connections.stream().filter(CallerConnection::serving).count();
     }
 
@@ -88,9 +88,9 @@
      * Returns an allocator that reads until no data is left. By default, a read that does not fill its buffer ends the read
      * loop, and a close that follows the data is detected only after the next select.
      */
-    private static RecvByteBufAllocator readToTheEnd() {
+    private static RecvByteBufAllocator readAllAllocator() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
-        allocator.maxMessagesPerRead(MOST_READS);
+        allocator.maxMessagesPerRead(MAX_CONSECUTIVE_READS);
         return allocator.respectMaybeMoreData(false);
     }
 
@@ -99,8 +99,9 @@
         connections.add(connection);
         channel.closeFuture().addListener(closed -> connections.remove(connection));
         channel.pipeline()
-                .addLast(new ArrivalHandler(connection))
-                .addLast(new HttpServerCodec(MOST_INITIAL_LINE, service.limits().mostHeaderBytes(), CHUNK_BYTES))
+                .addLast(new BytesReceivedHandler(connection))
+                .addLast(new HttpServerCodec(
+                        MAX_INITIAL_LINE_LENGTH, service.connectionLimits().mostHeaderBytes(), MAX_CHUNK_BYTES))
                 .addLast(connection);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
@@ -19,12 +19,12 @@
             throws AspenmoorException {
         try {
             return bootstrap.bind(address).syncUninterruptibly().channel();
-        } catch (RuntimeException taken) {
+        } catch (RuntimeException cause) {
             throw new AspenmoorException(
-                    purpose + " cannot be opened: " + taken.getMessage() + ".",
+                    purpose + " cannot be opened: " + cause.getMessage() + ".",
                     address.toString(),
                     "Choose a free port, or stop the process that uses this one.",
-                    taken);
+                    cause);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
@@ -99,7 +99,7 @@
         noteGeneration();
         eventLoop.execute(() -> {
             if (state.serverMissing(id, time.monotonicNanoseconds())) {
-                connections.forget(id);
+                connections.remove(id);
             }
         });
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/AnswerFacts.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/AnswerMetadata.java
@@ -11,11 +11,11 @@
  * @param signed whether the answer carries the server's signature
  * @param notExecuted whether the server states that it has not executed the request and will not execute it
  * @param load the load that the server reports
- * @param idleLimit how long the server keeps an idle connection open
+ * @param idleTimeout how long the server keeps an idle connection open
  */
-public record AnswerFacts(
+public record AnswerMetadata(
         Optional<String> requestId,
         boolean signed,
         boolean notExecuted,
         Optional<ReportedLoad> load,
-        Optional<Duration> idleLimit) {}
+        Optional<Duration> idleTimeout) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/BackendProtocol.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/BackendProtocol.java
@@ -10,29 +10,29 @@
 /** Maps an entry's own types to the headers and HTTP calls of backend servers. */
 public interface BackendProtocol {
     /** Sets the headers that are reserved for entries, and removes any values that the caller sent in them. */
-    void address(HttpHeaders headers, Delivery delivery);
+    void writeHeaders(HttpHeaders headers, DispatchParameters parameters);
 
     /** Reads the metadata in the head of an answer. */
-    AnswerFacts read(HttpResponse head);
+    AnswerMetadata readHead(HttpResponse head);
 
     /** Reads the handle of a prefilled prompt's cache from the body of an answer; empty if there is none. */
-    Optional<String> readHandle(String body);
+    Optional<String> readCacheHandle(String body);
 
     /** Returns the HTTP request that makes an engine release the cache of a prefilled prompt. */
     FullHttpRequest release(CacheSource source);
 
     /** Returns the HTTP request that queries an engine's report. */
-    FullHttpRequest askReport(String server);
+    FullHttpRequest createReportRequest(String serverId);
 
     /** Reads an engine's report; empty if the body is not a report. */
     Optional<EngineReport> readReport(String body);
 
     /** Returns the HTTP request that orders an engine to change its role. */
-    FullHttpRequest order(RoleOrder order);
+    FullHttpRequest createRoleOrderRequest(RoleOrder order);
 
     /** Returns the HTTP request that lists the prompt parts in an engine's cache. */
-    FullHttpRequest askCache(String server);
+    FullHttpRequest createCacheListRequest(String serverId);
 
     /** Reads the list of prompt parts in an engine's cache; empty if the body contains none. */
-    List<PromptPart> readCache(String body);
+    List<PromptPart> readCacheList(String body);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerHeaders.java
@@ -7,8 +7,8 @@
 /**
  * Values that a caller sends in the headers of its request.
  *
- * @param id identifies the request; an empty string if the caller sent no identifier
- * @param patience how long the caller waits for the answer, from the time it sent the request; empty if not stated
+ * @param requestId identifies the request; an empty string if the caller sent no identifier
+ * @param maxWait how long the caller waits for the answer, from the time it sent the request; empty if not stated
  * @param prompt the description of the request's prompt; empty if not stated or incomplete
  */
-public record CallerRequest(String id, Optional<Duration> patience, Optional<Prompt> prompt) {}
+public record CallerHeaders(String requestId, Optional<Duration> maxWait, Optional<Prompt> prompt) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerProtocol.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/CallerProtocol.java
@@ -5,5 +5,5 @@
 /** Reads the headers of callers' requests. */
 public interface CallerProtocol {
     /** Reads the headers of a request; a malformed header is treated as missing. */
-    CallerRequest read(HttpRequest head);
+    CallerHeaders readHead(HttpRequest head);
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/EngineReport.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/EngineReport.java
@@ -6,7 +6,7 @@
  * State of an engine, as the engine reports it in answer to a query.
  *
  * @param role the engine's current role
- * @param ordersTaken the number of orders that the engine has accepted since it started
- * @param changing whether the engine is executing an order
+ * @param acceptedOrders the number of orders that the engine has accepted since it started
+ * @param executingOrder whether the engine is executing an order
  */
-public record EngineReport(EngineRole role, long ordersTaken, boolean changing) {}
+public record EngineReport(EngineRole role, long acceptedOrders, boolean executingOrder) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
@@ -5,11 +5,12 @@
 /**
  * An order to an engine to change its role.
  *
- * @param server the identity of the intended engine; an engine with another identity rejects the order
+ * @param serverId the identity of the intended engine; an engine with another identity rejects the order
  * @param role the role to change to
- * @param holder the process that holds the order lease and sends the order
- * @param number the fencing number of the holder's lease
- * @param ordersTaken the number of orders that the engine must have accepted before; an order that arrives late does
+ * @param leaseHolder the process that holds the order lease and sends the order
+ * @param fencingNumber the fencing number of the holder's lease
+ * @param expectedAcceptedOrders the number of orders that the engine must have accepted before; an order that arrives late does
  *     not meet this precondition and has no effect
  */
-public record RoleOrder(String server, EngineRole role, String holder, long number, long ordersTaken) {}
+public record RoleOrder(
+        String serverId, EngineRole role, String leaseHolder, long fencingNumber, long expectedAcceptedOrders) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -8,7 +8,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.aspenmoor.internal.gateway.backend.ExchangeListener;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.PlacedWork;
@@ -30,7 +30,7 @@
     private final ByteBuf kept = Unpooled.buffer();
     private final EventSplitter events = new EventSplitter();
     private HttpResponse head;
-    private AnswerFacts facts;
+    private AnswerMetadata facts;
     private boolean begun;
     private long begunAt;
     private long heardAt;
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void head(HttpResponse answerHead, AnswerFacts answerFacts) {
+    public void headReceived(HttpResponse answerHead, AnswerMetadata answerFacts) {
         head = answerHead;
         facts = answerFacts;
         request.loadReported(work, answerFacts);
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void dataReceived(ByteBuf part) {
         if (streams()) {
             events.add(part);
             passEventsOn();
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public void complete() {
+    public void completed() {
         if (over) {
             return;
         }
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void broken(String reason) {
+    public void failed(String reason) {
         if (!over) {
             request.serverEnds().connectionBroke(server, work, told());
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -6,8 +6,8 @@
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
-import org.aspenmoor.internal.gateway.protocol.Delivery;
-import org.aspenmoor.internal.gateway.protocol.WantedWork;
+import org.aspenmoor.internal.gateway.protocol.DispatchParameters;
+import org.aspenmoor.internal.gateway.protocol.RequestedWork;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.Placement;
 import org.aspenmoor.internal.serving.Route;
@@ -28,11 +28,11 @@
 
     /** Returns the message that has only the prompt computed. */
     FullHttpRequest prompt(Placement.Staged staged, Optional<String> lastEvent, long now) {
-        return message(new Delivery(
+        return message(new DispatchParameters(
                 staged.prefill().id(),
                 left(now),
                 staged.promptRank(route.priority()),
-                WantedWork.PROMPT_ONLY,
+                RequestedWork.PROMPT_ONLY,
                 Optional.empty(),
                 staged.holder(),
                 lastEvent));
@@ -45,11 +45,11 @@
             Optional<BackendServer> holder,
             Optional<String> lastEvent,
             long now) {
-        return message(
-                new Delivery(server.id(), left(now), route.priority(), WantedWork.ANSWER, source, holder, lastEvent));
+        return message(new DispatchParameters(
+                server.id(), left(now), route.priority(), RequestedWork.ANSWER, source, holder, lastEvent));
     }
 
-    private FullHttpRequest message(Delivery delivery) {
+    private FullHttpRequest message(DispatchParameters delivery) {
         return OutgoingMessage.request(incoming, protocol, delivery);
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.Optional;
-import org.aspenmoor.internal.gateway.caller.CallerLink;
+import org.aspenmoor.internal.gateway.caller.AnswerWriter;
 
 /**
  * The events that a caller gets in one answer, whichever servers they come from. Confined to the event loop.
@@ -13,11 +13,11 @@
  * <p>The head is that of the first server. Only whole events leave, so that another server can go on after the last one.
  */
 final class CallerStream {
-    private final CallerLink link;
+    private final AnswerWriter link;
     private Optional<String> lastEvent = Optional.empty();
     private boolean begun;
 
-    CallerStream(CallerLink link) {
+    CallerStream(AnswerWriter link) {
         this.link = link;
     }
 
@@ -27,12 +27,12 @@
             begun = true;
             HttpResponse first = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
             first.headers().set(ForwardedHeaders.copy(head.headers()));
-            link.begin(first);
+            link.beginAnswer(first);
         }
         if (identity.isPresent()) {
             lastEvent = identity;
         }
-        link.part(event);
+        link.sendPart(event);
     }
 
     /** Returns whether the caller has got any event. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -67,7 +67,7 @@
     /** Stops or goes on reading the answer. */
     void read(boolean on) {
         if (exchange != null) {
-            exchange.read(on);
+            exchange.setReading(on);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EndedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EndedRequest.java
@@ -5,7 +5,7 @@
 /** A request that was answered at once. */
 final class EndedRequest implements ActiveRequest {
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
         // Nothing runs for it.
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
@@ -11,14 +11,14 @@
 import io.netty.handler.codec.http.HttpVersion;
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
-import org.aspenmoor.internal.gateway.protocol.Delivery;
+import org.aspenmoor.internal.gateway.protocol.DispatchParameters;
 
 /** Builds what leaves an entry from what came in: method, path, status and body stay as they were. */
 final class OutgoingMessage {
     private OutgoingMessage() {}
 
     /** Returns the request for a backend server; the body is shared with the incoming one. */
-    static FullHttpRequest request(IncomingRequest incoming, BackendProtocol protocol, Delivery delivery) {
+    static FullHttpRequest request(IncomingRequest incoming, BackendProtocol protocol, DispatchParameters delivery) {
         HttpRequest head = incoming.head();
         ByteBuf body = incoming.body().retainedDuplicate();
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), body);
@@ -26,7 +26,7 @@
         if (body.isReadable() || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
             message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
-        protocol.address(message.headers(), delivery);
+        protocol.writeHeaders(message.headers(), delivery);
         return message;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.gateway.request;
 
 import java.time.Duration;
-import org.aspenmoor.internal.gateway.protocol.CallerRequest;
+import org.aspenmoor.internal.gateway.protocol.CallerHeaders;
 import org.aspenmoor.internal.serving.PlacementRequest;
 import org.aspenmoor.internal.serving.RequestTimes;
 import org.aspenmoor.internal.serving.Route;
@@ -9,7 +9,7 @@
 /** Says what one request asks of its next placement. */
 final class PlacementRequests {
     private final String service;
-    private final CallerRequest caller;
+    private final CallerHeaders caller;
     private final Route route;
     private final RequestTimes times;
     private final RequestTrace trace;
@@ -18,7 +18,7 @@
 
     PlacementRequests(
             String service,
-            CallerRequest caller,
+            CallerHeaders caller,
             Route route,
             RequestTimes times,
             RequestTrace trace,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.aspenmoor.internal.gateway.backend.ExchangeListener;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
 import org.aspenmoor.internal.serving.AttemptEnd;
@@ -35,23 +35,23 @@
     }
 
     @Override
-    public void head(HttpResponse head, AnswerFacts facts) {
+    public void headReceived(HttpResponse head, AnswerMetadata facts) {
         request.loadReported(work, facts);
         status = head.status();
         rejected = facts.notExecuted();
     }
 
     @Override
-    public void data(ByteBuf part) {
+    public void dataReceived(ByteBuf part) {
         if (body.length() < MOST_BODY_BYTES) {
             body.append(part.toString(StandardCharsets.UTF_8));
         }
     }
 
     @Override
-    public void complete() {
+    public void completed() {
         boolean accepted = status.code() == HttpResponseStatus.OK.code();
-        Optional<String> handle = accepted ? protocol.readHandle(body.toString()) : Optional.empty();
+        Optional<String> handle = accepted ? protocol.readCacheHandle(body.toString()) : Optional.empty();
         if (handle.isEmpty()) {
             AttemptEnd end = rejected ? AnswerAttempt.rejection(status) : new AttemptEnd.Failed();
             request.prefillEnded(placement, work, end, "status " + status.code() + ", no handle");
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void broken(String reason) {
+    public void failed(String reason) {
         request.serverEnds().connectionBroke(placement.prefill(), work, Duration.ZERO);
         request.prefillEnded(placement, work, new AttemptEnd.Lost(), reason);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -9,12 +9,12 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
-import org.aspenmoor.internal.gateway.caller.CallerLink;
+import org.aspenmoor.internal.gateway.caller.AnswerWriter;
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
 import org.aspenmoor.internal.gateway.caller.RequestService;
+import org.aspenmoor.internal.gateway.protocol.CallerHeaders;
 import org.aspenmoor.internal.gateway.protocol.CallerProtocol;
-import org.aspenmoor.internal.gateway.protocol.CallerRequest;
 import org.aspenmoor.internal.serving.ConnectionLimits;
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.ServingConfiguration;
@@ -59,8 +59,8 @@
     }
 
     @Override
-    public ActiveRequest serve(IncomingRequest incoming, CallerLink link) {
-        CallerRequest caller = callers.read(incoming.head());
+    public ActiveRequest serve(IncomingRequest incoming, AnswerWriter link) {
+        CallerHeaders caller = callers.readHead(incoming.head());
         return ready() ? serveNow(incoming, caller, link) : waitForStart(incoming, caller, link);
     }
 
@@ -68,12 +68,12 @@
         return tools.state().ready() && tools.state().configuration().isPresent();
     }
 
-    private ActiveRequest waitForStart(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
-        Duration wait = caller.patience()
+    private ActiveRequest waitForStart(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
+        Duration wait = caller.maxWait()
                 .filter(patience -> patience.compareTo(LONGEST_START_WAIT) < 0)
                 .orElse(LONGEST_START_WAIT);
         StartingRequest waiting = new StartingRequest(
-                incoming.arrivedAt() + wait.toNanos(),
+                incoming.receivedAtNanos() + wait.toNanos(),
                 () -> serveNow(incoming, caller, link),
                 () -> refuse(
                         incoming,
@@ -105,7 +105,7 @@
         }
     }
 
-    private ActiveRequest serveNow(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
+    private ActiveRequest serveNow(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
         Optional<ServingConfiguration> configuration = tools.state().configuration();
         Optional<Route> route = configuration.get().match(incoming.host(), incoming.path());
         if (route.isEmpty()) {
@@ -130,12 +130,12 @@
     }
 
     @Override
-    public void drop(IncomingRequest incoming) {
-        end(incoming, callers.read(incoming.head()), RequestOutcome.CALLER_LEFT);
+    public void discard(IncomingRequest incoming) {
+        end(incoming, callers.readHead(incoming.head()), RequestOutcome.CALLER_LEFT);
     }
 
     @Override
-    public ConnectionLimits limits() {
+    public ConnectionLimits connectionLimits() {
         return tools.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.usual());
     }
 
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public boolean reserve(int bytes) {
+    public boolean reserveBodyBytes(int bytes) {
         if (bodyBytes + bytes > mostBodyBytes) {
             return false;
         }
@@ -154,29 +154,29 @@
     }
 
     @Override
-    public void release(int bytes) {
+    public void releaseBodyBytes(int bytes) {
         bodyBytes -= bytes;
     }
 
     private ActiveRequest refuse(
             IncomingRequest incoming,
-            CallerRequest caller,
-            CallerLink link,
+            CallerHeaders caller,
+            AnswerWriter link,
             RequestOutcome outcome,
             FullHttpResponse answer) {
         end(incoming, caller, outcome);
-        link.answer(answer);
+        link.sendAnswer(answer);
         return new EndedRequest();
     }
 
     /** Ends a request that went nowhere. */
-    private void end(IncomingRequest incoming, CallerRequest caller, RequestOutcome outcome) {
+    private void end(IncomingRequest incoming, CallerHeaders caller, RequestOutcome outcome) {
         incoming.body().release();
         tools.metrics().ended("", outcome);
         tools.state()
                 .log()
                 .notable("request-ended")
-                .with("request", caller.id())
+                .with("request", caller.requestId())
                 .with("outcome", outcome.name())
                 .with("host", incoming.host())
                 .with("path", incoming.path())
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 import org.aspenmoor.internal.gateway.log.LogLine;
-import org.aspenmoor.internal.gateway.protocol.CallerRequest;
+import org.aspenmoor.internal.gateway.protocol.CallerHeaders;
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.EngineLoad;
@@ -18,7 +18,7 @@
 final class RequestTrace {
     private static final double MILLISECONDS = 1000;
 
-    private final CallerRequest caller;
+    private final CallerHeaders caller;
     private final Route route;
     private final String service;
     private final long configurationVersion;
@@ -41,7 +41,7 @@
     private int eventsOfAttempt;
 
     RequestTrace(
-            CallerRequest caller,
+            CallerHeaders caller,
             Route route,
             String service,
             long configurationVersion,
@@ -131,7 +131,7 @@
     /** Writes that a prompt was not computed where it should have been. */
     void prefillFailed(DecisionLog log, BackendServer engine, String why) {
         log.notable("prefill-failed")
-                .with("request", caller.id())
+                .with("request", caller.requestId())
                 .with("server", engine.id())
                 .with("reason", why)
                 .write();
@@ -140,7 +140,7 @@
     /** Writes how an attempt ended and what follows. */
     void attemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
-                .with("request", caller.id())
+                .with("request", caller.requestId())
                 .with("server", server)
                 .with("end", end.getClass().getSimpleName())
                 .with("reason", reason)
@@ -150,7 +150,7 @@
 
     /** Writes all of it, with what runs at the last server now. */
     void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad there, long now) {
-        line.with("request", caller.id())
+        line.with("request", caller.requestId())
                 .with("outcome", outcome.name())
                 .with("route", route.name())
                 .with("configuration", configurationVersion)
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -8,13 +8,13 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
-import org.aspenmoor.internal.gateway.caller.CallerLink;
+import org.aspenmoor.internal.gateway.caller.AnswerWriter;
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
 import org.aspenmoor.internal.gateway.log.LogLine;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
-import org.aspenmoor.internal.gateway.protocol.CallerRequest;
+import org.aspenmoor.internal.gateway.protocol.CallerHeaders;
 import org.aspenmoor.internal.serving.AttemptAccount;
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.BackendServer;
@@ -36,8 +36,8 @@
 
     private final RequestTools tools;
     private final IncomingRequest incoming;
-    private final CallerRequest caller;
-    private final CallerLink link;
+    private final CallerHeaders caller;
+    private final AnswerWriter link;
     private final CallerStream stream;
     private final Route route;
     private final String service;
@@ -61,8 +61,8 @@
     ServedRequest(
             RequestTools tools,
             IncomingRequest incoming,
-            CallerRequest caller,
-            CallerLink link,
+            CallerHeaders caller,
+            AnswerWriter link,
             Route route,
             String service,
             long configurationVersion) {
@@ -76,16 +76,16 @@
         this.account = new AttemptAccount(route.repeatRule(), route.mostBackends());
         this.current = new CurrentAttempt(tools, service, route.objective());
         this.stallWatch = new StallWatch(tools, route, link::writable, this::stalled);
-        this.times = new RequestTimes(incoming.arrivedAt(), caller.patience(), route);
-        this.trace =
-                new RequestTrace(caller, route, service, configurationVersion, incoming.arrivedAt(), times.deadline());
+        this.times = new RequestTimes(incoming.receivedAtNanos(), caller.maxWait(), route);
+        this.trace = new RequestTrace(
+                caller, route, service, configurationVersion, incoming.receivedAtNanos(), times.deadline());
         this.messages = new AttemptMessages(incoming, tools.protocol(), route, times.deadline());
         this.progress = new AnswerProgress(tools.state().placer(), service, caller.prompt(), trace);
         this.line = new LinePlace(tools, this, times, trace);
         this.placements = new PlacementRequests(service, caller, route, times, trace, stream, tried);
         this.permit = new RepeatPermit(tools, service, account, trace);
-        this.unfetched = new UnfetchedPrompt(tools, caller.id());
-        this.serverEnds = new ServerEnds(tools, caller.id(), service, incoming, trace);
+        this.unfetched = new UnfetchedPrompt(tools, caller.requestId());
+        this.serverEnds = new ServerEnds(tools, caller.requestId(), service, incoming, trace);
     }
 
     void start() {
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
         if (over) {
             return;
         }
@@ -168,7 +168,7 @@
         FullHttpRequest message = messages.prompt(staged, stream.lastEvent(), now());
         PrefillAttempt prefill = new PrefillAttempt(this, tools.protocol(), staged, work);
         stallWatch.watch(prefill);
-        current.sent(work, tools.connections().send(staged.prefill(), caller.id(), message, prefill));
+        current.sent(work, tools.connections().send(staged.prefill(), caller.requestId(), message, prefill));
     }
 
     private void send(
@@ -190,7 +190,7 @@
         } else {
             stallWatch.watch(attempt);
         }
-        current.sent(work, tools.connections().send(server, caller.id(), message, attempt));
+        current.sent(work, tools.connections().send(server, caller.requestId(), message, attempt));
     }
 
     ServerEnds serverEnds() {
@@ -217,7 +217,7 @@
         }
     }
 
-    void loadReported(PlacedWork work, AnswerFacts facts) {
+    void loadReported(PlacedWork work, AnswerMetadata facts) {
         facts.load().ifPresent(load -> tools.state().placer().reported(work, load, now()));
     }
 
@@ -279,7 +279,7 @@
         if (!stream.begun()) {
             trace.firstByte(now());
             line.answered();
-            tools.metrics().firstByte(service, (now() - incoming.arrivedAt()) / 1e9);
+            tools.metrics().firstByte(service, (now() - incoming.receivedAtNanos()) / 1e9);
         }
     }
 
@@ -317,7 +317,7 @@
         }
         progress.whole();
         finish(RequestOutcome.ANSWERED);
-        link.end();
+        link.endAnswer();
     }
 
     void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
@@ -332,11 +332,11 @@
             return;
         }
         finish(RequestOutcome.ANSWERED);
-        link.answer(OutgoingMessage.answer(head, body));
+        link.sendAnswer(OutgoingMessage.answer(head, body));
     }
 
     /** The server's own failure: tried elsewhere where the request may be repeated, else passed on as it is. */
-    void failureCame(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
+    void failureCame(PlacedWork work, HttpResponse head, ByteBuf body, AnswerMetadata facts) {
         AttemptEnd end = new AttemptEnd.Failed();
         tools.state().attemptEnded(work, end);
         current.end(work);
@@ -354,7 +354,7 @@
             return;
         }
         finish(RequestOutcome.FAILURE_PASSED_ON);
-        link.answer(OutgoingMessage.answer(head, body));
+        link.sendAnswer(OutgoingMessage.answer(head, body));
     }
 
     void attemptEnded(PlacedWork work, AttemptEnd end, String reason) {
@@ -409,17 +409,17 @@
         }
         if (stream.begun()) {
             finish(RequestOutcome.CUT);
-            link.breakOff();
+            link.abortAnswer();
             return;
         }
         if (step == NextStep.REFUSE) {
             finish(RequestOutcome.NOT_RUN);
             Duration comeBack = pause.compareTo(SHORTEST_PAUSE) < 0 ? SHORTEST_PAUSE : pause;
-            link.answer(LocalAnswers.notRun(trace.reason(), tools.state().spread(comeBack)));
+            link.sendAnswer(LocalAnswers.notRun(trace.reason(), tools.state().spread(comeBack)));
             return;
         }
         finish(RequestOutcome.UNKNOWN);
-        link.answer(LocalAnswers.unknown(trace.reason(), times.deadline() <= now()));
+        link.sendAnswer(LocalAnswers.outcomeUnknown(trace.reason(), times.deadline() <= now()));
     }
 
     /** Ends everything that belongs to the request; its answer is sent right after, if its caller is still there. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StartingRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StartingRequest.java
@@ -41,9 +41,9 @@
     }
 
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
         if (begun.isPresent()) {
-            begun.get().callerLeft();
+            begun.get().callerDisconnected();
             return;
         }
         left = true;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.aspenmoor.internal.gateway.backend.AwaitedAnswer;
+import org.aspenmoor.internal.gateway.backend.AnswerCollector;
 import org.aspenmoor.internal.gateway.backend.BackendConnections;
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
@@ -172,9 +172,11 @@
     private boolean order(RoleMove move, long number) throws InterruptedException {
         BackendServer server = move.server();
         try {
-            AwaitedAnswer.Answer told = call(server, protocol.askReport(server.id()));
+            AnswerCollector.Answer told = call(server, protocol.createReportRequest(server.id()));
             Optional<EngineReport> report = protocol.readReport(told.body());
-            if (report.isEmpty() || report.get().changing() || report.get().role() == move.role()) {
+            if (report.isEmpty()
+                    || report.get().executingOrder()
+                    || report.get().role() == move.role()) {
                 return false;
             }
             if (!right.holds()) {
@@ -185,8 +187,8 @@
                 return false;
             }
             RoleOrder order = new RoleOrder(
-                    server.id(), move.role(), holder, number, report.get().ordersTaken());
-            AwaitedAnswer.Answer answer = call(server, protocol.order(order));
+                    server.id(), move.role(), holder, number, report.get().acceptedOrders());
+            AnswerCollector.Answer answer = call(server, protocol.createRoleOrderRequest(order));
             boolean taken = answer.status() < FIRST_REFUSAL;
             if (taken) {
                 accepted.accept(new RoleChange(server.id(), move.role()));
@@ -195,7 +197,7 @@
                     .with("server", server.id())
                     .with("role", move.role().name())
                     .with("number", number)
-                    .with("ordersTaken", report.get().ordersTaken())
+                    .with("ordersTaken", report.get().acceptedOrders())
                     .with("status", answer.status())
                     .write();
             return taken;
@@ -211,10 +213,10 @@
         }
     }
 
-    private AwaitedAnswer.Answer call(BackendServer server, FullHttpRequest request)
+    private AnswerCollector.Answer call(BackendServer server, FullHttpRequest request)
             throws InterruptedException, ExecutionException, TimeoutException {
-        AwaitedAnswer answer = new AwaitedAnswer();
+        AnswerCollector answer = new AnswerCollector();
         eventLoop.execute(() -> connections.send(server, "", request, answer));
-        return answer.done().get(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+        return answer.future().get(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
@@ -15,10 +15,10 @@
  * @param administration the address at which metrics and the state dump are served
  * @param peers the address at which reports of other entries are received
  * @param store the address of the store
- * @param watchTime how long one long poll for changes may wait at the store
+ * @param watchPollWait how long one long poll for changes may wait at the store
  * @param serverChangePause how long changes of servers are left to accumulate at the store before the next poll
- * @param grace how long after SIGTERM the process may run before it is killed
- * @param mostBodyBytes the maximum total size of the request bodies held in memory, in bytes
+ * @param gracePeriod how long after SIGTERM the process may run before it is killed
+ * @param maxBodyBytes the maximum total size of the request bodies held in memory, in bytes
  * @param placement the settings for the placement of requests
  * @param repeats the limits on repeated attempts
  */
@@ -30,10 +30,10 @@
         InetSocketAddress administration,
         InetSocketAddress peers,
         URI store,
-        Duration watchTime,
+        Duration watchPollWait,
         Duration serverChangePause,
-        Duration grace,
-        int mostBodyBytes,
+        Duration gracePeriod,
+        int maxBodyBytes,
         PlacementSettings placement,
         RepeatSettings repeats) {
     /** Returns whether the other settings have the same process name and addresses, which only change with a restart. */
@@ -57,10 +57,10 @@
                 administration,
                 peers,
                 otherStore,
-                watchTime,
+                watchPollWait,
                 serverChangePause,
-                grace,
-                mostBodyBytes,
+                gracePeriod,
+                maxBodyBytes,
                 placement,
                 repeats);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -12,38 +12,38 @@
 
 /** Reads an entry's settings and reports all mistakes, with their locations, in one exception. */
 public final class GatewaySettingsReader {
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
     private static final int MEBIBYTE = 1024 * 1024;
-    private static final int MOST_BODY_MEBIBYTES = 1024;
+    private static final int MAX_BODY_MEBIBYTES = 1024;
 
     /** One sixth of the memory of the smallest host that entries run on. */
-    private static final int USUAL_BODY_MEBIBYTES = 48;
+    private static final int DEFAULT_BODY_MEBIBYTES = 48;
 
     /** Time within which an unresponsive connection to the store must be detected. */
-    private static final int USUAL_SILENCE_MILLISECONDS = 2000;
+    private static final int DEFAULT_SILENCE_MILLISECONDS = 2000;
 
     /** Fraction of that time for which a long poll waits; the rest is for its timeout and the next attempt. */
-    private static final double WATCH_SHARE = 0.6;
+    private static final double WATCH_POLL_FRACTION = 0.6;
 
     /** Time for which a server that is leaving still accepts requests. */
-    private static final int USUAL_LEAVING_MILLISECONDS = 2000;
+    private static final int DEFAULT_LEAVING_MILLISECONDS = 2000;
 
     /** Fraction of that time for which changes accumulate at the store; the rest covers a late answer and a request in transit. */
-    private static final double SERVER_PAUSE_SHARE = 0.35;
+    private static final double SERVER_CHANGE_PAUSE_FRACTION = 0.35;
 
-    private static final int MOST_MILLISECONDS = 3_600_000;
+    private static final int MAX_MILLISECONDS = 3_600_000;
 
-    private static final Duration USUAL_GRACE = Duration.ofSeconds(8);
-    private static final Duration USUAL_REPEAT_WINDOW = Duration.ofSeconds(10);
-    private static final double USUAL_REPEAT_RATIO = 0.1;
-    private static final double MOST_REPEAT_SLACK = 1_000_000;
-    private static final int USUAL_ENTRIES = 16;
-    private static final int MOST_ENTRIES = 10_000;
-    private static final double MOST_SECONDS = 3600;
-    private static final double LEAST_SECONDS = 0.1;
+    private static final Duration DEFAULT_GRACE_PERIOD = Duration.ofSeconds(8);
+    private static final Duration DEFAULT_REPEAT_WINDOW = Duration.ofSeconds(10);
+    private static final double DEFAULT_REPEAT_RATIO = 0.1;
+    private static final double MAX_REPEAT_SLACK = 1_000_000;
+    private static final int DEFAULT_ASSUMED_ENTRIES = 16;
+    private static final int MAX_ASSUMED_ENTRIES = 10_000;
+    private static final double MAX_SECONDS = 3600;
+    private static final double MIN_OWN_PROMPT_FRACTION = 0.1;
 
     /** An engine that generates answers prefills prompts between its decode steps, at about half of its prefill speed. */
-    private static final double USUAL_OWN_PROMPT_SHARE = 0.5;
+    private static final double DEFAULT_OWN_PROMPT_FRACTION = 0.5;
 
     private final Findings findings = new Findings();
 
@@ -53,8 +53,8 @@
     }
 
     /** Reads settings from a string; the source is named in error messages. */
-    public GatewaySettings read(String source, String text) throws AspenmoorException {
-        return SettingsFile.read(source, text, findings, this::readAll);
+    public GatewaySettings read(String source, String content) throws AspenmoorException {
+        return SettingsFile.read(source, content, findings, this::readAll);
     }
 
     private GatewaySettings readAll(FieldReader reader) {
@@ -66,24 +66,24 @@
                 readAddress(reader, "administration"),
                 readAddress(reader, "peers"),
                 reader.requiredHttpUrl("store"),
-                share(reader, "silenceMilliseconds", USUAL_SILENCE_MILLISECONDS, WATCH_SHARE),
-                share(reader, "leavingMilliseconds", USUAL_LEAVING_MILLISECONDS, SERVER_PAUSE_SHARE),
-                reader.seconds("graceSeconds", 1, MOST_SECONDS, USUAL_GRACE),
-                reader.integer("mostBodyMebibytes", 1, MOST_BODY_MEBIBYTES, USUAL_BODY_MEBIBYTES) * MEBIBYTE,
+                fractionOf(reader, "silenceMilliseconds", DEFAULT_SILENCE_MILLISECONDS, WATCH_POLL_FRACTION),
+                fractionOf(reader, "leavingMilliseconds", DEFAULT_LEAVING_MILLISECONDS, SERVER_CHANGE_PAUSE_FRACTION),
+                reader.seconds("graceSeconds", 1, MAX_SECONDS, DEFAULT_GRACE_PERIOD),
+                reader.integer("mostBodyMebibytes", 1, MAX_BODY_MEBIBYTES, DEFAULT_BODY_MEBIBYTES) * MEBIBYTE,
                 new PlacementSettings(
                         reader.requiredText("dataCentre"),
                         EngineSpeedReader.read(reader),
-                        reader.decimal("ownPromptShare", LEAST_SECONDS, 1, USUAL_OWN_PROMPT_SHARE),
+                        reader.decimal("ownPromptShare", MIN_OWN_PROMPT_FRACTION, 1, DEFAULT_OWN_PROMPT_FRACTION),
                         reader.decimal("secondsPerMegapair", 0, 1, 0)),
                 new RepeatSettings(
-                        reader.decimal("repeatRatio", 0, 1, USUAL_REPEAT_RATIO),
-                        reader.decimal("repeatSlack", 0, MOST_REPEAT_SLACK, 0),
-                        reader.seconds("repeatWindowSeconds", 1, MOST_SECONDS, USUAL_REPEAT_WINDOW),
-                        reader.integer("assumedEntries", 1, MOST_ENTRIES, USUAL_ENTRIES)));
+                        reader.decimal("repeatRatio", 0, 1, DEFAULT_REPEAT_RATIO),
+                        reader.decimal("repeatSlack", 0, MAX_REPEAT_SLACK, 0),
+                        reader.seconds("repeatWindowSeconds", 1, MAX_SECONDS, DEFAULT_REPEAT_WINDOW),
+                        reader.integer("assumedEntries", 1, MAX_ASSUMED_ENTRIES, DEFAULT_ASSUMED_ENTRIES)));
     }
 
-    private static Duration share(FieldReader reader, String name, int usual, double share) {
-        return Duration.ofMillis((long) (reader.integer(name, 1, MOST_MILLISECONDS, usual) * share));
+    private static Duration fractionOf(FieldReader reader, String name, int defaultMilliseconds, double fraction) {
+        return Duration.ofMillis((long) (reader.integer(name, 1, MAX_MILLISECONDS, defaultMilliseconds) * fraction));
     }
 
     private InetSocketAddress readAddress(FieldReader reader, String name) {
@@ -91,7 +91,7 @@
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= HIGHEST_PORT) {
+            if (colon > 0 && port >= 0 && port <= MAX_PORT) {
                 return new InetSocketAddress(text.substring(0, colon), port);
             }
         } catch (NumberFormatException notANumber) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsFollower.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsReloader.java
@@ -13,55 +13,56 @@
  * <p>If the file cannot be read or contains mistakes, the previous settings stay in force, because an editing mistake must
  * not stop a process that serves requests.
  */
-public final class SettingsFollower {
+public final class SettingsReloader {
     private final Path file;
     private final Consumer<GatewaySettings> listener;
     private final DecisionLog log;
-    private String lastText;
-    private GatewaySettings inForce;
+    private String lastContent;
+    private GatewaySettings currentSettings;
 
-    public SettingsFollower(Path file, GatewaySettings inForce, Consumer<GatewaySettings> listener, DecisionLog log) {
+    public SettingsReloader(
+            Path file, GatewaySettings currentSettings, Consumer<GatewaySettings> listener, DecisionLog log) {
         this.file = file;
-        this.inForce = inForce;
+        this.currentSettings = currentSettings;
         this.listener = listener;
         this.log = log;
-        this.lastText = textOrEmpty();
+        this.lastContent = contentOrEmpty();
     }
 
     /** Reads the file and passes its settings to the listener if the content has changed. */
-    public synchronized void check() {
-        String text = textOrEmpty();
-        if (text.isEmpty() || text.equals(lastText)) {
+    public synchronized void reloadIfChanged() {
+        String content = contentOrEmpty();
+        if (content.isEmpty() || content.equals(lastContent)) {
             return;
         }
-        lastText = text;
+        lastContent = content;
         try {
-            GatewaySettings read =
-                    new GatewaySettingsReader().read(file.getFileName().toString(), text);
-            boolean restart = !read.sameAddresses(inForce);
-            inForce = read;
-            listener.accept(read);
+            GatewaySettings newSettings =
+                    new GatewaySettingsReader().read(file.getFileName().toString(), content);
+            boolean restartRequired = !newSettings.sameAddresses(currentSettings);
+            currentSettings = newSettings;
+            listener.accept(newSettings);
             log.notable("settings-reloaded")
                     .with(
                             "outcome",
-                            restart
+                            restartRequired
                                     ? "in force, except for the changed process name or addresses, which require a restart"
                                     : "in force")
                     .write();
-        } catch (AspenmoorException wrong) {
+        } catch (AspenmoorException invalid) {
             log.notable("settings-refused")
-                    .with("reason", wrong.getMessage())
+                    .with("reason", invalid.getMessage())
                     .with("outcome", "the previous settings stay in force")
                     .write();
         }
     }
 
-    private String textOrEmpty() {
+    private String contentOrEmpty() {
         try {
             return Files.readString(file);
-        } catch (IOException unreadable) {
+        } catch (IOException cause) {
             log.notable("settings-refused")
-                    .with("reason", "the file cannot be read: " + unreadable.getMessage())
+                    .with("reason", "the file cannot be read: " + cause.getMessage())
                     .with("outcome", "the previous settings stay in force")
                     .write();
             return "";
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/backend/ServerProbesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/backend/ServerProbesTest.java
@@ -19,70 +19,70 @@
 import org.testng.annotations.Test;
 
 public class ServerProbesTest {
-    private static final long PATIENCE_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
     /** Longer than the test waits, so that only the server's behaviour can trigger the second connection attempt. */
-    private static final Duration NEVER = Duration.ofMinutes(10);
+    private static final Duration LONGER_THAN_TEST = Duration.ofMinutes(10);
 
     private NioEventLoopGroup group;
-    private ServerSocket port;
+    private ServerSocket serverSocket;
 
     @BeforeMethod
     public void start() throws IOException {
         group = new NioEventLoopGroup(1);
-        port = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
     @AfterMethod
     public void stop() throws IOException {
-        port.close();
+        serverSocket.close();
         group.shutdownGracefully(0, 0, TimeUnit.SECONDS);
     }
 
     @Test
-    public void should_see_that_a_server_with_a_closed_port_has_ended() throws Exception {
-        int number = port.getLocalPort();
-        port.close();
+    public void should_report_termination_when_the_port_is_closed() throws Exception {
+        int port = serverSocket.getLocalPort();
+        serverSocket.close();
 
-        assertEquals(probed(number, NEVER), true);
+        assertEquals(probeServer(port, LONGER_THAN_TEST), true);
     }
 
     @Test
-    public void should_see_that_a_server_with_an_open_port_lives() throws Exception {
-        assertEquals(probed(port.getLocalPort(), ServerProbes.SECOND_LOOK), false);
+    public void should_report_a_running_server_when_the_port_is_open() throws Exception {
+        assertEquals(probeServer(serverSocket.getLocalPort(), ServerProbes.SECOND_ATTEMPT_DELAY), false);
     }
 
     // Guards against treating a terminated server as running because its port closes slightly later than its
     // connections.
     @Test
-    public void should_look_again_where_the_port_closes_a_moment_later() throws Exception {
-        int number = port.getLocalPort();
-        Thread.ofPlatform().daemon().start(this::acceptOneAndEnd);
+    public void should_report_termination_when_the_port_closes_after_the_first_connection() throws Exception {
+        int port = serverSocket.getLocalPort();
+        Thread.ofPlatform().daemon().start(this::acceptOneAndClosePort);
 
-        assertEquals(probed(number, NEVER), true);
+        assertEquals(probeServer(port, LONGER_THAN_TEST), true);
     }
 
     // Guards against treating a running server as terminated because it resets connections that exceed its limit.
     @Test
-    public void should_see_that_a_server_lives_which_closes_what_it_accepts() throws Exception {
+    public void should_report_a_running_server_when_it_closes_accepted_connections() throws Exception {
         Thread.ofPlatform().daemon().start(this::acceptAndCloseAll);
 
-        assertEquals(probed(port.getLocalPort(), NEVER), false);
+        assertEquals(probeServer(serverSocket.getLocalPort(), LONGER_THAN_TEST), false);
     }
 
-    private boolean probed(int number, Duration secondLook) throws Exception {
+    private boolean probeServer(int port, Duration secondAttemptDelay) throws Exception {
         EventLoop eventLoop = group.next();
-        ServerProbes probes = new ServerProbes(eventLoop, secondLook);
+        ServerProbes probes = new ServerProbes(eventLoop, secondAttemptDelay);
         BackendServer server = new BackendServer(
-                "server", 1, "service", "127.0.0.1", number, "here", 4, BackendState.READY, EngineRole.WHOLE);
-        CompletableFuture<Boolean> told = new CompletableFuture<>();
-        eventLoop.execute(() -> probes.probe(server, told::complete));
-        return told.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                "server", 1, "service", "127.0.0.1", port, "here", 4, BackendState.READY, EngineRole.WHOLE);
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
+        eventLoop.execute(() -> probes.probe(server, result::complete));
+        return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private void acceptOneAndEnd() {
-        try (Socket accepted = port.accept()) {
-            port.close();
-        } catch (IOException ended) {
+    private void acceptOneAndClosePort() {
+        try (Socket accepted = serverSocket.accept()) {
+            serverSocket.close();
+        } catch (IOException closed) {
             // The test is over.
         }
     }
@@ -90,9 +90,9 @@
     private void acceptAndCloseAll() {
         try {
             while (true) {
-                port.accept().close();
+                serverSocket.accept().close();
             }
-        } catch (IOException ended) {
+        } catch (IOException closed) {
             // The test is over.
         }
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/StartingRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/StartingRequestTest.java
@@ -46,7 +46,7 @@
     // A caller leaves while the entry starts. Served all the same, its request would run for nobody.
     @Test
     public void should_do_nothing_for_a_caller_that_has_left() {
-        request.callerLeft();
+        request.callerDisconnected();
 
         assertTrue(request.settled(true, 100));
         assertEquals(happened, List.of("released"));
@@ -55,7 +55,7 @@
     @Test
     public void should_tell_what_was_begun_that_its_caller_left() {
         request.settled(true, 100);
-        request.callerLeft();
+        request.callerDisconnected();
         request.writabilityChanged();
 
         assertEquals(happened, List.of("served", "left", "writable"));
@@ -65,7 +65,7 @@
         happened.add(how);
         return new ActiveRequest() {
             @Override
-            public void callerLeft() {
+            public void callerDisconnected() {
                 happened.add("left");
             }
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 public class GatewaySettingsReaderTest {
-    private static final String LEAST = """
+    private static final String MINIMAL_SETTINGS = """
             {
               // Settings without a default.
               "process": "entry-1", "dataCentre": "here",
@@ -28,65 +28,67 @@
             }""";
 
     @Test
-    public void should_need_only_names_and_addresses() throws AspenmoorException {
-        GatewaySettings settings = new GatewaySettingsReader().read("entry.json", LEAST);
+    public void should_apply_defaults_when_only_names_and_addresses_are_given() throws AspenmoorException {
+        GatewaySettings settings = new GatewaySettingsReader().read("entry.json", MINIMAL_SETTINGS);
 
         assertEquals(settings.process(), "entry-1");
         assertEquals(settings.callers().getPort(), 8000);
-        assertEquals(settings.grace(), Duration.ofSeconds(8));
+        assertEquals(settings.gracePeriod(), Duration.ofSeconds(8));
         assertEquals(settings.repeats().window(), Duration.ofSeconds(10));
     }
 
     @Test
-    public void should_report_all_mistakes_with_their_places() {
-        String wrong = LEAST.replace("127.0.0.1:8000", "nowhere")
+    public void should_report_all_mistakes_with_locations_when_several_settings_are_wrong() {
+        String invalid = MINIMAL_SETTINGS
+                .replace("127.0.0.1:8000", "nowhere")
                 .replace("http://127.0.0.1:8004", "store")
                 .replace("\"entry-1\"", "17, \"graceSecond\": 8");
 
-        AspenmoorException refused =
-                expectThrows(AspenmoorException.class, () -> new GatewaySettingsReader().read("entry.json", wrong));
+        AspenmoorException thrown =
+                expectThrows(AspenmoorException.class, () -> new GatewaySettingsReader().read("entry.json", invalid));
 
         for (String place : List.of("callers", "store", "process", "graceSecond")) {
-            assertTrue(refused.getMessage().contains(place), place + " in " + refused.getMessage());
+            assertTrue(thrown.getMessage().contains(place), place + " in " + thrown.getMessage());
         }
     }
 
     @Test
-    public void should_take_changed_settings_up_once() throws Exception {
+    public void should_reload_settings_once_when_the_file_changes() throws Exception {
         Path file = Files.createTempFile("entry", ".json");
-        Files.writeString(file, LEAST);
-        List<GatewaySettings> taken = new ArrayList<>();
-        SettingsFollower follower = follower(file, taken, new ByteArrayOutputStream());
+        Files.writeString(file, MINIMAL_SETTINGS);
+        List<GatewaySettings> reloaded = new ArrayList<>();
+        SettingsReloader reloader = createReloader(file, reloaded, new ByteArrayOutputStream());
 
-        follower.check();
-        Files.writeString(file, LEAST.replace("\"here\"", "\"here\", \"graceSeconds\": 5"));
-        follower.check();
-        follower.check();
+        reloader.reloadIfChanged();
+        Files.writeString(file, MINIMAL_SETTINGS.replace("\"here\"", "\"here\", \"graceSeconds\": 5"));
+        reloader.reloadIfChanged();
+        reloader.reloadIfChanged();
 
-        assertEquals(taken.size(), 1);
-        assertEquals(taken.getFirst().grace(), Duration.ofSeconds(5));
+        assertEquals(reloaded.size(), 1);
+        assertEquals(reloaded.getFirst().gracePeriod(), Duration.ofSeconds(5));
     }
 
     // Guards against a process that stops serving because of an incomplete settings file, for example after a partial
     // write.
     @Test
-    public void should_keep_the_settings_where_the_file_is_wrong() throws Exception {
+    public void should_keep_the_settings_when_the_file_is_invalid() throws Exception {
         Path file = Files.createTempFile("entry", ".json");
-        Files.writeString(file, LEAST);
-        List<GatewaySettings> taken = new ArrayList<>();
+        Files.writeString(file, MINIMAL_SETTINGS);
+        List<GatewaySettings> reloaded = new ArrayList<>();
         ByteArrayOutputStream logged = new ByteArrayOutputStream();
-        SettingsFollower follower = follower(file, taken, logged);
+        SettingsReloader reloader = createReloader(file, reloaded, logged);
 
         Files.writeString(file, "{\"process\": ");
-        follower.check();
+        reloader.reloadIfChanged();
 
-        assertEquals(taken, List.of());
+        assertEquals(reloaded, List.of());
     }
 
-    private static SettingsFollower follower(Path file, List<GatewaySettings> taken, ByteArrayOutputStream logged)
+    private static SettingsReloader createReloader(
+            Path file, List<GatewaySettings> reloaded, ByteArrayOutputStream logged)
             throws IOException, AspenmoorException {
         DecisionLog log =
                 new DecisionLog(new SystemTimeSource(), "test", new PrintStream(logged, true, StandardCharsets.UTF_8));
-        return new SettingsFollower(file, new GatewaySettingsReader().read(file), taken::add, log);
+        return new SettingsReloader(file, new GatewaySettingsReader().read(file), reloaded::add, log);
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
@@ -11,7 +11,7 @@
 
 /** Reads HTTP messages from a stream byte by byte, so that no HTTP library hides faults in them. */
 final class HttpReader {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private final InputStream input;
 
@@ -60,7 +60,7 @@
         }
         StringBuilder body = new StringBuilder();
         while (true) {
-            int length = Integer.parseInt(readLine().strip(), HEX);
+            int length = Integer.parseInt(readLine().strip(), HEX_RADIX);
             body.append(readExactly(length));
             readLine();
             if (length == 0) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpText.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpText.java
@@ -5,7 +5,7 @@
 /** Formats HTTP messages in their wire format. */
 public final class HttpText {
     /** The last chunk, which ends a chunked body. */
-    public static final String END_OF_CHUNKS = "0\r\n\r\n";
+    public static final String LAST_CHUNK = "0\r\n\r\n";
 
     private static final String LINE_END = "\r\n";
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
@@ -17,15 +17,15 @@
 
 /** A backend server that answers each request with the bytes that its script returns, valid HTTP or not. */
 public final class ScriptedBackend implements AutoCloseable {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final ServerSocket listener;
     private final Script script;
     private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<ReceivedRequest> arrivals = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> closed = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> awaitedRequests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closeEvents = new LinkedBlockingQueue<>();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
-    private volatile boolean ended;
+    private volatile boolean crashed;
 
     public ScriptedBackend(Script script) throws IOException {
         this.listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
@@ -43,17 +43,17 @@
 
     /** Waits for the next request and returns it. */
     public ReceivedRequest awaitRequest() throws InterruptedException {
-        return present(arrivals.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        return requirePresent(awaitedRequests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /** Waits until a client closes its connection. */
     public void awaitClose() throws InterruptedException {
-        present(closed.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+        requirePresent(closeEvents.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /** Returns whether a request has made this server crash. */
-    public boolean ended() {
-        return ended;
+    public boolean crashed() {
+        return crashed;
     }
 
     @Override
@@ -65,17 +65,17 @@
     private void crash() throws IOException {
         int port = port();
         listener.close();
-        while (takesConnections(port)) {
+        while (acceptsConnections(port)) {
             Thread.onSpinWait();
         }
-        ended = true;
+        crashed = true;
         for (Socket connection : connections) {
             connection.close();
         }
     }
 
     /** A port that is closed while a thread waits in accept stays open until that thread has been woken. */
-    private static boolean takesConnections(int port) {
+    private static boolean acceptsConnections(int port) {
         try (Socket probe = new Socket(InetAddress.getLoopbackAddress(), port)) {
             return probe.isConnected();
         } catch (IOException refused) {
@@ -90,7 +90,7 @@
                 connections.add(socket);
                 Thread.ofPlatform().daemon().name("scripted-connection").start(() -> serve(socket));
             }
-        } catch (IOException ended) {
+        } catch (IOException listenerClosed) {
             // The test is over.
         }
     }
@@ -102,7 +102,7 @@
             while (true) {
                 ReceivedRequest request = reader.readMessage();
                 received.add(request);
-                arrivals.add(request);
+                awaitedRequests.add(request);
                 Reply reply = script.replyTo(request);
                 if (reply.crashes()) {
                     crash();
@@ -110,22 +110,22 @@
                 }
                 output.write(reply.bytes().getBytes(StandardCharsets.UTF_8));
                 output.flush();
-                if (reply.later().isPresent()) {
-                    write(reply.later().get(), output);
+                if (reply.delayedPart().isPresent()) {
+                    write(reply.delayedPart().get(), output);
                 }
                 if (reply.closes()) {
                     return;
                 }
             }
-        } catch (IOException ended) {
-            closed.add("closed");
+        } catch (IOException connectionClosed) {
+            closeEvents.add("closed");
         }
     }
 
-    private static void write(LaterPart part, OutputStream output) throws IOException {
+    private static void write(DelayedPart part, OutputStream output) throws IOException {
         try {
-            part.due().await();
-        } catch (InterruptedException ending) {
+            part.trigger().await();
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return;
         }
@@ -133,10 +133,10 @@
         output.flush();
     }
 
-    private static <T> T present(T value) {
+    private static <T> T requirePresent(T value) {
         if (value == null) {
             throw new UncheckedIOException(
-                    new IOException("The expected event did not happen within " + PATIENCE_SECONDS + " s."));
+                    new IOException("The expected event did not happen within " + TIMEOUT_SECONDS + " s."));
         }
         return value;
     }
@@ -155,13 +155,13 @@
      * @param closes whether the connection is closed after the reply
      * @param crashes whether the server crashes instead of replying
      */
-    public record Reply(String bytes, Optional<LaterPart> later, boolean closes, boolean crashes) {
+    public record Reply(String bytes, Optional<DelayedPart> delayedPart, boolean closes, boolean crashes) {
         public static Reply of(String bytes) {
             return new Reply(bytes, Optional.empty(), false, false);
         }
 
-        public static Reply inParts(String bytes, LaterPart later) {
-            return new Reply(bytes, Optional.of(later), false, false);
+        public static Reply withDelayedPart(String bytes, DelayedPart delayedPart) {
+            return new Reply(bytes, Optional.of(delayedPart), false, false);
         }
 
         public static Reply thenClose(String bytes) {
@@ -179,5 +179,5 @@
      * @param due the latch that is opened to have the part written
      * @param bytes the bytes of the part
      */
-    public record LaterPart(CountDownLatch due, String bytes) {}
+    public record DelayedPart(CountDownLatch trigger, String bytes) {}
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
@@ -7,14 +7,14 @@
 
 /** A caller that writes and reads HTTP messages as text on one connection. */
 public final class TestCaller implements AutoCloseable {
-    private static final int PATIENCE_MILLISECONDS = 20_000;
+    private static final int READ_TIMEOUT_MILLISECONDS = 20_000;
 
     private final Socket socket;
     private final HttpReader reader;
 
     public TestCaller(int port) throws IOException {
         this.socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        this.socket.setSoTimeout(PATIENCE_MILLISECONDS);
+        this.socket.setSoTimeout(READ_TIMEOUT_MILLISECONDS);
         this.reader = new HttpReader(socket.getInputStream());
     }
 
@@ -24,16 +24,16 @@
     }
 
     /** Reads a complete answer; its first line is the status line. */
-    public ReceivedRequest answer() throws IOException {
+    public ReceivedRequest readAnswer() throws IOException {
         return reader.readMessage();
     }
 
-    public String line() throws IOException {
+    public String readLine() throws IOException {
         return reader.readLine();
     }
 
     /** Reads one byte and returns whether the connection was closed or reset instead. */
-    public boolean closed() throws IOException {
+    public boolean closedByServer() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException reset) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -45,11 +45,11 @@
 /** A gateway on free ports of the loopback address, with an in-memory store. */
 public final class TestGateway implements AutoCloseable {
     public static final String HOST = "house.example";
-    public static final String HERE = "here";
+    public static final String LOCAL_DATA_CENTRE = "here";
 
-    private static final Duration TIMEOUT = Duration.ofSeconds(15);
+    private static final Duration ROUTE_TIMEOUT = Duration.ofSeconds(15);
     /** Only limits how long a failing test takes; no assertion depends on it. */
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
 
     private final InMemoryObjectStore store;
     private final Map<String, ServingConfiguration> configurations;
@@ -74,15 +74,15 @@
         this.store = store;
         this.configurations = configurations;
         this.servers = servers;
-        InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        PlacementSettings placement = new PlacementSettings(HERE, EngineSpeed.usual(), 0.5, 0);
+        InetSocketAddress anyFreePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        PlacementSettings placement = new PlacementSettings(LOCAL_DATA_CENTRE, EngineSpeed.usual(), 0.5, 0);
         GatewaySettings settings = new GatewaySettings(
                 process,
-                free,
-                free,
+                anyFreePort,
+                anyFreePort,
                 "/ready",
-                free,
-                free,
+                anyFreePort,
+                anyFreePort,
                 URI.create("http://127.0.0.1/"),
                 Duration.ofSeconds(1),
                 Duration.ofMillis(100),
@@ -98,45 +98,45 @@
     }
 
     /** Starts another entry for the same backend servers, and returns when it is ready. */
-    public TestGateway another(String process) throws AspenmoorException, IOException {
+    public TestGateway startAnother(String process) throws AspenmoorException, IOException {
         TestGateway other = new TestGateway(process, store, configurations, servers);
         other.awaitReady();
         return other;
     }
 
     /** Adds a route to a service; it applies after {@link #publish}. */
-    public TestGateway route(String path, RepeatRule rule, boolean streamed, int mostBackends, String service) {
-        return route(path, rule, streamed, mostBackends, service, TIMEOUT);
+    public TestGateway route(String path, RepeatRule rule, boolean streamed, int maxBackends, String service) {
+        return route(path, rule, streamed, maxBackends, service, ROUTE_TIMEOUT);
     }
 
     /** Adds a route whose callers disconnect when a stream pauses for too long; it applies after {@link #publish}. */
     public TestGateway route(
-            String path, RepeatRule rule, boolean streamed, int mostBackends, String service, Duration silence) {
+            String path, RepeatRule rule, boolean streamed, int maxBackends, String service, Duration maxStreamPause) {
         routes.add(new Route(
                 "route-" + path,
                 HOST,
                 path,
                 rule,
                 streamed,
-                TIMEOUT,
+                ROUTE_TIMEOUT,
                 Duration.ofSeconds(2),
-                silence,
-                mostBackends,
+                maxStreamPause,
+                maxBackends,
                 0,
                 List.of(new RouteTarget(service, 1))));
         return this;
     }
 
     /** Limits the connections that one server of a plain service accepts; it applies after {@link #publish}. */
-    public TestGateway connectionLimit(String service, int mostConnections) {
-        services.add(new ServiceTraits(service, mostConnections, Optional.empty()));
+    public TestGateway connectionLimit(String service, int maxConnections) {
+        services.add(new ServiceTraits(service, maxConnections, Optional.empty()));
         return this;
     }
 
     /** Starts and registers a plain server that replies by a script; it is closed with the gateway. */
     public ScriptedBackend backend(String id, String service, ScriptedBackend.Script script)
             throws IOException, StoreException {
-        return backend(id, service, EngineRole.WHOLE, HERE, script);
+        return backend(id, service, EngineRole.WHOLE, LOCAL_DATA_CENTRE, script);
     }
 
     /** Starts and registers a server that replies by a script; it is closed with the gateway. */
@@ -156,10 +156,10 @@
 
     /** Registers a server. */
     public TestGateway server(String id, String service, int port, EngineRole role) throws StoreException {
-        return server(id, service, port, role, HERE);
+        return server(id, service, port, role, LOCAL_DATA_CENTRE);
     }
 
-    /** Registers a server in a data centre; this entry runs in {@link #HERE}. */
+    /** Registers a server in a data centre; this entry runs in {@link #LOCAL_DATA_CENTRE}. */
     public TestGateway server(String id, String service, int port, EngineRole role, String dataCentre)
             throws StoreException {
         BackendServer server =
@@ -180,9 +180,9 @@
 
     private void awaitReady() throws IOException {
         // Servers that are registered after the first listing arrive one by one, possibly after the entry is ready.
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             boolean ready =
-                    statusOf(gateway.readinessAddress().getPort(), "/ready").contains(" 200 ");
+                    statusLine(gateway.readinessAddress().getPort(), "/ready").contains(" 200 ");
             String state = state();
             if (ready && servers.keySet().stream().allMatch(id -> state.contains("\"id\" : \"" + id + "\""))) {
                 return;
@@ -192,10 +192,10 @@
     }
 
     /** Reports, as another entry, an order for a role change; returns when the gateway has received the report. */
-    public void roleChanging(String server, EngineRole role) throws StoreException, IOException {
+    public void reportRoleChange(String server, EngineRole role) throws StoreException, IOException {
         ObjectKey own = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, "entry-under-test");
         ReportSender.tell(store.read(own).orElseThrow(), new RoleChange(server, role));
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             if (state().contains("\"changing\" : true")) {
                 return;
             }
@@ -213,10 +213,10 @@
     }
 
     /** Sends a GET request for a path for operators and returns the status line of the answer. */
-    public String statusOf(int port, String path) throws IOException {
-        try (TestCaller question = new TestCaller(port)) {
-            question.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            return question.answer().line();
+    public String statusLine(int port, String path) throws IOException {
+        try (TestCaller caller = new TestCaller(port)) {
+            caller.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            return caller.readAnswer().line();
         }
     }
 
@@ -229,10 +229,9 @@
     }
 
     private String administrationPage(String path) throws IOException {
-        try (TestCaller question =
-                new TestCaller(gateway.administrationAddress().getPort())) {
-            question.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            return question.answer().body();
+        try (TestCaller caller = new TestCaller(gateway.administrationAddress().getPort())) {
+            caller.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            return caller.readAnswer().body();
         }
     }
 
@@ -251,7 +250,7 @@
 
     /** Waits until the given number of log lines contain the text; returns the last of these lines. */
     public String awaitLogged(String text, int times) throws IOException {
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             List<String> found = logged.toString(StandardCharsets.UTF_8)
                     .lines()
                     .filter(line -> line.contains(text))
@@ -259,7 +258,7 @@
             if (found.size() >= times) {
                 return found.get(times - 1);
             }
-            statusOf(gateway.readinessAddress().getPort(), "/ready");
+            statusLine(gateway.readinessAddress().getPort(), "/ready");
         }
         throw new IOException("Text not logged " + times + " times: " + text + "; the complete log:\n" + logged);
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
@@ -12,39 +12,39 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Semaphore;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CacheSource;
+import org.aspenmoor.internal.gateway.protocol.CallerHeaders;
 import org.aspenmoor.internal.gateway.protocol.CallerProtocol;
-import org.aspenmoor.internal.gateway.protocol.CallerRequest;
-import org.aspenmoor.internal.gateway.protocol.Delivery;
+import org.aspenmoor.internal.gateway.protocol.DispatchParameters;
 import org.aspenmoor.internal.gateway.protocol.EngineReport;
+import org.aspenmoor.internal.gateway.protocol.RequestedWork;
 import org.aspenmoor.internal.gateway.protocol.RoleOrder;
-import org.aspenmoor.internal.gateway.protocol.WantedWork;
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.PromptPart;
 
 /** A minimal set of headers with the values that a gateway needs. */
 public final class TestProtocols implements CallerProtocol, BackendProtocol {
-    public static final String ID = "Test-Id";
+    public static final String REQUEST_ID = "Test-Id";
     public static final String SIGNED = "Test-Signed";
-    public static final String NOT_RUN = "Test-Not-Run";
-    public static final String LEFT = "Test-Left-Ms";
+    public static final String NOT_EXECUTED = "Test-Not-Run";
+    public static final String REMAINING_TIME = "Test-Left-Ms";
     public static final String SERVER = "Test-Server";
     public static final String WORK = "Test-Work";
-    public static final String SOURCE = "Test-Source";
-    public static final String AFTER = "Test-After";
+    public static final String CACHE_SOURCE = "Test-Source";
+    public static final String LAST_EVENT = "Test-After";
     public static final String PROMPT = "Test-Prompt";
 
     /** A request with this header blocks the entry's event loop until {@link #release()} is called. */
-    public static final String BUSY = "Test-Busy";
+    public static final String BLOCK = "Test-Busy";
 
-    private final Semaphore busy = new Semaphore(0);
+    private final Semaphore blocked = new Semaphore(0);
     private final Semaphore released = new Semaphore(0);
 
     /** Waits until a request blocks the event loop. */
-    public void awaitBusy() {
-        busy.acquireUninterruptibly();
+    public void awaitBlocked() {
+        blocked.acquireUninterruptibly();
     }
 
     /** Unblocks the event loop. */
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public CallerRequest read(HttpRequest head) {
-        if (head.headers().contains(BUSY)) {
-            busy.release();
+    public CallerHeaders readHead(HttpRequest head) {
+        if (head.headers().contains(BLOCK)) {
+            blocked.release();
             released.acquireUninterruptibly();
         }
-        Optional<Duration> patience = Optional.ofNullable(head.headers().get("Test-Patience-Ms"))
+        Optional<Duration> maxWait = Optional.ofNullable(head.headers().get("Test-Patience-Ms"))
                 .map(text -> Duration.ofMillis(Long.parseLong(text)));
         Optional<Prompt> prompt = Optional.ofNullable(head.headers().get(PROMPT))
                 .map(tokens -> new Prompt(
@@ -67,32 +67,32 @@
                         10,
                         Optional.empty(),
                         List.of(new PromptPart("own", Integer.parseInt(tokens)))));
-        return new CallerRequest(head.headers().get(ID, ""), patience, prompt);
+        return new CallerHeaders(head.headers().get(REQUEST_ID, ""), maxWait, prompt);
     }
 
     @Override
-    public void address(HttpHeaders headers, Delivery delivery) {
-        headers.set(SERVER, delivery.server());
-        headers.set(LEFT, delivery.timeLeft().toMillis());
-        if (delivery.work() == WantedWork.PROMPT_ONLY) {
+    public void writeHeaders(HttpHeaders headers, DispatchParameters delivery) {
+        headers.set(SERVER, delivery.serverId());
+        headers.set(REMAINING_TIME, delivery.remainingTime().toMillis());
+        if (delivery.work() == RequestedWork.PROMPT_ONLY) {
             headers.set(WORK, "prompt");
         }
-        delivery.cacheSource().ifPresent(source -> headers.set(SOURCE, source.handle()));
-        delivery.lastEvent().ifPresent(event -> headers.set(AFTER, event));
+        delivery.cacheSource().ifPresent(source -> headers.set(CACHE_SOURCE, source.handle()));
+        delivery.lastEventId().ifPresent(event -> headers.set(LAST_EVENT, event));
     }
 
     @Override
-    public AnswerFacts read(HttpResponse head) {
-        return new AnswerFacts(
-                Optional.ofNullable(head.headers().get(ID)),
+    public AnswerMetadata readHead(HttpResponse head) {
+        return new AnswerMetadata(
+                Optional.ofNullable(head.headers().get(REQUEST_ID)),
                 head.headers().contains(SIGNED),
-                head.headers().contains(NOT_RUN),
+                head.headers().contains(NOT_EXECUTED),
                 Optional.empty(),
                 Optional.empty());
     }
 
     @Override
-    public Optional<String> readHandle(String body) {
+    public Optional<String> readCacheHandle(String body) {
         return body.isBlank() ? Optional.empty() : Optional.of(body.strip());
     }
 
@@ -102,7 +102,7 @@
     }
 
     @Override
-    public FullHttpRequest askReport(String server) {
+    public FullHttpRequest createReportRequest(String server) {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/report");
     }
 
@@ -112,23 +112,23 @@
     }
 
     @Override
-    public FullHttpRequest order(RoleOrder order) {
+    public FullHttpRequest createRoleOrderRequest(RoleOrder order) {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/order");
     }
 
     @Override
-    public FullHttpRequest askCache(String server) {
+    public FullHttpRequest createCacheListRequest(String server) {
         return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/cache");
     }
 
     /** Reads parts of the form IDENTITY:TOKENS, separated by spaces. */
     @Override
-    public List<PromptPart> readCache(String body) {
+    public List<PromptPart> readCacheList(String body) {
         List<PromptPart> parts = new ArrayList<>();
         for (String part : body.split(" ", -1)) {
-            String[] both = part.split(":", -1);
-            if (both.length == 2) {
-                parts.add(new PromptPart(both[0], Integer.parseInt(both[1])));
+            String[] identityAndTokens = part.split(":", -1);
+            if (identityAndTokens.length == 2) {
+                parts.add(new PromptPart(identityAndTokens[0], Integer.parseInt(identityAndTokens[1])));
             }
         }
         return parts;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -114,11 +114,19 @@
         List<ScriptedBackend> prompts = new ArrayList<>();
         for (int number = 0; number < 2; number++) {
             prompts.add(gateway.backend(
-                    "prompts-" + number, MODEL, EngineRole.PREFILL, TestGateway.HERE, FatalRequestTest::computed));
+                    "prompts-" + number,
+                    MODEL,
+                    EngineRole.PREFILL,
+                    TestGateway.LOCAL_DATA_CENTRE,
+                    FatalRequestTest::computed));
         }
         for (int number = 0; number < SERVERS; number++) {
             servers.add(gateway.backend(
-                    "answers-" + number, MODEL, EngineRole.DECODE, TestGateway.HERE, FatalRequestTest::answer));
+                    "answers-" + number,
+                    MODEL,
+                    EngineRole.DECODE,
+                    TestGateway.LOCAL_DATA_CENTRE,
+                    FatalRequestTest::answer));
         }
         gateway.publish();
 
@@ -185,13 +193,13 @@
     }
 
     private TestGateway another(String process) throws AspenmoorException, IOException {
-        TestGateway started = gateway.another(process);
+        TestGateway started = gateway.startAnother(process);
         others.add(started);
         return started;
     }
 
     private int endedServers() {
-        return (int) servers.stream().filter(ScriptedBackend::ended).count();
+        return (int) servers.stream().filter(ScriptedBackend::crashed).count();
     }
 
     private static ReceivedRequest call(TestGateway entry, String path, String body, int arrival) throws IOException {
@@ -203,7 +211,7 @@
                             path.startsWith("/draft/") ? TestProtocols.PROMPT + ": 4000" : "X-Plain: yes",
                             "Content-Length: " + body.length())
                     + body);
-            return caller.answer();
+            return caller.readAnswer();
         }
     }
 
@@ -212,7 +220,9 @@
                 ? Reply.crash()
                 : Reply.of(HttpText.head(
                                 "HTTP/1.1 200 OK",
-                                "Test-Id: " + request.header(TestProtocols.ID).orElse(""),
+                                "Test-Id: "
+                                        + request.header(TestProtocols.REQUEST_ID)
+                                                .orElse(""),
                                 "Test-Signed: by one",
                                 "Content-Length: 2")
                         + "ok");
@@ -221,7 +231,7 @@
     private static Reply computed(ReceivedRequest request) {
         return Reply.of(HttpText.head(
                         "HTTP/1.1 200 OK",
-                        "Test-Id: " + request.header(TestProtocols.ID).orElse(""),
+                        "Test-Id: " + request.header(TestProtocols.REQUEST_ID).orElse(""),
                         "Content-Length: 6")
                 + "handle");
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
@@ -5,6 +5,7 @@
 
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
+import org.aspenmoor.internal.gateway.standin.Latches;
 import org.aspenmoor.internal.gateway.standin.ReceivedRequest;
 import org.aspenmoor.internal.gateway.standin.ScriptedBackend;
 import org.aspenmoor.internal.gateway.standin.ScriptedBackend.Reply;
@@ -12,7 +13,6 @@
 import org.aspenmoor.internal.gateway.standin.TestCaller;
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
-import org.aspenmoor.internal.gateway.standin.Waiting;
 import org.aspenmoor.internal.serving.RepeatRule;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -42,7 +42,7 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1"));
-            caller.answer();
+            caller.readAnswer();
         }
 
         assertTrue(gateway.metrics()
@@ -55,7 +55,7 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1"));
-            caller.answer();
+            caller.readAnswer();
         }
 
         String state = gateway.state();
@@ -73,7 +73,7 @@
         gateway.connectionLimit(SERVICE, 1);
         CountDownLatch held = new CountDownLatch(1);
         ScriptedBackend backend = backend("one", request -> {
-            Waiting.on(held);
+            Latches.await(held);
             return answer(request);
         });
         gateway.publish();
@@ -83,12 +83,12 @@
             backend.awaitRequest();
             second.send(book("r2"));
 
-            ReceivedRequest refusal = second.answer();
+            ReceivedRequest refusal = second.readAnswer();
             assertEquals(refusal.line(), "HTTP/1.1 503 Service Unavailable");
             assertTrue(refusal.header("Retry-After").isPresent());
 
             held.countDown();
-            assertEquals(first.answer().body(), "answer to r1");
+            assertEquals(first.readAnswer().body(), "answer to r1");
         }
         assertEquals(backend.received().size(), 1);
     }
@@ -98,7 +98,7 @@
     }
 
     private static Reply answer(ReceivedRequest request) {
-        String id = request.header(TestProtocols.ID).orElse("");
+        String id = request.header(TestProtocols.REQUEST_ID).orElse("");
         String body = "answer to " + id;
         return Reply.of("HTTP/1.1 200 OK\r\nTest-Id: " + id + "\r\nTest-Signed: by "
                 + request.header(TestProtocols.SERVER).orElse("") + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -51,7 +51,7 @@
                             "Content-Length: 5")
                     + "hello");
 
-            ReceivedRequest answer = caller.answer();
+            ReceivedRequest answer = caller.readAnswer();
 
             assertEquals(answer.line(), "HTTP/1.1 200 OK");
             assertEquals(answer.body(), "answer to r1");
@@ -72,9 +72,9 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1") + read("r2") + read("r3"));
 
-            assertEquals(caller.answer().body(), "answer to r1");
-            assertEquals(caller.answer().body(), "answer to r2");
-            assertEquals(caller.answer().body(), "answer to r3");
+            assertEquals(caller.readAnswer().body(), "answer to r1");
+            assertEquals(caller.readAnswer().body(), "answer to r2");
+            assertEquals(caller.readAnswer().body(), "answer to r3");
         }
     }
 
@@ -89,7 +89,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
         assertEquals(first.received().size() + second.received().size(), 1);
         assertTrue(gateway.awaitLogged("\"outcome\":\"UNKNOWN\"").contains("\"request\":\"r1\""));
@@ -113,7 +113,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1"));
 
-            assertEquals(caller.answer().body(), "answer to r1");
+            assertEquals(caller.readAnswer().body(), "answer to r1");
         }
     }
 
@@ -136,7 +136,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().body(), "answer to r1");
+            assertEquals(caller.readAnswer().body(), "answer to r1");
         }
     }
 
@@ -150,7 +150,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            ReceivedRequest answer = caller.answer();
+            ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
             assertTrue(Double.parseDouble(answer.header("Retry-After").orElse("0")) > 0);
         }
@@ -172,7 +172,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
@@ -188,7 +188,7 @@
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 10; request++) {
                 caller.send(book("r" + request));
-                assertEquals(caller.answer().body(), "answer to r" + request);
+                assertEquals(caller.readAnswer().body(), "answer to r" + request);
             }
         }
     }
@@ -205,7 +205,7 @@
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 20; request++) {
                 caller.send(read("r" + request));
-                assertEquals(caller.answer().body(), "answer to r" + request);
+                assertEquals(caller.readAnswer().body(), "answer to r" + request);
             }
         }
     }
@@ -220,7 +220,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
@@ -233,7 +233,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().body(), "all of it");
+            assertEquals(caller.readAnswer().body(), "all of it");
         }
     }
 
@@ -244,7 +244,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
@@ -255,7 +255,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(book("r1"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
@@ -282,15 +282,15 @@
         try (TestCaller busy = gateway.caller()) {
             TestCaller leaving = gateway.caller();
             leaving.send(read("r1"));
-            leaving.answer();
+            leaving.readAnswer();
             busy.send(HttpText.head(
-                    "GET /read/a HTTP/1.1", "Host: house.example", "Test-Id: r2", TestProtocols.BUSY + ": yes"));
-            gateway.protocols().awaitBusy();
+                    "GET /read/a HTTP/1.1", "Host: house.example", "Test-Id: r2", TestProtocols.BLOCK + ": yes"));
+            gateway.protocols().awaitBlocked();
             leaving.send(read("r3"));
             leaving.close();
             gateway.protocols().release();
 
-            assertEquals(busy.answer().line(), "HTTP/1.1 200 OK");
+            assertEquals(busy.readAnswer().line(), "HTTP/1.1 200 OK");
         }
         assertTrue(gateway.awaitLogged("\"request\":\"r3\"").contains("CALLER_LEFT"));
         assertEquals(
@@ -312,10 +312,12 @@
                     "Test-Patience-Ms: 150",
                     "Content-Length: 0"));
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 504 Gateway Timeout");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 504 Gateway Timeout");
         }
-        assertTrue(Long.parseLong(
-                        backend.received().getFirst().header(TestProtocols.LEFT).orElse(""))
+        assertTrue(Long.parseLong(backend.received()
+                        .getFirst()
+                        .header(TestProtocols.REMAINING_TIME)
+                        .orElse(""))
                 <= 150);
     }
 
@@ -326,7 +328,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send("GET /elsewhere/ HTTP/1.1\r\nHost: house.example\r\nTest-Id: r1\r\n\r\n");
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 404 Not Found");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 404 Not Found");
         }
     }
 
@@ -337,7 +339,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1"));
 
-            ReceivedRequest answer = caller.answer();
+            ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
             assertFalse(answer.header("Retry-After").isEmpty());
         }
@@ -350,8 +352,8 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send("GET /read/a HTTP/1.1\r\nHost: house.example\r\nHost: other.example\r\n\r\n");
 
-            assertEquals(caller.answer().line(), "HTTP/1.1 400 Bad Request");
-            assertTrue(caller.closed());
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 400 Bad Request");
+            assertTrue(caller.closedByServer());
         }
     }
 
@@ -368,8 +370,8 @@
                             "Content-Length: 4",
                             "Transfer-Encoding: chunked")
                     + HttpText.chunk("hello")
-                    + HttpText.END_OF_CHUNKS);
-            caller.answer();
+                    + HttpText.LAST_CHUNK);
+            caller.readAnswer();
         }
         for (ReceivedRequest received : backend.received()) {
             assertEquals(received.body(), "hello");
@@ -385,13 +387,13 @@
             gateway.gateway().stop();
             caller.send(read("r1"));
 
-            ReceivedRequest answer = caller.answer();
+            ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.body(), "answer to r1");
             assertEquals(answer.header("Connection").orElse(""), "close");
         }
-        assertTrue(gateway.statusOf(gateway.gateway().readinessAddress().getPort(), "/ready")
+        assertTrue(gateway.statusLine(gateway.gateway().readinessAddress().getPort(), "/ready")
                 .contains(" 503 "));
-        gateway.gateway().awaitEnd();
+        gateway.gateway().awaitStopped();
     }
 
     private ScriptedBackend backend(String id, Script script) throws Exception {
@@ -399,7 +401,7 @@
     }
 
     private static Reply answer(ReceivedRequest request) {
-        String id = request.header(TestProtocols.ID).orElse("");
+        String id = request.header(TestProtocols.REQUEST_ID).orElse("");
         String body = "answer to " + id;
         return Reply.of("HTTP/1.1 200 OK\r\nTest-Id: " + id + "\r\nTest-Signed: by "
                 + request.header(TestProtocols.SERVER).orElse("") + "\r\nContent-Length: " + body.length() + "\r\n\r\n"
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
@@ -57,14 +57,14 @@
 
         try (TestCaller caller = gateway.caller()) {
             caller.send(HttpText.head("GET /read/a HTTP/1.1", "Host: house.example", "Test-Id: r1"));
-            assertEquals(caller.answer().line(), "HTTP/1.1 200 OK");
+            assertEquals(caller.readAnswer().line(), "HTTP/1.1 200 OK");
         }
     }
 
     private static Reply answer(ReceivedRequest request) {
         return Reply.of(HttpText.head(
                         "HTTP/1.1 200 OK",
-                        "Test-Id: " + request.header(TestProtocols.ID).orElse(""),
+                        "Test-Id: " + request.header(TestProtocols.REQUEST_ID).orElse(""),
                         "Test-Signed: by one",
                         "Content-Length: 2")
                 + "ok");
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -14,15 +14,15 @@
 import java.util.stream.IntStream;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.gateway.standin.HttpText;
+import org.aspenmoor.internal.gateway.standin.Latches;
 import org.aspenmoor.internal.gateway.standin.ReceivedRequest;
 import org.aspenmoor.internal.gateway.standin.ScriptedBackend;
-import org.aspenmoor.internal.gateway.standin.ScriptedBackend.LaterPart;
+import org.aspenmoor.internal.gateway.standin.ScriptedBackend.DelayedPart;
 import org.aspenmoor.internal.gateway.standin.ScriptedBackend.Reply;
 import org.aspenmoor.internal.gateway.standin.ScriptedBackend.Script;
 import org.aspenmoor.internal.gateway.standin.TestCaller;
 import org.aspenmoor.internal.gateway.standin.TestGateway;
 import org.aspenmoor.internal.gateway.standin.TestProtocols;
-import org.aspenmoor.internal.gateway.standin.Waiting;
 import org.aspenmoor.internal.serving.RepeatRule;
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
@@ -53,12 +53,12 @@
 
     @Test
     public void should_pass_all_events_on() throws Exception {
-        backend("one", EngineRole.WHOLE, request -> Reply.of(HEAD + event(1) + event(2) + HttpText.END_OF_CHUNKS));
+        backend("one", EngineRole.WHOLE, request -> Reply.of(HEAD + event(1) + event(2) + HttpText.LAST_CHUNK));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/once/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2));
+            assertEquals(caller.readAnswer().body(), text(1) + text(2));
         }
     }
 
@@ -71,7 +71,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/once/"));
 
-            assertThrows(EOFException.class, caller::answer);
+            assertThrows(EOFException.class, caller::readAnswer);
         }
     }
 
@@ -79,8 +79,8 @@
     @Test
     public void should_resume_at_another_engine_after_the_last_whole_event() throws Exception {
         Script breaksUnlessResumed =
-                request -> request.header(TestProtocols.AFTER).isPresent()
-                        ? Reply.of(HEAD + event(2) + event(3) + HttpText.END_OF_CHUNKS)
+                request -> request.header(TestProtocols.LAST_EVENT).isPresent()
+                        ? Reply.of(HEAD + event(2) + event(3) + HttpText.LAST_CHUNK)
                         : Reply.thenClose(HEAD + event(1) + "6\r\nid: 2\n\r\n");
         ScriptedBackend first = backend("one", EngineRole.WHOLE, breaksUnlessResumed);
         ScriptedBackend second = backend("two", EngineRole.WHOLE, breaksUnlessResumed);
@@ -88,34 +88,34 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/resume/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2) + text(3));
+            assertEquals(caller.readAnswer().body(), text(1) + text(2) + text(3));
         }
         List<ReceivedRequest> all = new ArrayList<>(posts(first));
         all.addAll(posts(second));
         assertEquals(all.size(), 2);
         assertTrue(all.stream()
                 .anyMatch(request ->
-                        request.header(TestProtocols.AFTER).orElse("").equals("1")));
+                        request.header(TestProtocols.LAST_EVENT).orElse("").equals("1")));
     }
 
     // Guards against a caller who loses the rest of an answer, or gets a part twice, when its engine changes its role.
     @Test
     public void should_go_on_elsewhere_where_an_engine_leaves_its_answers() throws Exception {
         CountDownLatch leaving = new CountDownLatch(1);
-        Script toldInParts = request -> request.header(TestProtocols.AFTER)
-                .map(after -> Reply.of(HEAD + events(Integer.parseInt(after) + 1) + HttpText.END_OF_CHUNKS))
-                .orElseGet(() -> Reply.inParts(HEAD + event(1), new LaterPart(leaving, events(2))));
+        Script toldInParts = request -> request.header(TestProtocols.LAST_EVENT)
+                .map(after -> Reply.of(HEAD + events(Integer.parseInt(after) + 1) + HttpText.LAST_CHUNK))
+                .orElseGet(() -> Reply.withDelayedPart(HEAD + event(1), new DelayedPart(leaving, events(2))));
         ScriptedBackend first = backend("one", EngineRole.WHOLE, toldInParts);
         ScriptedBackend second = backend("two", EngineRole.WHOLE, toldInParts);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/resume/"));
             String engine = serving(first, second);
-            gateway.roleChanging(engine, EngineRole.PREFILL);
+            gateway.reportRoleChange(engine, EngineRole.PREFILL);
             leaving.countDown();
 
             assertEquals(
-                    caller.answer().body(),
+                    caller.readAnswer().body(),
                     IntStream.rangeClosed(1, EVENTS).mapToObj(StreamTest::text).collect(Collectors.joining()));
         }
         assertEquals(posts(first).size() + posts(second).size(), 2);
@@ -126,16 +126,16 @@
     public void should_go_on_elsewhere_where_an_engine_goes_quiet_within_an_answer() throws Exception {
         gateway.route("/quiet/", RepeatRule.RESUMABLE, true, 2, SERVICE, Duration.ofSeconds(1));
         CountDownLatch never = new CountDownLatch(1);
-        Script quietUnlessResumed = request -> request.header(TestProtocols.AFTER)
-                .map(after -> Reply.of(HEAD + event(2) + event(3) + HttpText.END_OF_CHUNKS))
-                .orElseGet(() -> Reply.inParts(HEAD + event(1), new LaterPart(never, "")));
+        Script quietUnlessResumed = request -> request.header(TestProtocols.LAST_EVENT)
+                .map(after -> Reply.of(HEAD + event(2) + event(3) + HttpText.LAST_CHUNK))
+                .orElseGet(() -> Reply.withDelayedPart(HEAD + event(1), new DelayedPart(never, "")));
         backend("one", EngineRole.WHOLE, quietUnlessResumed);
         backend("two", EngineRole.WHOLE, quietUnlessResumed);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/quiet/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2) + text(3));
+            assertEquals(caller.readAnswer().body(), text(1) + text(2) + text(3));
         }
     }
 
@@ -144,7 +144,7 @@
     // page would stand in the middle of the caller's draft.
     @Test
     public void should_break_a_stream_off_whose_continuation_is_no_stream() throws Exception {
-        Script answersPlainlyWhenResumed = request -> request.header(TestProtocols.AFTER)
+        Script answersPlainlyWhenResumed = request -> request.header(TestProtocols.LAST_EVENT)
                         .isPresent()
                 ? Reply.of(HttpText.head(
                                 "HTTP/1.1 404 Not Found", "Test-Id: r1", "Test-Signed: by one", "Content-Length: 4")
@@ -156,7 +156,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(stream("/resume/"));
 
-            assertThrows(EOFException.class, caller::answer);
+            assertThrows(EOFException.class, caller::readAnswer);
         }
         assertTrue(gateway.awaitLogged("\"outcome\":\"CUT\"").contains("status 404"));
     }
@@ -169,10 +169,10 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
         }
         assertEquals(posts(prefill).getFirst().header(TestProtocols.WORK).orElse(""), "prompt");
-        assertEquals(posts(decode).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
+        assertEquals(posts(decode).getFirst().header(TestProtocols.CACHE_SOURCE).orElse(""), "h1");
     }
 
     // An engine for answers is gone and another server has its address, which says that it is not the one asked for.
@@ -191,13 +191,14 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
             assertEquals(posts(prefill).size(), 1);
-            assertEquals(posts(there).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
+            assertEquals(
+                    posts(there).getFirst().header(TestProtocols.CACHE_SOURCE).orElse(""), "h1");
 
             for (int request = 1; request < REQUESTS; request++) {
                 caller.send(generation());
-                assertEquals(caller.answer().body(), text(1));
+                assertEquals(caller.readAnswer().body(), text(1));
             }
         }
         assertEquals(posts(there).size(), REQUESTS);
@@ -211,7 +212,7 @@
     public void should_compute_a_prompt_elsewhere_where_the_engine_has_gone_dark() throws Exception {
         CountDownLatch dark = new CountDownLatch(1);
         ScriptedBackend silent = backend("prefill-dark", EngineRole.PREFILL, request -> {
-            Waiting.on(dark);
+            Latches.await(dark);
             return Reply.thenClose("");
         });
         ScriptedBackend other =
@@ -221,7 +222,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
         } finally {
             dark.countDown();
         }
@@ -254,7 +255,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
         }
         assertTrue(
                 gateway.metrics().contains("aspenmoor_repeats_total{granted=\"true\",service=\"model\"} 2.0"),
@@ -270,9 +271,9 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
         }
-        assertTrue(posts(decode).getFirst().header(TestProtocols.SOURCE).isEmpty());
+        assertTrue(posts(decode).getFirst().header(TestProtocols.CACHE_SOURCE).isEmpty());
     }
 
     // All entries have been restarted and remember nothing, while the engines still keep what they have computed.
@@ -289,7 +290,7 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generation());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.readAnswer().body(), text(1));
         }
         assertTrue(keeps.received().stream().anyMatch(request -> request.line().startsWith("POST")));
     }
@@ -326,7 +327,7 @@
     }
 
     private static Reply streams(ReceivedRequest request) {
-        return Reply.of(HEAD + event(1) + HttpText.END_OF_CHUNKS);
+        return Reply.of(HEAD + event(1) + HttpText.LAST_CHUNK);
     }
 
     private static String generation() {
@@ -339,7 +340,7 @@
     }
 
     private ScriptedBackend backend(String id, EngineRole role, Script script) throws Exception {
-        return gateway.backend(id, SERVICE, role, TestGateway.HERE, script);
+        return gateway.backend(id, SERVICE, role, TestGateway.LOCAL_DATA_CENTRE, script);
     }
 
     private static String stream(String path) {
