--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
@@ -18,15 +18,15 @@
 
     /** Runs the action on SIGTERM. */
     public static void onTerminate(Runnable action) throws AspenmoorException {
-        handle("TERM", action);
+        installHandler("TERM", action);
     }
 
     /** Runs the action on SIGHUP, which requests that the settings are read again. */
     public static void onReload(Runnable action) throws AspenmoorException {
-        handle("HUP", action);
+        installHandler("HUP", action);
     }
 
-    private static void handle(String name, Runnable action) throws AspenmoorException {
+    private static void installHandler(String name, Runnable action) throws AspenmoorException {
         try {
             Class<?> signalClass = Class.forName(SIGNAL_CLASS);
             Class<?> handlerClass = Class.forName(HANDLER_CLASS);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/ScriptedBackend.java
@@ -22,7 +22,7 @@
     private final ServerSocket listener;
     private final Script script;
     private final List<ReceivedRequest> received = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<ReceivedRequest> awaitedRequests = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ReceivedRequest> pendingRequests = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> closeEvents = new LinkedBlockingQueue<>();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private volatile boolean crashed;
@@ -43,7 +43,7 @@
 
     /** Waits for the next request and returns it. */
     public ReceivedRequest awaitRequest() throws InterruptedException {
-        return requirePresent(awaitedRequests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+        return requirePresent(pendingRequests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
     /** Waits until a client closes its connection. */
@@ -102,7 +102,7 @@
             while (true) {
                 ReceivedRequest request = reader.readMessage();
                 received.add(request);
-                awaitedRequests.add(request);
+                pendingRequests.add(request);
                 Reply reply = script.replyTo(request);
                 if (reply.crashes()) {
                     crash();
@@ -151,7 +151,7 @@
      * A reply to a request.
      *
      * @param bytes the bytes that are written immediately
-     * @param later the part that is written later, if any
+     * @param delayedPart the part that is written later, if any
      * @param closes whether the connection is closed after the reply
      * @param crashes whether the server crashes instead of replying
      */
@@ -176,7 +176,7 @@
     /**
      * The delayed part of a reply.
      *
-     * @param due the latch that is opened to have the part written
+     * @param trigger the latch that is opened to have the part written
      * @param bytes the bytes of the part
      */
     public record DelayedPart(CountDownLatch trigger, String bytes) {}
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestProtocols.java
@@ -71,14 +71,14 @@
     }
 
     @Override
-    public void writeHeaders(HttpHeaders headers, DispatchParameters delivery) {
-        headers.set(SERVER, delivery.serverId());
-        headers.set(REMAINING_TIME, delivery.remainingTime().toMillis());
-        if (delivery.work() == RequestedWork.PROMPT_ONLY) {
+    public void writeHeaders(HttpHeaders headers, DispatchParameters parameters) {
+        headers.set(SERVER, parameters.serverId());
+        headers.set(REMAINING_TIME, parameters.remainingTime().toMillis());
+        if (parameters.work() == RequestedWork.PROMPT_ONLY) {
             headers.set(WORK, "prompt");
         }
-        delivery.cacheSource().ifPresent(source -> headers.set(CACHE_SOURCE, source.handle()));
-        delivery.lastEventId().ifPresent(event -> headers.set(LAST_EVENT, event));
+        parameters.cacheSource().ifPresent(source -> headers.set(CACHE_SOURCE, source.handle()));
+        parameters.lastEventId().ifPresent(event -> headers.set(LAST_EVENT, event));
     }
 
     @Override
