--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
@@ -7,10 +7,10 @@
 /**
  * The steps of a graceful stop. Confined to the event loop.
  *
- * <p>A load balancer sends new connections until two health checks have found the process not ready, and callers reuse
- * their connections. Closing the port immediately would reset these connections. The process therefore first reports that
- * it is not ready, continues to accept requests, adds "Connection: close" to each answer, and exits when no connection is
- * left or shortly before the grace period ends.
+ * <p>A load balancer sends new connections until two health checks have found the process not ready, and callers
+ * reuse their connections. Closing the port immediately would reset these connections. The process therefore first
+ * reports that it is not ready, continues to accept requests, adds "Connection: close" to each answer, and exits when
+ * no connection is left or shortly before the grace period ends.
  */
 final class GracefulStop {
     /** Two health checks of the load balancer, one second apart, plus a margin for network delay and a late check. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Signals.java
@@ -7,8 +7,8 @@
 /**
  * Handlers for the signals of an entry process.
  *
- * <p>The Java runtime terminates a process on SIGHUP unless a handler is installed. The only interface for installing one
- * is an internal class for which the compiler issues a warning, so it is accessed by reflection.
+ * <p>The Java runtime terminates a process on SIGHUP unless a handler is installed. The only interface for installing
+ * one is an internal class for which the compiler issues a warning, so it is accessed by reflection.
  */
 public final class Signals {
     private static final String SIGNAL_CLASS = "sun.misc.Signal";
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnection.java
@@ -18,9 +18,9 @@
 /**
  * A connection to a backend server, used for one request at a time.
  *
- * <p>A faulty server may send a second answer, an answer to an earlier request, or bytes after an answer. Forwarding them
- * would disclose the content of one caller's request to another caller. An answer that names another request than the
- * current one is therefore discarded, and a connection that has received unexpected data is not reused.
+ * <p>A faulty server may send a second answer, an answer to an earlier request, or bytes after an answer. Forwarding
+ * them would disclose the content of one caller's request to another caller. An answer that names another request
+ * than the current one is therefore discarded, and a connection that has received unexpected data is not reused.
  */
 final class BackendConnection extends ChannelInboundHandlerAdapter {
     /** Idle timeout for servers that do not announce one; shorter than the common server default of five seconds. */
@@ -166,9 +166,9 @@
     }
 
     /**
-     * Ends the exchange once its answer is complete, and returns the connection to the pool if it can be reused. A server
-     * may answer before it has read the complete request. Such a connection is closed, because the server would treat the
-     * rest of the body as the next request.
+     * Ends the exchange once its answer is complete, and returns the connection to the pool if it can be reused. A
+     * server may answer before it has read the complete request. Such a connection is closed, because the server
+     * would treat the rest of the body as the next request.
      */
     private void finishExchangeIfComplete() {
         if (!answerComplete || currentExchange == null) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
@@ -28,7 +28,8 @@
     /**
      * Creates an instance without open connections.
      *
-     * @param maxOpenByService returns the maximum number of open connections to one server, given the name of its service
+     * @param maxOpenByService returns the maximum number of open connections to one server, given the name of its
+     *     service
      */
     public BackendConnections(
             BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> maxOpenByService) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
@@ -20,9 +20,10 @@
 /**
  * Checks whether a server whose connection broke has terminated. Confined to the event loop.
  *
- * <p>A running server also breaks connections: it closes idle ones, loses answers, and resets connections that exceed its
- * limit. A terminated server accepts no new connection. Its port may stay open a little longer than its connections, so a
- * successful connection attempt is repeated once. Listeners that are added during a probe share its result.
+ * <p>A running server also breaks connections: it closes idle ones, loses answers, and resets connections that exceed
+ * its limit. A terminated server accepts no new connection. Its port may stay open a little longer than its
+ * connections, so a successful connection attempt is repeated once. Listeners that are added during a probe share its
+ * result.
  */
 public final class ServerProbes {
     /** How long the first connection is held before the second attempt; a server whose port is then open is running. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -33,7 +33,9 @@
  * has disconnected. Parts of later requests are queued up to a limit.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerWriter {
-    /** Number of queued HTTP objects of later requests beyond which reading is paused until the current request ends. */
+    /**
+     * Number of queued HTTP objects of later requests beyond which reading is paused until the current request ends.
+     */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final Channel channel;
@@ -243,8 +245,8 @@
 
     /**
      * Schedules the request to be served after all data available on the connection has been read. After a lack of
-     * processor time, an entry receives requests whose callers have already disconnected. If they were served before the
-     * close is read, a server would work on them although nobody waits for the answer.
+     * processor time, an entry receives requests whose callers have already disconnected. If they were served before
+     * the close is read, a server would work on them although nobody waits for the answer.
      */
     private void scheduleServing() {
         IncomingRequest request = new IncomingRequest(head, body, headReceivedAtNanos);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Returns an allocator that reads until no data is left. By default, a read that does not fill its buffer ends the read
-     * loop, and a close that follows the data is detected only after the next select.
+     * Returns an allocator that reads until no data is left. By default, a read that does not fill its buffer ends
+     * the read loop, and a close that follows the data is detected only after the next select.
      */
     private static RecvByteBufAllocator readAllAllocator() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/RoleOrder.java
@@ -9,8 +9,8 @@
  * @param role the role to change to
  * @param leaseHolder the process that holds the order lease and sends the order
  * @param fencingNumber the fencing number of the holder's lease
- * @param expectedAcceptedOrders the number of orders that the engine must have accepted before; an order that arrives late does
- *     not meet this precondition and has no effect
+ * @param expectedAcceptedOrders the number of orders that the engine must have accepted before; an order that arrives
+ *     late does not meet this precondition and has no effect
  */
 public record RoleOrder(
         String serverId, EngineRole role, String leaseHolder, long fencingNumber, long expectedAcceptedOrders) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
@@ -36,7 +36,9 @@
         int maxBodyBytes,
         PlacementSettings placement,
         RepeatSettings repeats) {
-    /** Returns whether the other settings have the same process name and addresses, which only change with a restart. */
+    /**
+     * Returns whether the other settings have the same process name and addresses, which only change with a restart.
+     */
     public boolean sameAddresses(GatewaySettings other) {
         return process.equals(other.process)
                 && callers.equals(other.callers)
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -28,7 +28,10 @@
     /** Time for which a server that is leaving still accepts requests. */
     private static final int DEFAULT_LEAVING_MILLISECONDS = 2000;
 
-    /** Fraction of that time for which changes accumulate at the store; the rest covers a late answer and a request in transit. */
+    /**
+     * Fraction of that time for which changes accumulate at the store; the rest covers a late answer and a request in
+     * transit.
+     */
     private static final double SERVER_CHANGE_PAUSE_FRACTION = 0.35;
 
     private static final int MAX_MILLISECONDS = 3_600_000;
@@ -42,7 +45,9 @@
     private static final double MAX_SECONDS = 3600;
     private static final double MIN_OWN_PROMPT_FRACTION = 0.1;
 
-    /** An engine that generates answers prefills prompts between its decode steps, at about half of its prefill speed. */
+    /**
+     * An engine that generates answers prefills prompts between its decode steps, at about half of its prefill speed.
+     */
     private static final double DEFAULT_OWN_PROMPT_FRACTION = 0.5;
 
     private final Findings findings = new Findings();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsReloader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/SettingsReloader.java
@@ -10,8 +10,8 @@
 /**
  * Reloads the settings file when its content has changed; no signal is required.
  *
- * <p>If the file cannot be read or contains mistakes, the previous settings stay in force, because an editing mistake must
- * not stop a process that serves requests.
+ * <p>If the file cannot be read or contains mistakes, the previous settings stay in force, because an editing mistake
+ * must not stop a process that serves requests.
  */
 public final class SettingsReloader {
     private final Path file;
@@ -46,7 +46,7 @@
                     .with(
                             "outcome",
                             restartRequired
-                                    ? "in force, except for the changed process name or addresses, which require a restart"
+                                    ? "in force, except changes of process name and addresses, which need a restart"
                                     : "in force")
                     .write();
         } catch (AspenmoorException invalid) {
