--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/GracefulStop.java
@@ -5,66 +5,68 @@
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
 
 /**
- * The steps of a planned stop. Confined to the event loop.
+ * The steps of a graceful stop. Confined to the event loop.
  *
- * <p>A balancer goes on sending new connections until it has twice heard that the process is not ready, and callers
- * reuse theirs. A process that closed its port at once would reset them. So it says first that it is not ready, takes
- * what still comes, asks callers with each answer to close, and ends when nothing is left.
+ * <p>A load balancer sends new connections until two health checks have found the process not ready, and callers
+ * reuse their connections. Closing the port immediately would reset these connections. The process therefore first
+ * reports that it is not ready, continues to accept requests, adds "Connection: close" to each answer, and exits when
+ * no connection is left or shortly before the grace period ends.
  */
 final class GracefulStop {
-    /** The balancer asks once a second and needs two misses; the rest covers the way and a late question. */
-    private static final Duration LISTENING_ON = Duration.ofMillis(2600);
+    /** Two health checks of the load balancer, one second apart, plus a margin for network delay and a late check. */
+    private static final Duration LISTENING_PERIOD = Duration.ofMillis(2600);
 
-    /** Kept of the time until the process is killed, so that the last answers still leave. */
-    private static final Duration MARGIN = Duration.ofMillis(500);
+    /** Reserved at the end of the grace period, before the process is killed, for sending the last answers. */
+    private static final Duration EXIT_MARGIN = Duration.ofMillis(500);
 
     private final CallerServer callers;
     private final RequestDispatcher dispatcher;
-    private final Runnable exit;
-    private Duration grace;
+    private final Runnable onFinished;
+    private Duration gracePeriod;
     private boolean begun;
-    private boolean closed;
-    private long begunAt;
+    private boolean listenerClosed;
+    private long begunAtNanos;
 
-    GracefulStop(CallerServer callers, RequestDispatcher dispatcher, Duration grace, Runnable exit) {
+    GracefulStop(CallerServer callers, RequestDispatcher dispatcher, Duration gracePeriod, Runnable onFinished) {
         this.callers = callers;
         this.dispatcher = dispatcher;
-        this.grace = grace;
-        this.exit = exit;
+        this.gracePeriod = gracePeriod;
+        this.onFinished = onFinished;
     }
 
-    void begin(long now) {
+    void begin(long nowNanos) {
         if (!begun) {
             begun = true;
-            begunAt = now;
+            begunAtNanos = nowNanos;
             dispatcher.stop();
         }
     }
 
-    void reload(Duration newGrace) {
-        grace = newGrace;
+    void setGracePeriod(Duration newGracePeriod) {
+        gracePeriod = newGracePeriod;
     }
 
     boolean begun() {
         return begun;
     }
 
-    /** Takes the next step if its time has come. */
-    void check(long now) {
+    /** Performs the next step if it is due. */
+    void advance(long nowNanos) {
         if (!begun) {
             return;
         }
-        long elapsed = now - begunAt;
-        if (elapsed < LISTENING_ON.toNanos()) {
+        long elapsedNanos = nowNanos - begunAtNanos;
+        if (elapsedNanos < LISTENING_PERIOD.toNanos()) {
             return;
         }
-        if (!closed) {
-            closed = true;
+        if (!listenerClosed) {
+            listenerClosed = true;
             callers.stopListening();
         }
         callers.closeIdle();
-        if (callers.open() == 0 || elapsed > grace.minus(MARGIN).toNanos()) {
-            exit.run();
+        if (callers.openConnections() == 0
+                || elapsedNanos > gracePeriod.minus(EXIT_MARGIN).toNanos()) {
+            onFinished.run();
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/PlainHttpServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/OperatorHttpServer.java
@@ -22,13 +22,13 @@
 import org.aspenmoor.internal.gateway.caller.ListeningPort;
 import org.aspenmoor.internal.gateway.caller.LocalAnswers;
 
-/** Answers GET requests for a few fixed paths: readiness, metrics, the state dump. */
-final class PlainHttpServer {
-    private static final int MOST_REQUEST_BYTES = 16_384;
+/** HTTP server for a fixed set of paths: readiness, metrics and the state dump. */
+final class OperatorHttpServer {
+    private static final int MAX_REQUEST_BYTES = 16_384;
 
     private final Map<String, Supplier<FullHttpResponse>> pages;
 
-    PlainHttpServer(Map<String, Supplier<FullHttpResponse>> pages) {
+    OperatorHttpServer(Map<String, Supplier<FullHttpResponse>> pages) {
         this.pages = Map.copyOf(pages);
     }
 
@@ -42,11 +42,11 @@
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
-                                .addLast(new HttpObjectAggregator(MOST_REQUEST_BYTES))
+                                .addLast(new HttpObjectAggregator(MAX_REQUEST_BYTES))
                                 .addLast(new PageHandler());
                     }
                 });
-        Channel listener = ListeningPort.open(bootstrap, address, "A port for operators");
+        Channel listener = ListeningPort.open(bootstrap, address, "The port for operators");
         return (InetSocketAddress) listener.localAddress();
     }
 
@@ -55,11 +55,12 @@
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             String path = request.uri().split("\\?", 2)[0];
             Supplier<FullHttpResponse> page = pages.get(path);
-            FullHttpResponse answer =
-                    page == null ? LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "There is no such page.") : page.get();
-            boolean kept = HttpUtil.isKeepAlive(request);
-            HttpUtil.setKeepAlive(answer, kept);
-            if (kept) {
+            FullHttpResponse answer = page == null
+                    ? LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "The path does not exist.")
+                    : page.get();
+            boolean keepAlive = HttpUtil.isKeepAlive(request);
+            HttpUtil.setKeepAlive(answer, keepAlive);
+            if (keepAlive) {
                 context.writeAndFlush(answer);
             } else {
                 context.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/BackendConnections.java
@@ -10,76 +10,78 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * All connections to backend servers. Confined to the event loop.
+ * The connections of this entry to all backend servers. Confined to the event loop.
  *
- * <p>A server accepts a fixed number of connections from all entries together and resets those beyond it, with the
- * requests on them. So each entry opens no more than its part; a request beyond it is tried elsewhere or refused unrun.
+ * <p>A server accepts a fixed number of connections from all entries together and resets any further connection,
+ * together with the request on it. Each entry therefore opens no more than its share. A request that would need another
+ * connection is not sent; it is tried on another server or refused without having run.
  */
 public final class BackendConnections {
     private final BackendProtocol protocol;
     private final EventLoop eventLoop;
     private final TimeSource time;
-    private final Map<String, ServerConnections> byServer = new HashMap<>();
-    private final ToIntFunction<String> mostOpen;
+    private final Map<String, ServerConnectionPool> poolsByServer = new HashMap<>();
+    private final ToIntFunction<String> maxOpenByService;
     private final ServerProbes probes;
-    private long openedBefore;
+    private long openedByRemovedPools;
 
     /**
-     * Makes the connections.
+     * Creates an instance without open connections.
      *
-     * @param mostOpen how many connections may be open to one server of a service
+     * @param maxOpenByService returns the maximum number of open connections to one server, given the name of its
+     *     service
      */
     public BackendConnections(
-            BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> mostOpen) {
-        this.mostOpen = mostOpen;
+            BackendProtocol protocol, EventLoop eventLoop, TimeSource time, ToIntFunction<String> maxOpenByService) {
+        this.maxOpenByService = maxOpenByService;
         this.protocol = protocol;
         this.eventLoop = eventLoop;
         this.time = time;
-        this.probes = new ServerProbes(eventLoop, ServerProbes.SECOND_LOOK);
+        this.probes = new ServerProbes(eventLoop, ServerProbes.SECOND_ATTEMPT_DELAY);
     }
 
-    /** Sends a request, of which it takes over the reference. */
+    /** Sends a request and takes ownership of its buffer. */
     public Exchange send(BackendServer server, String requestId, FullHttpRequest request, ExchangeListener listener) {
         Exchange exchange = new Exchange(requestId, request, listener);
-        connectionsTo(server).send(exchange, mostOpen.applyAsInt(server.service()));
+        poolFor(server).send(exchange, maxOpenByService.applyAsInt(server.service()));
         return exchange;
     }
 
-    /** Tells the listener whether a server that broke a connection has ended. */
+    /** Checks whether a server whose connection broke has terminated, and notifies the listener of the result. */
     public void probe(BackendServer server, ServerProbes.Listener listener) {
         probes.probe(server, listener);
     }
 
-    /** Closes idle connections to a server that is gone. */
-    public void forget(String server) {
-        ServerConnections connections = byServer.remove(server);
-        if (connections != null) {
-            openedBefore += connections.opened();
-            connections.retire();
+    /** Closes the idle connections to a server that has been removed; those in use are closed after their request. */
+    public void remove(String serverId) {
+        ServerConnectionPool pool = poolsByServer.remove(serverId);
+        if (pool != null) {
+            openedByRemovedPools += pool.openedTotal();
+            pool.retire();
         }
     }
 
-    /** Closes idle connections that servers would soon close themselves. */
+    /** Closes idle connections that have almost reached the idle timeout of their server. */
     public void closeStale() {
-        byServer.values().forEach(ServerConnections::closeStale);
+        poolsByServer.values().forEach(ServerConnectionPool::closeStale);
     }
 
-    /** Returns how many connections were opened. */
-    public long opened() {
-        return openedBefore
-                + byServer.values().stream()
-                        .mapToLong(ServerConnections::opened)
+    /** Returns the number of connections opened since the start of this process. */
+    public long openedTotal() {
+        return openedByRemovedPools
+                + poolsByServer.values().stream()
+                        .mapToLong(ServerConnectionPool::openedTotal)
                         .sum();
     }
 
-    private ServerConnections connectionsTo(BackendServer server) {
-        ServerConnections known = byServer.get(server.id());
-        if (known != null && known.leadTo(server)) {
-            return known;
+    private ServerConnectionPool poolFor(BackendServer server) {
+        ServerConnectionPool existing = poolsByServer.get(server.id());
+        if (existing != null && existing.connectsTo(server)) {
+            return existing;
         }
-        forget(server.id());
-        ServerConnections made = new ServerConnections(server, protocol, eventLoop, time);
-        byServer.put(server.id(), made);
-        return made;
+        remove(server.id());
+        ServerConnectionPool created = new ServerConnectionPool(server, protocol, eventLoop, time);
+        poolsByServer.put(server.id(), created);
+        return created;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ExchangeListener.java
@@ -2,22 +2,22 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
+import org.aspenmoor.internal.gateway.protocol.AnswerMetadata;
 
-/** Hears what becomes of one request to one backend server; exactly one of the last three calls ends it. */
+/** Receives the events of an {@link Exchange}; exactly one call of the last three methods ends it. */
 public interface ExchangeListener {
-    /** The head of the answer came. */
-    void head(HttpResponse head, AnswerFacts facts);
+    /** Called when the head of the answer has been received. */
+    void headReceived(HttpResponse head, AnswerMetadata metadata);
 
-    /** A part of the body came; the listener does not own the buffer. */
-    void data(ByteBuf part);
+    /** Called when a part of the body has been received; the buffer is valid only during the call unless retained. */
+    void dataReceived(ByteBuf part);
 
-    /** The answer is complete. */
-    void complete();
+    /** Called when the answer is complete. */
+    void completed();
 
-    /** No connection came about; nothing was sent. */
+    /** Called when no connection was available; nothing was sent. */
     void neverSent(String reason);
 
-    /** The connection broke, or what came is no answer to this request. */
-    void broken(String reason);
+    /** Called when the connection broke or the received data was not a valid answer. */
+    void failed(String reason);
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnectionPool.java
@@ -0,0 +1,157 @@
+package org.aspenmoor.internal.gateway.backend;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.HttpClientCodec;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
+import org.aspenmoor.internal.serving.BackendServer;
+import org.aspenmoor.internal.time.TimeSource;
+
+/** The pool of connections to one incarnation of a backend server. Confined to the event loop. */
+final class ServerConnectionPool {
+    /**
+     * A server in the same region accepts a connection within a few milliseconds. A server that has been removed never
+     * does, and the operating system's timeout of several seconds is longer than callers wait.
+     */
+    static final int CONNECT_TIMEOUT_MILLISECONDS = 250;
+
+    private static final int MAX_INITIAL_LINE_LENGTH = 8192;
+    private static final int MAX_HEADER_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 16_384;
+
+    private final BackendServer server;
+    private final BackendProtocol protocol;
+    private final EventLoop eventLoop;
+    private final TimeSource time;
+    private final Deque<BackendConnection> idleConnections = new ArrayDeque<>();
+    private int openCount;
+    private long openedTotal;
+    private boolean retired;
+
+    ServerConnectionPool(BackendServer server, BackendProtocol protocol, EventLoop eventLoop, TimeSource time) {
+        this.server = server;
+        this.protocol = protocol;
+        this.eventLoop = eventLoop;
+        this.time = time;
+    }
+
+    boolean connectsTo(BackendServer other) {
+        return server.sameIncarnation(other);
+    }
+
+    /** Sends a request over an idle connection, or over a new one if fewer than the given number are open. */
+    void send(Exchange exchange, int maxOpen) {
+        BackendConnection reused = takeIdle();
+        if (reused != null) {
+            reused.send(exchange);
+            return;
+        }
+        if (openCount >= maxOpen) {
+            // Reported in a later task, because the sender does not have the exchange yet that is about to be returned.
+            eventLoop.execute(() ->
+                    reportNeverSent(exchange, openCount + " connections are open, which is the limit for this entry"));
+            return;
+        }
+        connectAndSend(exchange);
+    }
+
+    void returnConnection(BackendConnection connection) {
+        if (retired) {
+            connection.close();
+            return;
+        }
+        idleConnections.addFirst(connection);
+    }
+
+    void removeClosed(BackendConnection connection) {
+        idleConnections.remove(connection);
+    }
+
+    long nowNanos() {
+        return time.monotonicNanoseconds();
+    }
+
+    /** Closes idle connections that have almost reached the server's idle timeout. */
+    void closeStale() {
+        long nowNanos = nowNanos();
+        while (!idleConnections.isEmpty() && !idleConnections.peekLast().canBeReused(nowNanos)) {
+            idleConnections.pollLast().close();
+        }
+    }
+
+    /** Closes the idle connections; those in use are closed when their request ends. */
+    void retire() {
+        retired = true;
+        while (!idleConnections.isEmpty()) {
+            idleConnections.pollFirst().close();
+        }
+    }
+
+    long openedTotal() {
+        return openedTotal;
+    }
+
+    private BackendConnection takeIdle() {
+        long nowNanos = nowNanos();
+        while (!idleConnections.isEmpty()) {
+            BackendConnection connection = idleConnections.pollFirst();
+            if (connection.canBeReused(nowNanos)) {
+                return connection;
+            }
+            connection.close();
+        }
+        return null;
+    }
+
+    private void connectAndSend(Exchange exchange) {
+        openedTotal++;
+        openCount++;
+        BackendConnection[] created = new BackendConnection[1];
+        ChannelFuture connectFuture = new Bootstrap()
+                .group(eventLoop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLISECONDS)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        created[0] = new BackendConnection(channel, protocol, ServerConnectionPool.this);
+                        channel.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(MAX_INITIAL_LINE_LENGTH, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
+                                .addLast(created[0]);
+                    }
+                })
+                .connect(server.host(), server.port());
+        connectFuture.channel().closeFuture().addListener(closed -> openCount--);
+        connectFuture.addListener(connectResult -> {
+            if (exchange.ended()) {
+                connectFuture.channel().close();
+                return;
+            }
+            if (connectResult.isSuccess()) {
+                created[0].send(exchange);
+                return;
+            }
+            reportNeverSent(
+                    exchange,
+                    "cannot connect to the server: " + connectResult.cause().getMessage());
+        });
+    }
+
+    private static void reportNeverSent(Exchange exchange, String reason) {
+        if (exchange.ended()) {
+            return;
+        }
+        exchange.markEnded();
+        exchange.request().release();
+        exchange.listener().neverSent(reason);
+    }
+}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerProbes.java
@@ -18,54 +18,56 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * Finds out whether a server that broke a connection has ended. Confined to the event loop.
+ * Checks whether a server whose connection broke has terminated. Confined to the event loop.
  *
- * <p>Connections also break where a server lives: it closes idle ones, loses answers, resets those beyond its limit. One
- * that has ended takes no new connection. Its port may be open a moment longer than its connections, so one that is taken
- * is tried a second time. One probe tells for all who ask while it is under way.
+ * <p>A running server also breaks connections: it closes idle ones, loses answers, and resets connections that exceed
+ * its limit. A terminated server accepts no new connection. Its port may stay open a little longer than its
+ * connections, so a successful connection attempt is repeated once. Listeners that are added during a probe share its
+ * result.
  */
 public final class ServerProbes {
-    /** After which a port that is still open belongs to a server that lives. */
-    static final Duration SECOND_LOOK = Duration.ofMillis(100);
+    /** How long the first connection is held before the second attempt; a server whose port is then open is running. */
+    static final Duration SECOND_ATTEMPT_DELAY = Duration.ofMillis(100);
 
     private final EventLoop eventLoop;
-    private final Duration secondLook;
-    private final Map<BackendServer, List<Listener>> waiting = new HashMap<>();
+    private final Duration secondAttemptDelay;
+    private final Map<BackendServer, List<Listener>> waitingListeners = new HashMap<>();
 
-    ServerProbes(EventLoop eventLoop, Duration secondLook) {
+    ServerProbes(EventLoop eventLoop, Duration secondAttemptDelay) {
         this.eventLoop = eventLoop;
-        this.secondLook = secondLook;
+        this.secondAttemptDelay = secondAttemptDelay;
     }
 
-    /** Tells the listener whether the server takes no connection any more. */
+    /** Notifies the listener whether the server has stopped accepting connections. */
     void probe(BackendServer server, Listener listener) {
-        boolean first = !waiting.containsKey(server);
-        waiting.computeIfAbsent(server, unseen -> new ArrayList<>()).add(listener);
-        if (first) {
-            lookFirst(server);
+        boolean startsProbe = !waitingListeners.containsKey(server);
+        waitingListeners.computeIfAbsent(server, key -> new ArrayList<>()).add(listener);
+        if (startsProbe) {
+            connectFirst(server);
         }
     }
 
-    private void lookFirst(BackendServer server) {
-        ChannelFuture connecting = connect(server);
-        connecting.addListener(connected -> {
-            if (connected.isSuccess()) {
-                lookAgain(server, connecting.channel());
+    private void connectFirst(BackendServer server) {
+        ChannelFuture connectFuture = connect(server);
+        connectFuture.addListener(connectResult -> {
+            if (connectResult.isSuccess()) {
+                connectAgain(server, connectFuture.channel());
             } else {
-                tell(server, true);
+                notifyListeners(server, true);
             }
         });
     }
 
-    /** Looks once the first connection has broken too, or has stood for a while. */
-    private void lookAgain(BackendServer server, Channel first) {
-        Future<?> stood = eventLoop.schedule(() -> first.close(), secondLook.toNanos(), TimeUnit.NANOSECONDS);
-        first.closeFuture().addListener(closed -> {
-            stood.cancel(false);
-            ChannelFuture connecting = connect(server);
-            connecting.addListener(connected -> {
-                connecting.channel().close();
-                tell(server, !connected.isSuccess());
+    /** Connects again once the first connection has broken or has been open for the delay. */
+    private void connectAgain(BackendServer server, Channel firstConnection) {
+        Future<?> closeTask =
+                eventLoop.schedule(() -> firstConnection.close(), secondAttemptDelay.toNanos(), TimeUnit.NANOSECONDS);
+        firstConnection.closeFuture().addListener(closed -> {
+            closeTask.cancel(false);
+            ChannelFuture connectFuture = connect(server);
+            connectFuture.addListener(connectResult -> {
+                connectFuture.channel().close();
+                notifyListeners(server, !connectResult.isSuccess());
             });
         });
     }
@@ -74,26 +76,26 @@
         return new Bootstrap()
                 .group(eventLoop)
                 .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ServerConnections.CONNECT_TIMEOUT_MILLISECONDS)
-                .handler(new IgnoringHandler())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, ServerConnectionPool.CONNECT_TIMEOUT_MILLISECONDS)
+                .handler(new CloseOnErrorHandler())
                 .connect(server.host(), server.port());
     }
 
-    private void tell(BackendServer server, boolean ended) {
-        waiting.remove(server).forEach(listener -> listener.probed(ended));
+    private void notifyListeners(BackendServer server, boolean terminated) {
+        waitingListeners.remove(server).forEach(listener -> listener.probed(terminated));
     }
 
-    /** A connection that breaks tells enough by that. */
-    private static final class IgnoringHandler extends ChannelInboundHandlerAdapter {
+    /** Closes a connection that fails; the probe only depends on whether the connection is open. */
+    private static final class CloseOnErrorHandler extends ChannelInboundHandlerAdapter {
         @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable broken) {
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
     }
 
-    /** Hears whether a server has ended. */
+    /** Receives the result of a probe. */
     @FunctionalInterface
     public interface Listener {
-        void probed(boolean ended);
+        void probed(boolean terminated);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ArrivalHandler.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/BytesReceivedHandler.java
@@ -3,17 +3,17 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Tells a caller's connection of bytes before they make a whole head, so that a slow head can be timed. */
-final class ArrivalHandler extends ChannelInboundHandlerAdapter {
+/** Notifies a caller's connection of received bytes before HTTP decoding, so that a slow request head can time out. */
+final class BytesReceivedHandler extends ChannelInboundHandlerAdapter {
     private final CallerConnection connection;
 
-    ArrivalHandler(CallerConnection connection) {
+    BytesReceivedHandler(CallerConnection connection) {
         this.connection = connection;
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        connection.bytesArrived();
+        connection.bytesReceived();
         context.fireChannelRead(message);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -27,60 +27,64 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * One connection of a caller: reads whole requests, one after the other, and writes their answers.
+ * A connection of a caller: reads complete requests, one after the other, and writes their answers.
  *
- * <p>It goes on reading while a request is served, since only so does it notice that the caller has left; what comes
- * early waits, within a bound.
+ * <p>The connection continues reading while a request is served, because otherwise it would not detect that the caller
+ * has disconnected. Parts of later requests are queued up to a limit.
  */
-final class CallerConnection extends ChannelInboundHandlerAdapter implements CallerLink {
-    /** Parts of later requests that may wait behind the one being served, in HTTP objects. */
-    private static final int MOST_WAITING_PARTS = 64;
+final class CallerConnection extends ChannelInboundHandlerAdapter implements AnswerWriter {
+    /**
+     * Number of queued HTTP objects of later requests beyond which reading is paused until the current request ends.
+     */
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     private final Channel channel;
     private final RequestService service;
     private final TimeSource time;
-    private final Deque<Object> waiting = new ArrayDeque<>();
+    private final Deque<Object> queuedMessages = new ArrayDeque<>();
     private HttpRequest head;
     private CompositeByteBuf body;
-    private int reserved;
-    private long headArrivedAt;
-    private long quietSince;
+    private int reservedBytes;
+    private long headReceivedAtNanos;
+    private long lastActivityNanos;
     private boolean receiving;
     private boolean serving;
     private boolean keepAlive = true;
     private boolean closing;
-    private ActiveRequest active;
+    private ActiveRequest activeRequest;
 
     CallerConnection(Channel channel, RequestService service, TimeSource time) {
         this.channel = channel;
         this.service = service;
         this.time = time;
-        this.quietSince = time.monotonicNanoseconds();
+        this.lastActivityNanos = time.monotonicNanoseconds();
     }
 
-    /** Notes bytes of a request that is not complete yet. */
-    void bytesArrived() {
+    /** Records that bytes have been received, which may be the start of a request. */
+    void bytesReceived() {
         if (!receiving && !serving) {
             receiving = true;
-            quietSince = time.monotonicNanoseconds();
+            lastActivityNanos = time.monotonicNanoseconds();
         }
     }
 
-    /** Closes the connection where its limits say so. */
-    void check(long now) {
+    /** Closes the connection if it has exceeded its header or idle timeout. */
+    void enforceTimeouts(long nowNanos) {
         if (serving || closing) {
             return;
         }
-        ConnectionLimits limits = service.limits();
-        long quiet = now - quietSince;
-        if (receiving && quiet > limits.headerTimeout().toNanos() && head == null) {
-            refuse(HttpResponseStatus.REQUEST_TIMEOUT, "The request's head did not arrive in time.");
-        } else if (quiet > limits.idleTimeout().toNanos()) {
+        ConnectionLimits limits = service.connectionLimits();
+        long idleNanos = nowNanos - lastActivityNanos;
+        if (receiving && idleNanos > limits.headerTimeout().toNanos() && head == null) {
+            refuse(
+                    HttpResponseStatus.REQUEST_TIMEOUT,
+                    "The request's head was not received within the header timeout.");
+        } else if (idleNanos > limits.idleTimeout().toNanos()) {
             close();
         }
     }
 
-    /** Closes the connection if no request is on it. */
+    /** Closes the connection if no request is being received or served on it. */
     void closeIfIdle() {
         if (!serving && !receiving) {
             close();
@@ -98,19 +102,19 @@
             return;
         }
         if (serving) {
-            waiting.addLast(message);
-            if (waiting.size() > MOST_WAITING_PARTS) {
+            queuedMessages.addLast(message);
+            if (queuedMessages.size() > MAX_QUEUED_MESSAGES) {
                 channel.config().setAutoRead(false);
             }
             return;
         }
-        take(message);
+        handle(message);
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        if (active != null) {
-            active.writabilityChanged();
+        if (activeRequest != null) {
+            activeRequest.writabilityChanged();
         }
     }
 
@@ -122,29 +126,29 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         closing = true;
-        ActiveRequest left = active;
-        active = null;
-        dropBody();
-        while (!waiting.isEmpty()) {
-            ReferenceCountUtil.release(waiting.pollFirst());
+        ActiveRequest abandonedRequest = activeRequest;
+        activeRequest = null;
+        discardRequest();
+        while (!queuedMessages.isEmpty()) {
+            ReferenceCountUtil.release(queuedMessages.pollFirst());
         }
-        if (left != null) {
-            left.callerLeft();
+        if (abandonedRequest != null) {
+            abandonedRequest.callerDisconnected();
         }
     }
 
     @Override
-    public void answer(FullHttpResponse answer) {
-        boolean kept = keepAlive && !service.stopping();
-        HttpUtil.setKeepAlive(answer, kept);
-        if (!kept) {
+    public void sendAnswer(FullHttpResponse answer) {
+        boolean keepOpen = keepAlive && !service.stopping();
+        HttpUtil.setKeepAlive(answer, keepOpen);
+        if (!keepOpen) {
             answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
-        finish(channel.writeAndFlush(answer), kept);
+        finish(channel.writeAndFlush(answer), keepOpen);
     }
 
     @Override
-    public void begin(HttpResponse answerHead) {
+    public void beginAnswer(HttpResponse answerHead) {
         keepAlive &= !service.stopping();
         HttpUtil.setKeepAlive(answerHead, keepAlive);
         if (!keepAlive) {
@@ -155,18 +159,18 @@
     }
 
     @Override
-    public void part(ByteBuf part) {
+    public void sendPart(ByteBuf part) {
         channel.writeAndFlush(new DefaultHttpContent(part));
     }
 
     @Override
-    public void end() {
+    public void endAnswer() {
         finish(channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT), keepAlive);
     }
 
     @Override
-    public void breakOff() {
-        active = null;
+    public void abortAnswer() {
+        activeRequest = null;
         close();
     }
 
@@ -175,32 +179,32 @@
         return channel.isWritable();
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
         try {
             if (message instanceof HttpRequest request) {
-                takeHead(request);
+                handleHead(request);
             }
             if (message instanceof HttpContent content && head != null) {
-                takeContent(content);
+                handleContent(content);
             }
         } finally {
             ReferenceCountUtil.release(message);
         }
     }
 
-    private void takeHead(HttpRequest request) {
-        quietSince = time.monotonicNanoseconds();
-        headArrivedAt = quietSince;
+    private void handleHead(HttpRequest request) {
+        lastActivityNanos = time.monotonicNanoseconds();
+        headReceivedAtNanos = lastActivityNanos;
         receiving = true;
         if (request.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "The request cannot be read: it is no proper HTTP.");
+            refuse(HttpResponseStatus.BAD_REQUEST, "The request is not valid HTTP.");
             return;
         }
         if (request.headers().getAll(HttpHeaderNames.HOST).size() > 1) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "The request names more than one host.");
+            refuse(HttpResponseStatus.BAD_REQUEST, "The request has more than one Host header.");
             return;
         }
-        if (HttpUtil.getContentLength(request, 0L) > service.limits().maxBodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > service.connectionLimits().maxBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
@@ -212,40 +216,40 @@
         }
     }
 
-    private void takeContent(HttpContent content) {
-        quietSince = time.monotonicNanoseconds();
+    private void handleContent(HttpContent content) {
+        lastActivityNanos = time.monotonicNanoseconds();
         if (content.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "The request's body cannot be read.");
             return;
         }
-        int bytes = content.content().readableBytes();
-        if (body.readableBytes() + bytes > service.limits().maxBodyBytes()) {
+        int byteCount = content.content().readableBytes();
+        if (body.readableBytes() + byteCount > service.connectionLimits().maxBodyBytes()) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "The request's body is too large.");
             return;
         }
-        if (!service.reserve(bytes)) {
-            dropBody();
+        if (!service.reserveBodyBytes(byteCount)) {
+            discardRequest();
             closing = true;
-            FullHttpResponse full =
-                    LocalAnswers.notRun("Too many requests are being read.", java.time.Duration.ofSeconds(1));
-            full.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-            channel.writeAndFlush(full).addListener(ChannelFutureListener.CLOSE);
+            FullHttpResponse refusal = LocalAnswers.notRun(
+                    "the limit on request bodies held in memory has been reached", java.time.Duration.ofSeconds(1));
+            refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            channel.writeAndFlush(refusal).addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        reserved += bytes;
+        reservedBytes += byteCount;
         body.addComponent(true, content.content().retain());
         if (content instanceof LastHttpContent) {
-            start();
+            scheduleServing();
         }
     }
 
     /**
-     * Serves the request once all has been read that the connection holds. An entry that was short of processor time finds
-     * requests whose callers have closed long ago; served at once, before the close behind them is read, a server would
-     * work on them for nobody.
+     * Schedules the request to be served after all data available on the connection has been read. After a lack of
+     * processor time, an entry receives requests whose callers have already disconnected. If they were served before
+     * the close is read, a server would work on them although nobody waits for the answer.
      */
-    private void start() {
-        IncomingRequest request = new IncomingRequest(head, body, headArrivedAt);
+    private void scheduleServing() {
+        IncomingRequest request = new IncomingRequest(head, body, headReceivedAtNanos);
         head = null;
         body = null;
         receiving = false;
@@ -255,54 +259,54 @@
 
     private void serve(IncomingRequest request) {
         if (!channel.isActive()) {
-            service.release(reserved);
-            reserved = 0;
-            service.drop(request);
+            service.releaseBodyBytes(reservedBytes);
+            reservedBytes = 0;
+            service.discard(request);
             return;
         }
-        ActiveRequest begun = service.serve(request, this);
+        ActiveRequest startedRequest = service.serve(request, this);
         if (serving) {
-            active = begun;
+            activeRequest = startedRequest;
         }
     }
 
-    private void finish(ChannelFuture written, boolean kept) {
-        active = null;
+    private void finish(ChannelFuture writeFuture, boolean keepOpen) {
+        activeRequest = null;
         serving = false;
-        service.release(reserved);
-        reserved = 0;
-        quietSince = time.monotonicNanoseconds();
-        if (!kept) {
+        service.releaseBodyBytes(reservedBytes);
+        reservedBytes = 0;
+        lastActivityNanos = time.monotonicNanoseconds();
+        if (!keepOpen) {
             closing = true;
-            written.addListener(ChannelFutureListener.CLOSE);
+            writeFuture.addListener(ChannelFutureListener.CLOSE);
             return;
         }
         channel.config().setAutoRead(true);
-        channel.eventLoop().execute(this::takeWaiting);
+        channel.eventLoop().execute(this::handleQueuedMessages);
     }
 
-    private void takeWaiting() {
-        while (!serving && !closing && !waiting.isEmpty()) {
-            take(waiting.pollFirst());
+    private void handleQueuedMessages() {
+        while (!serving && !closing && !queuedMessages.isEmpty()) {
+            handle(queuedMessages.pollFirst());
         }
     }
 
-    private void refuse(HttpResponseStatus status, String sentence) {
-        dropBody();
+    private void refuse(HttpResponseStatus status, String message) {
+        discardRequest();
         closing = true;
-        FullHttpResponse answer = LocalAnswers.of(status, sentence);
+        FullHttpResponse answer = LocalAnswers.of(status, message);
         answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         channel.writeAndFlush(answer).addListener(ChannelFutureListener.CLOSE);
     }
 
-    private void dropBody() {
+    private void discardRequest() {
         head = null;
         if (body != null) {
             body.release();
             body = null;
         }
-        service.release(reserved);
-        reserved = 0;
+        service.releaseBodyBytes(reservedBytes);
+        reservedBytes = 0;
     }
 
     private void close() {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerServer.java
@@ -17,26 +17,26 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Listens for callers. All but the start is confined to the event loop. */
+/** Accepts the connections of callers. All methods but {@link #start} are confined to the event loop. */
 public final class CallerServer {
-    private static final int MOST_INITIAL_LINE = 16_384;
-    private static final int CHUNK_BYTES = 16_384;
+    private static final int MAX_INITIAL_LINE_LENGTH = 16_384;
+    private static final int MAX_CHUNK_BYTES = 16_384;
     private static final int BACKLOG = 1024;
 
-    /** Reads of one connection in a row, so that none keeps the others waiting. */
-    private static final int MOST_READS = 16;
+    /** Consecutive reads from one connection, so that no connection delays the others. */
+    private static final int MAX_CONSECUTIVE_READS = 16;
 
     private final RequestService service;
     private final TimeSource time;
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
-    private Channel listener;
+    private Channel listenerChannel;
 
     public CallerServer(RequestService service, TimeSource time) {
         this.service = service;
         this.time = time;
     }
 
-    /** Opens the port; returns the address it got. */
+    /** Opens the port and returns the address it is bound to. */
     public InetSocketAddress start(EventLoopGroup group, InetSocketAddress address) throws AspenmoorException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
@@ -44,50 +44,53 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readToTheEnd())
+                .childOption(ChannelOption.RCVBUF_ALLOCATOR, readAllAllocator())
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         accept(channel);
                     }
                 });
-        listener = ListeningPort.open(bootstrap, address, "The port for callers");
-        return (InetSocketAddress) listener.localAddress();
+        listenerChannel = ListeningPort.open(bootstrap, address, "The port for callers");
+        return (InetSocketAddress) listenerChannel.localAddress();
     }
 
-    /** Closes connections that break their limits. */
-    public void check(long now) {
+    /** Closes connections that have exceeded their timeouts. */
+    public void enforceTimeouts(long nowNanos) {
         for (CallerConnection connection : List.copyOf(connections)) {
-            connection.check(now);
+            connection.enforceTimeouts(nowNanos);
         }
     }
 
-    /** Takes no new connection from now on. */
+    /** Closes the port, so that no new connections are accepted. */
     public void stopListening() {
-        if (listener != null) {
-            listener.close();
+        if (listenerChannel != null) {
+            listenerChannel.close();
         }
     }
 
-    /** Closes the connections on which no request is being read or served. */
+    /** Closes the connections on which no request is being received or served. */
     public void closeIdle() {
         new ArrayList<>(connections).forEach(CallerConnection::closeIfIdle);
     }
 
-    /** Returns how many connections are open. */
-    public int open() {
+    /** Returns the number of open connections. */
+    public int openConnections() {
         return connections.size();
     }
 
-    /** Returns how many requests are being served. */
-    public long serving() {
+    /** Returns the number of requests being served. */
+    public long servedRequests() {
         return connections.stream().filter(CallerConnection::serving).count();
     }
 
-    /** By default a read that fills no buffer is the last for now, and a close behind it shows only after the next wait. */
-    private static RecvByteBufAllocator readToTheEnd() {
+    /**
+     * Returns an allocator that reads until no data is left. By default, a read that does not fill its buffer ends
+     * the read loop, and a close that follows the data is detected only after the next select.
+     */
+    private static RecvByteBufAllocator readAllAllocator() {
         AdaptiveRecvByteBufAllocator allocator = new AdaptiveRecvByteBufAllocator();
-        allocator.maxMessagesPerRead(MOST_READS);
+        allocator.maxMessagesPerRead(MAX_CONSECUTIVE_READS);
         return allocator.respectMaybeMoreData(false);
     }
 
@@ -96,8 +99,9 @@
         connections.add(connection);
         channel.closeFuture().addListener(closed -> connections.remove(connection));
         channel.pipeline()
-                .addLast(new ArrivalHandler(connection))
-                .addLast(new HttpServerCodec(MOST_INITIAL_LINE, service.limits().maxHeaderBytes(), CHUNK_BYTES))
+                .addLast(new BytesReceivedHandler(connection))
+                .addLast(new HttpServerCodec(
+                        MAX_INITIAL_LINE_LENGTH, service.connectionLimits().maxHeaderBytes(), MAX_CHUNK_BYTES))
                 .addLast(connection);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/ListeningPort.java
@@ -5,21 +5,26 @@
 import java.net.InetSocketAddress;
 import org.aspenmoor.AspenmoorException;
 
-/** Opens the ports of an entry. */
+/** Opens the listening ports of an entry. */
 public final class ListeningPort {
     private ListeningPort() {}
 
-    /** Opens a port and returns its channel; the purpose names it in the error where it is taken. */
+    /**
+     * Binds a port and returns its channel.
+     *
+     * @param purpose what the port is for; the subject of the error message
+     * @throws AspenmoorException if the port cannot be bound
+     */
     public static Channel open(AbstractBootstrap<?, ?> bootstrap, InetSocketAddress address, String purpose)
             throws AspenmoorException {
         try {
             return bootstrap.bind(address).syncUninterruptibly().channel();
-        } catch (RuntimeException taken) {
+        } catch (RuntimeException cause) {
             throw new AspenmoorException(
-                    purpose + " cannot be opened: " + taken.getMessage() + ".",
+                    purpose + " cannot be opened: " + cause.getMessage() + ".",
                     address.toString(),
-                    "Choose a free port, or end the process that has it.",
-                    taken);
+                    "Choose a free port, or stop the process that uses this one.",
+                    cause);
         }
     }
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/protocol/AnswerMetadata.java
@@ -0,0 +1,21 @@
+package org.aspenmoor.internal.gateway.protocol;
+
+import java.time.Duration;
+import java.util.Optional;
+import org.aspenmoor.internal.serving.ReportedLoad;
+
+/**
+ * Metadata that a backend server sends in the head of an answer.
+ *
+ * @param requestId the request that the answer belongs to; empty if the server names none
+ * @param signed whether the answer carries the server's signature
+ * @param notExecuted whether the server states that it has not executed the request and will not execute it
+ * @param load the load that the server reports
+ * @param idleTimeout how long the server keeps an idle connection open
+ */
+public record AnswerMetadata(
+        Optional<String> requestId,
+        boolean signed,
+        boolean notExecuted,
+        Optional<ReportedLoad> load,
+        Optional<Duration> idleTimeout) {}
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/HttpReader.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP messages off a socket, byte by byte, so that nothing is hidden. */
+/** Reads HTTP messages from a stream byte by byte, so that no HTTP library hides faults in them. */
 final class HttpReader {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     private final InputStream input;
 
@@ -30,7 +30,8 @@
         while (true) {
             int next = input.read();
             if (next < 0) {
-                throw new EOFException("The connection ended after: " + line.toString(StandardCharsets.UTF_8));
+                throw new EOFException(
+                        "The connection was closed within a line, after: " + line.toString(StandardCharsets.UTF_8));
             }
             if (next == '\n') {
                 return line.toString(StandardCharsets.UTF_8).replace("\r", "");
@@ -59,7 +60,7 @@
         }
         StringBuilder body = new StringBuilder();
         while (true) {
-            int length = Integer.parseInt(readLine().strip(), HEX);
+            int length = Integer.parseInt(readLine().strip(), HEX_RADIX);
             body.append(readExactly(length));
             readLine();
             if (length == 0) {
@@ -71,7 +72,7 @@
     private String readExactly(int length) throws IOException {
         byte[] bytes = input.readNBytes(length);
         if (bytes.length < length) {
-            throw new EOFException("The connection ended within a body.");
+            throw new EOFException("The connection was closed within a body.");
         }
         return new String(bytes, StandardCharsets.UTF_8);
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestCaller.java
@@ -5,16 +5,16 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A caller with one connection, which writes and reads plain text. */
+/** A caller that writes and reads HTTP messages as text on one connection. */
 public final class TestCaller implements AutoCloseable {
-    private static final int PATIENCE_MILLISECONDS = 20_000;
+    private static final int READ_TIMEOUT_MILLISECONDS = 20_000;
 
     private final Socket socket;
     private final HttpReader reader;
 
     public TestCaller(int port) throws IOException {
         this.socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        this.socket.setSoTimeout(PATIENCE_MILLISECONDS);
+        this.socket.setSoTimeout(READ_TIMEOUT_MILLISECONDS);
         this.reader = new HttpReader(socket.getInputStream());
     }
 
@@ -23,17 +23,17 @@
         socket.getOutputStream().flush();
     }
 
-    /** Reads a whole answer; its first line is the status line. */
-    public ReceivedRequest answer() throws IOException {
+    /** Reads a complete answer; its first line is the status line. */
+    public ReceivedRequest readAnswer() throws IOException {
         return reader.readMessage();
     }
 
-    public String line() throws IOException {
+    public String readLine() throws IOException {
         return reader.readLine();
     }
 
-    /** Returns whether the other side has closed the connection. */
-    public boolean closed() throws IOException {
+    /** Reads one byte and returns whether the connection was closed or reset instead. */
+    public boolean closedByServer() throws IOException {
         try {
             return socket.getInputStream().read() < 0;
         } catch (IOException reset) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -42,14 +42,14 @@
 import org.aspenmoor.internal.store.client.StoreSettings;
 import org.aspenmoor.internal.time.SystemTimeSource;
 
-/** A gateway on free ports of the loopback address, with a store in memory. */
+/** A gateway on free ports of the loopback address, with an in-memory store. */
 public final class TestGateway implements AutoCloseable {
     public static final String HOST = "house.example";
-    public static final String HERE = "here";
+    public static final String LOCAL_DATA_CENTRE = "here";
 
-    private static final Duration TIMEOUT = Duration.ofSeconds(15);
-    /** Only bounds how long a failing test takes; nothing is judged by it. */
-    private static final Duration PATIENCE = Duration.ofSeconds(60);
+    private static final Duration ROUTE_TIMEOUT = Duration.ofSeconds(15);
+    /** Only limits how long a failing test takes; no assertion depends on it. */
+    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
 
     private final InMemoryObjectStore store;
     private final Map<String, ServingConfiguration> configurations;
@@ -74,15 +74,15 @@
         this.store = store;
         this.configurations = configurations;
         this.servers = servers;
-        InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        PlacementSettings placement = new PlacementSettings(HERE, EngineSpeed.usual(), 0.5, 0);
+        InetSocketAddress anyFreePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        PlacementSettings placement = new PlacementSettings(LOCAL_DATA_CENTRE, EngineSpeed.usual(), 0.5, 0);
         GatewaySettings settings = new GatewaySettings(
                 process,
-                free,
-                free,
+                anyFreePort,
+                anyFreePort,
                 "/ready",
-                free,
-                free,
+                anyFreePort,
+                anyFreePort,
                 URI.create("http://127.0.0.1/"),
                 Duration.ofSeconds(1),
                 Duration.ofMillis(100),
@@ -97,49 +97,49 @@
         gateway.start(store, StoreSettings.defaults(), new Decoder());
     }
 
-    /** Starts another entry of the same fleet, and returns once it serves requests. */
-    public TestGateway another(String process) throws AspenmoorException, IOException {
+    /** Starts another entry for the same backend servers, and returns when it is ready. */
+    public TestGateway startAnother(String process) throws AspenmoorException, IOException {
         TestGateway other = new TestGateway(process, store, configurations, servers);
         other.awaitReady();
         return other;
     }
 
-    /** Adds a route to a service; it is in force after {@link #publish}. */
-    public TestGateway route(String path, RetryRule rule, boolean streamed, int mostBackends, String service) {
-        return route(path, rule, streamed, mostBackends, service, TIMEOUT);
+    /** Adds a route to a service; it applies after {@link #publish}. */
+    public TestGateway route(String path, RetryRule rule, boolean streamed, int maxBackends, String service) {
+        return route(path, rule, streamed, maxBackends, service, ROUTE_TIMEOUT);
     }
 
-    /** Adds a route whose callers leave after a silence; it is in force after {@link #publish}. */
+    /** Adds a route whose callers disconnect when a stream pauses for too long; it applies after {@link #publish}. */
     public TestGateway route(
-            String path, RetryRule rule, boolean streamed, int mostBackends, String service, Duration silence) {
+            String path, RetryRule rule, boolean streamed, int maxBackends, String service, Duration maxStreamPause) {
         routes.add(new Route(
                 "route-" + path,
                 HOST,
                 path,
                 rule,
                 streamed,
-                TIMEOUT,
+                ROUTE_TIMEOUT,
                 Duration.ofSeconds(2),
-                silence,
-                mostBackends,
+                maxStreamPause,
+                maxBackends,
                 0,
                 List.of(new RouteTarget(service, 1))));
         return this;
     }
 
-    /** Bounds the connections that one server of a plain service accepts; it is in force after {@link #publish}. */
-    public TestGateway connectionLimit(String service, int mostConnections) {
-        services.add(new ServiceTraits(service, mostConnections, Optional.empty()));
+    /** Limits the connections that one server of a plain service accepts; it applies after {@link #publish}. */
+    public TestGateway connectionLimit(String service, int maxConnections) {
+        services.add(new ServiceTraits(service, maxConnections, Optional.empty()));
         return this;
     }
 
-    /** Starts and registers a plain server that answers by a script; it ends with the gateway. */
+    /** Starts and registers a plain server that replies by a script; it is closed with the gateway. */
     public ScriptedBackend backend(String id, String service, ScriptedBackend.Script script)
             throws IOException, StoreException {
-        return backend(id, service, EngineRole.WHOLE, HERE, script);
+        return backend(id, service, EngineRole.WHOLE, LOCAL_DATA_CENTRE, script);
     }
 
-    /** Starts and registers a server that answers by a script; it ends with the gateway. */
+    /** Starts and registers a server that replies by a script; it is closed with the gateway. */
     public ScriptedBackend backend(
             String id, String service, EngineRole role, String dataCentre, ScriptedBackend.Script script)
             throws IOException, StoreException {
@@ -156,10 +156,10 @@
 
     /** Registers a server. */
     public TestGateway server(String id, String service, int port, EngineRole role) throws StoreException {
-        return server(id, service, port, role, HERE);
+        return server(id, service, port, role, LOCAL_DATA_CENTRE);
     }
 
-    /** Registers a server in a data centre; this entry stands in {@link #HERE}. */
+    /** Registers a server in a data centre; this entry runs in {@link #LOCAL_DATA_CENTRE}. */
     public TestGateway server(String id, String service, int port, EngineRole role, String dataCentre)
             throws StoreException {
         BackendServer server =
@@ -169,7 +169,7 @@
         return this;
     }
 
-    /** Puts the routes in force and waits until requests are served. */
+    /** Publishes the routes and waits until requests are served. */
     public void publish() throws StoreException, IOException {
         services.add(new ServiceTraits("model", 100, Optional.of(new GenerationTraits(100_000))));
         ServingConfiguration configuration = new ServingConfiguration(7, routes, services, ConnectionLimits.defaults());
@@ -179,31 +179,31 @@
     }
 
     private void awaitReady() throws IOException {
-        // Servers that were registered after the first listing come one by one, perhaps after the entry is ready.
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        // Servers that are registered after the first listing arrive one by one, possibly after the entry is ready.
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             boolean ready =
-                    statusOf(gateway.readinessAddress().getPort(), "/ready").contains(" 200 ");
+                    statusLine(gateway.readinessAddress().getPort(), "/ready").contains(" 200 ");
             String state = state();
             if (ready && servers.keySet().stream().allMatch(id -> state.contains("\"id\" : \"" + id + "\""))) {
                 return;
             }
         }
-        throw new IOException("The gateway did not become ready for all servers; it believes:\n" + state());
+        throw new IOException("The gateway did not become ready with all servers; its state:\n" + state());
     }
 
-    /** Lets another entry tell that it has ordered a server to take another role; returns when the gateway knows. */
-    public void roleChanging(String server, EngineRole role) throws StoreException, IOException {
+    /** Reports, as another entry, an order for a role change; returns when the gateway has received the report. */
+    public void reportRoleChange(String server, EngineRole role) throws StoreException, IOException {
         ObjectKey own = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, "entry-under-test");
         ReportSender.tell(store.read(own).orElseThrow(), new RoleChange(server, role));
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             if (state().contains("\"changing\" : true")) {
                 return;
             }
         }
-        throw new IOException("The gateway did not hear of the change; it believes:\n" + state());
+        throw new IOException("The gateway did not receive the report of the role change; its state:\n" + state());
     }
 
-    /** Returns the store, which can come back from an older copy. */
+    /** Returns the store, which can be restored from an older copy. */
     public InMemoryObjectStore store() {
         return store;
     }
@@ -212,11 +212,11 @@
         return new TestCaller(gateway.callersAddress().getPort());
     }
 
-    /** Returns the first line of the answer to a GET of a page for operators. */
-    public String statusOf(int port, String path) throws IOException {
-        try (TestCaller question = new TestCaller(port)) {
-            question.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            return question.answer().line();
+    /** Sends a GET request for a path for operators and returns the status line of the answer. */
+    public String statusLine(int port, String path) throws IOException {
+        try (TestCaller caller = new TestCaller(port)) {
+            caller.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            return caller.readAnswer().line();
         }
     }
 
@@ -229,10 +229,9 @@
     }
 
     private String administrationPage(String path) throws IOException {
-        try (TestCaller question =
-                new TestCaller(gateway.administrationAddress().getPort())) {
-            question.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            return question.answer().body();
+        try (TestCaller caller = new TestCaller(gateway.administrationAddress().getPort())) {
+            caller.send("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            return caller.readAnswer().body();
         }
     }
 
@@ -244,14 +243,14 @@
         return gateway;
     }
 
-    /** Waits until a line of the log contains the text. */
+    /** Waits until a line of the log contains the text, and returns the line. */
     public String awaitLogged(String text) throws IOException {
         return awaitLogged(text, 1);
     }
 
-    /** Waits until so many lines of the log contain the text; returns the last of them. */
+    /** Waits until the given number of log lines contain the text; returns the last of these lines. */
     public String awaitLogged(String text, int times) throws IOException {
-        for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             List<String> found = logged.toString(StandardCharsets.UTF_8)
                     .lines()
                     .filter(line -> line.contains(text))
@@ -259,9 +258,9 @@
             if (found.size() >= times) {
                 return found.get(times - 1);
             }
-            statusOf(gateway.readinessAddress().getPort(), "/ready");
+            statusLine(gateway.readinessAddress().getPort(), "/ready");
         }
-        throw new IOException("Not logged " + times + " times: " + text + "; all that was:\n" + logged);
+        throw new IOException("Text not logged " + times + " times: " + text + "; the complete log:\n" + logged);
     }
 
     @Override
