--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -9,17 +9,17 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Writes decisions as JSON lines from a thread of its own.
+ * Writes decisions as JSON lines, asynchronously in a separate thread.
  *
- * <p>Whoever decides never waits for the reader of the output: a line that finds the queue full, or that is beyond the
- * rate, is left out and counted, and the count is written with the next line. Lines about failures have a rate of their
- * own, so that a flood of ordinary ends does not hide them.
+ * <p>The logging thread never waits for the output: a line is dropped and counted if the queue is full or the rate
+ * limit is exceeded, and the count is added to the next line. Notable lines, such as failures, have a separate rate
+ * limit, so that many routine lines do not displace them.
  */
 public final class DecisionLog {
-    /** Lines a second about what went well; enough to follow single requests, little beside their own cost. */
+    /** Maximum rate of routine lines: enough to follow single requests, at little cost compared with the requests. */
     private static final double USUAL_LINES_PER_SECOND = 40;
 
-    /** Lines a second about refusals, failures and changes of belief. */
+    /** Maximum rate of lines about refusals, failures and changes of known state. */
     private static final double NOTABLE_LINES_PER_SECOND = 200;
 
     private static final double BURST_SECONDS = 2;
@@ -47,17 +47,17 @@
         Thread.ofPlatform().daemon().name("decision-log").start(this::writeAll);
     }
 
-    /** Begins a line about something that went as it should. */
+    /** Begins a line about a normal event. */
     public LogLine usual(String event) {
         return line(event, usual);
     }
 
-    /** Begins a line about a refusal, a failure, or a change of what the process believes. */
+    /** Begins a line about a refusal, a failure, or a change of the state known to this process. */
     public LogLine notable(String event) {
         return line(event, notable);
     }
 
-    /** Writes what still waits, at the process's end. */
+    /** Writes the queued lines; called when the process stops. */
     public void flush() {
         for (String line = waiting.poll(); line != null; line = waiting.poll()) {
             out.println(line);
@@ -65,7 +65,7 @@
         out.flush();
     }
 
-    /** Returns how many lines were left out since the start; lines name it whenever it has grown. */
+    /** Returns how many lines have been dropped since the start. */
     public long leftOut() {
         return leftOut.get();
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.gateway.log;
 
 /**
- * Writes one line when a dependency is lost and one when it is back.
+ * Writes one line when a dependency becomes unavailable and one when it is available again.
  *
- * <p>While a store is away, each failed call says the same; in an incident with an outage of seconds, hundreds of such
- * lines hid what else had changed, and none said when it was over.
+ * <p>While the store is unavailable, every call to it fails in the same way. One line per failed call would give
+ * hundreds of lines within seconds, which hide other changes and do not show when the outage ended.
  */
 public final class DependencyLog {
     private final DecisionLog log;
@@ -12,16 +12,16 @@
     private long failures;
 
     /**
-     * Makes a log.
+     * Creates a log.
      *
-     * @param name what the process gets from the dependency
+     * @param name the data that this process reads from the dependency
      */
     public DependencyLog(DecisionLog log, String name) {
         this.log = log;
         this.name = name;
     }
 
-    /** Notes a failed call. */
+    /** Records a failed call. */
     public synchronized void lost(String reason) {
         failures++;
         if (failures == 1) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Notes a call that went well. */
+    /** Records a successful call. */
     public synchronized void back() {
         if (failures > 0) {
             log.notable("store-back")
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.internal.store.client.StoreGeneration;
 
-/** Writes what the store's answers tell of the generation of its history. */
+/** Logs changes of the store's history generation as reported in its answers. */
 public final class GenerationLog implements StoreGeneration.Listener {
     private final DecisionLog log;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/LogLine.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/LogLine.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.function.Consumer;
 
-/** One line of the decision log while it is put together; a line beyond the rate takes its fields and drops them. */
+/** Builder of one line of the decision log; if the rate limit is exceeded, it ignores its fields and writes nothing. */
 public final class LogLine {
     private final ObjectNode fields;
     private final Consumer<String> destination;
@@ -13,7 +13,7 @@
         this.destination = destination;
     }
 
-    /** Adds a text. */
+    /** Adds a text field. */
     public LogLine with(String name, String value) {
         if (fields != null) {
             fields.put(name, value);
@@ -21,7 +21,7 @@
         return this;
     }
 
-    /** Adds a number. */
+    /** Adds a number field. */
     public LogLine with(String name, long value) {
         if (fields != null) {
             fields.put(name, value);
@@ -29,7 +29,7 @@
         return this;
     }
 
-    /** Hands the line over to be written. */
+    /** Queues the line to be written. */
     public void write() {
         if (fields != null) {
             destination.accept(fields.toString());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/package-info.java
@@ -1,2 +1,2 @@
-/** One JSON line for each decision, so that a failed request can be explained afterwards. */
+/** The decision log: one JSON line per decision, so that a failed request can be explained afterwards. */
 package org.aspenmoor.internal.gateway.log;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -14,13 +14,13 @@
 import org.aspenmoor.internal.serving.PlacedWork;
 
 /**
- * One attempt to have a request answered by one backend server.
+ * One attempt to get the answer to a request from one backend server.
  *
- * <p>Answers without events are kept until they are complete, so that one that breaks off reaches nobody; events are
- * passed on as they come.
+ * <p>An answer that is not an event stream is buffered until it is complete, so that a truncated answer never reaches
+ * the caller. Events of a stream are forwarded as they arrive.
  */
 final class AnswerAttempt implements ExchangeListener, WatchedAttempt {
-    /** The longest answer without events that is kept; plain services answer with some kilobytes. */
+    /** Maximum size of a buffered answer; answers of plain services have some kilobytes. */
     private static final int MOST_KEPT_BYTES = 8 * 1024 * 1024;
 
     private final ServedRequest request;
@@ -71,7 +71,7 @@
             return;
         }
         if (streams() && events.holdsPart()) {
-            ended(new AttemptEnd.Lost(), "the stream ended within an event");
+            ended(new AttemptEnd.Lost(), "the stream ended in the middle of an event");
         } else if (streams()) {
             request.streamComplete(work, begun);
             release();
@@ -103,17 +103,17 @@
         return work;
     }
 
-    /** Returns whether events of a stream have come, of which the caller waits for the next. */
+    /** Returns whether the answer is an event stream of which at least one event has arrived. */
     boolean telling() {
         return begun && streams();
     }
 
-    /** Returns when the last event came. */
+    /** Returns when the last event arrived, in nanoseconds of the monotonic clock. */
     long heardAt() {
         return heardAt;
     }
 
-    /** Drops what is held; the exchange was cancelled. */
+    /** Ends the attempt and releases its buffers. */
     void release() {
         if (!over) {
             over = true;
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Returns how long the answer has been told. */
+    /** Returns the time since the answer began; zero if it has not begun. */
     private Duration told() {
         return begun ? Duration.ofNanos(request.now() - begunAt) : Duration.ZERO;
     }
@@ -158,11 +158,12 @@
         if (facts.notExecuted()) {
             ended(
                     rejection(head.status()),
-                    "the server did not run it: status " + head.status().code());
+                    "the server did not run the request: status "
+                            + head.status().code());
             return;
         }
         if (succeeded() && !(facts.signed() && facts.requestId().isPresent())) {
-            ended(new AttemptEnd.Lost(), "the answer carries no signature or no request id");
+            ended(new AttemptEnd.Lost(), "the answer has no signature or no request id");
             return;
         }
         if (head.status().codeClass() == HttpStatusClass.SERVER_ERROR || promisesNoRun(head.status())) {
@@ -174,14 +175,17 @@
         release();
     }
 
-    /** Returns what an answer that promises no run says of the server. */
+    /** Returns how an attempt ended whose answer states that the request was not run. */
     static AttemptEnd rejection(HttpResponseStatus status) {
         return status.code() == HttpResponseStatus.MISDIRECTED_REQUEST.code()
                 ? new AttemptEnd.Misdirected()
                 : new AttemptEnd.NotExecuted();
     }
 
-    /** These promise callers that a request did not run; only a server that says so itself may be believed. */
+    /**
+     * Returns whether callers take this status to mean that the request was not run. It is trusted only if the server
+     * also states so explicitly.
+     */
     static boolean promisesNoRun(HttpResponseStatus status) {
         return status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || status.code() == HttpResponseStatus.TOO_MANY_REQUESTS.code()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
@@ -6,7 +6,10 @@
 import org.aspenmoor.internal.serving.Placer;
 import org.aspenmoor.internal.serving.Prompt;
 
-/** Tells the placement what one request's answer shows of its engine and of the answers of its service. */
+/**
+ * Reports the progress of one request's answer to the placement policy, which estimates engine and service load from
+ * it.
+ */
 final class AnswerProgress {
     private final Placer placer;
     private final String service;
@@ -20,23 +23,23 @@
         this.trace = trace;
     }
 
-    /** Notes that the answer should be whole within some time. */
+    /** Records that the answer has to be complete within the given time. */
     void wanted(Duration allowed, long now) {
         prompt.ifPresent(wanted -> placer.answerWanted(service, wanted, allowed, now));
     }
 
     /**
-     * Notes an event.
+     * Records an event of the answer.
      *
-     * @param work the attempt that it came from
-     * @param allowed how long the request may take
+     * @param work the attempt that it belongs to
+     * @param allowed the time limit of the request
      */
     void event(PlacedWork work, Duration allowed, long now) {
         trace.event(now).ifPresent(pause -> placer.eventTold(work, pause, now));
         placer.answerTold(service, trace.told(), allowed, now);
     }
 
-    /** Notes that the last event has come. */
+    /** Records that the answer is complete. */
     void whole() {
         prompt.ifPresent(answered -> placer.answerWhole(service, answered, trace.events()));
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.serving.Placement;
 import org.aspenmoor.internal.serving.Route;
 
-/** Makes what servers are sent for one request. */
+/** Builds the messages that are sent to backend servers for one request. */
 final class AttemptMessages {
     private final IncomingRequest incoming;
     private final BackendProtocol protocol;
@@ -26,7 +26,7 @@
         this.deadline = deadline;
     }
 
-    /** Returns the message that has only the prompt computed. */
+    /** Returns the message that asks an engine for prefill only. */
     FullHttpRequest prompt(Placement.Staged staged, Optional<String> lastEvent, long now) {
         return message(new Delivery(
                 staged.prefill().id(),
@@ -38,7 +38,13 @@
                 lastEvent));
     }
 
-    /** Returns the message that asks for the answer, after an event that the caller has already got. */
+    /**
+     * Returns the message that asks a server for the answer.
+     *
+     * @param source the prompt cache to transfer, if another engine has done the prefill
+     * @param holder an engine that probably caches the shared beginning of the prompt
+     * @param lastEventId the last event that the caller has received, after which a resumed answer continues
+     */
     FullHttpRequest answer(
             BackendServer server,
             Optional<CacheSource> source,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/BrokenRun.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/BrokenRun.java
@@ -5,12 +5,12 @@
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
 
 /**
- * A run of a request whose connection broke before the answer was complete.
+ * An attempt whose connection broke before the answer was complete.
  *
- * @param request the request's id
- * @param digest what the request has in common with its other arrivals
- * @param server where it ran
- * @param asked how long ago the server was asked
- * @param told how long its answer had been told
+ * @param requestId the request's id
+ * @param digest identifies the request among its repeated arrivals
+ * @param server the server that the request was sent to
+ * @param sinceSent time from sending the request to the break
+ * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
  */
 record BrokenRun(String request, RequestDigest digest, BackendServer server, Duration asked, Duration told) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
@@ -8,9 +8,10 @@
 import org.aspenmoor.internal.gateway.caller.CallerLink;
 
 /**
- * The events that a caller gets in one answer, whichever servers they come from. Confined to the event loop.
+ * The event stream sent to one caller, which several servers may contribute to. Confined to the event loop.
  *
- * <p>The head is that of the first server. Only whole events leave, so that another server can go on after the last one.
+ * <p>The head is that of the first server. Only complete events are sent, so that another server can continue after the
+ * last one.
  */
 final class CallerStream {
     private final CallerLink link;
@@ -35,12 +36,12 @@
         link.part(event);
     }
 
-    /** Returns whether the caller has got any event. */
+    /** Returns whether any event has been sent to the caller. */
     boolean begun() {
         return begun;
     }
 
-    /** Returns the identity of the last event that has one. */
+    /** Returns the id of the last event that has one. */
     Optional<String> lastEvent() {
         return lastEvent;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ComputedPrompt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ComputedPrompt.java
@@ -4,13 +4,13 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * A prompt that one engine has computed and keeps until another fetches it.
+ * The cache of a prompt after prefill, which the prefill engine holds until a decode engine has transferred it.
  *
- * @param engine the engine that keeps it
- * @param source where it lies
+ * @param engine the prefill engine
+ * @param source the address and handle of the cache
  */
 record ComputedPrompt(BackendServer engine, CacheSource source) {
-    /** Tells the engine that nobody will fetch it. */
+    /** Tells the engine that the cache will not be transferred, so that it can free the memory. */
     void free(RequestTools tools, String requestId) {
         tools.state()
                 .log()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.serving.PlacedWork;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** The attempt that a request has open at a server, of which there is one at most. Confined to the event loop. */
+/** The open attempt of a request; there is at most one at a time. Confined to the event loop. */
 final class CurrentAttempt {
     private final RequestTools tools;
     private final String service;
@@ -20,7 +20,7 @@
         this.objective = objective;
     }
 
-    /** Notes that an attempt begins. */
+    /** Begins an attempt and records it with the placement policy. */
     PlacedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
         long now = tools.state().time().monotonicNanoseconds();
         work = tools.state().placer().placed(server, kind, promptSeconds, objective, now);
@@ -28,9 +28,10 @@
     }
 
     /**
-     * Notes the exchange of an attempt. It may have ended while it was being sent, and another attempt have begun. Taken
-     * for the current one, the ended exchange would be cancelled in place of the other, whose answer then met a request
-     * that had gone on.
+     * Sets the exchange of an attempt, unless the attempt is no longer the current one. An attempt can end while it
+     * is being sent, and the next one can begin. If the exchange of the ended attempt were stored as the current one,
+     * a later cancellation would cancel it instead of the open exchange, whose answer would then reach a request that
+     * has moved on.
      */
     void sent(PlacedWork of, Exchange sent) {
         if (of.equals(work)) {
@@ -38,7 +39,7 @@
         }
     }
 
-    /** Notes that an attempt is over; its server has room for another request. */
+    /** Ends an attempt and dispatches waiting requests, since its server can accept another one. */
     void end(PlacedWork ended) {
         tools.state().placer().ended(ended);
         if (ended.equals(work)) {
@@ -48,7 +49,7 @@
         tools.lines().roomMayBe(service);
     }
 
-    /** Breaks the exchange off; the attempt is ended by whoever does so. */
+    /** Cancels the exchange; the caller of this method has to end the attempt. */
     void cancel() {
         if (exchange != null) {
             exchange.cancel();
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Breaks off and ends whatever is open. */
+    /** Cancels and ends the open attempt, if there is one. */
     void abandon() {
         cancel();
         if (work != null) {
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Stops or goes on reading the answer. */
+    /** Pauses or resumes reading the answer. */
     void read(boolean on) {
         if (exchange != null) {
             exchange.read(on);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EndedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EndedRequest.java
@@ -2,15 +2,15 @@
 
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
-/** A request that was answered at once. */
+/** A request that was answered without being sent to a backend server. */
 final class EndedRequest implements ActiveRequest {
     @Override
     public void callerLeft() {
-        // Nothing runs for it.
+        // There is no work to cancel.
     }
 
     @Override
     public void writabilityChanged() {
-        // Nothing more is written.
+        // The answer has already been written.
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EventSplitter.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EventSplitter.java
@@ -6,10 +6,11 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream into whole events.
+ * Splits a byte stream into complete server-sent events.
  *
- * <p>An engine may stop in the middle of an event. Were the half of it passed on, another engine's continuation would be
- * joined to it and the caller would read one garbled event; so only whole events leave.
+ * <p>An engine may stop in the middle of an event. If the partial event were forwarded, the continuation from another
+ * engine would be appended to it and the caller would read one corrupt event. Therefore only complete events are
+ * returned.
  */
 final class EventSplitter {
     private static final String ID_FIELD = "id:";
@@ -22,7 +23,7 @@
         pending.writeBytes(part, part.readerIndex(), part.readableBytes());
     }
 
-    /** Returns the next whole event with the empty line that ends it. */
+    /** Returns the next complete event including the empty line that ends it. */
     Optional<ByteBuf> next() {
         int end = endOfEvent();
         if (end < 0) {
@@ -37,12 +38,12 @@
         return Optional.of(event);
     }
 
-    /** Returns whether there are bytes of an event that has not ended. */
+    /** Returns whether bytes of an incomplete event are buffered. */
     boolean holdsPart() {
         return pending.isReadable();
     }
 
-    /** Returns the identity that an event carries. */
+    /** Returns the value of the event's {@code id} field. */
     static Optional<String> identity(ByteBuf event) {
         String text = event.toString(StandardCharsets.UTF_8);
         for (String line : text.split("\n", -1)) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ForwardedHeaders.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ForwardedHeaders.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Copies the headers that concern more than one connection. */
+/** Copies the end-to-end headers of a message; hop-by-hop headers are left out. */
 final class ForwardedHeaders {
     private static final List<CharSequence> OF_ONE_CONNECTION = List.of(
             HttpHeaderNames.CONNECTION,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.aspenmoor.internal.serving.ServerSummary;
 
-/** What an entry counts about requests. */
+/** The request metrics of an entry. */
 public final class GatewayMetrics {
     private final Counter requests;
     private final Counter attempts;
@@ -23,9 +23,9 @@
     /**
      * Registers the metrics.
      *
-     * @param connectionsOpened how many connections to backend servers were opened
-     * @param servers what is believed of each backend server
-     * @param quarantined how many requests are kept from servers
+     * @param connectionsOpened supplies the number of connections to backend servers opened so far
+     * @param servers supplies the estimated load of each backend server
+     * @param quarantined supplies the number of requests currently in quarantine
      */
     public GatewayMetrics(
             PrometheusRegistry registry,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoredAnswer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoredAnswer.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.internal.gateway.backend.ExchangeListener;
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 
-/** Listens to a call whose outcome changes nothing: what it frees lapses by itself some seconds later. */
+/** Ignores the outcome of a release call: a cache handle that is not released expires by itself some seconds later. */
 final class IgnoredAnswer implements ExchangeListener {
     @Override
     public void head(HttpResponse head, AnswerFacts facts) {
@@ -24,11 +24,11 @@
 
     @Override
     public void neverSent(String reason) {
-        // The handle lapses by itself.
+        // The handle expires by itself.
     }
 
     @Override
     public void broken(String reason) {
-        // The handle lapses by itself.
+        // The handle expires by itself.
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.serving.RequestTimes;
 import org.aspenmoor.internal.serving.WaitingLine;
 
-/** One request's dealings with the line of its service: waiting, leaving for an engine, what that took. */
+/** Records the steps of one request in the wait queue of its service: queued, dispatched to an engine, answered. */
 final class LinePlace {
     private final RequestTools tools;
     private final ServedRequest request;
@@ -19,7 +19,11 @@
         this.trace = trace;
     }
 
-    /** Waits until an engine has room; an answer that begins later than wanted is of no use. */
+    /**
+     * Adds the request to the queue until an engine has capacity.
+     *
+     * @param wantedBy when the answer has to begin at the latest to be of use, in nanoseconds of the monotonic clock
+     */
     void take(Placement.Held held, long wantedBy) {
         trace.waits(now());
         tools.lines()
@@ -27,14 +31,14 @@
                         request, held.promptSeconds(), times.arrivedAt(), times.aimAt(), wantedBy));
     }
 
-    /** Notes that the request leaves for an engine. */
+    /** Records that the request is sent to an engine. */
     void departed() {
         departedAt = now();
         trace.departed(departedAt);
         tools.lines().departed(request.service(), times.aimAt(), departedAt);
     }
 
-    /** Notes the first byte of the answer. */
+    /** Records the first byte of the answer. */
     void answered() {
         tools.lines().answered(request.service(), departedAt, now());
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
@@ -13,11 +13,11 @@
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.Delivery;
 
-/** Builds what leaves an entry from what came in: method, path, status and body stay as they were. */
+/** Builds the messages that an entry forwards; method, path, status and body are unchanged. */
 final class OutgoingMessage {
     private OutgoingMessage() {}
 
-    /** Returns the request for a backend server; the body is shared with the incoming one. */
+    /** Returns the request for a backend server; it shares the body with the incoming request. */
     static FullHttpRequest request(IncomingRequest incoming, BackendProtocol protocol, Delivery delivery) {
         HttpRequest head = incoming.head();
         ByteBuf body = incoming.body().retainedDuplicate();
@@ -30,7 +30,7 @@
         return message;
     }
 
-    /** Returns the whole answer for the caller; takes over the body. */
+    /** Returns the complete answer for the caller; takes ownership of the body. */
     static FullHttpResponse answer(HttpResponse head, ByteBuf body) {
         FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, head.status(), body);
         answer.headers().set(ForwardedHeaders.copy(head.headers()));
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.serving.RequestTimes;
 import org.aspenmoor.internal.serving.Route;
 
-/** Says what one request asks of its next placement. */
+/** Builds the placement requests of one caller's request. */
 final class PlacementRequests {
     private final String service;
     private final CallerRequest caller;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -14,9 +14,9 @@
 import org.aspenmoor.internal.serving.PlacedWork;
 import org.aspenmoor.internal.serving.Placement;
 
-/** The first stage of a generation: one engine computes the prompt and keeps it for another. */
+/** The first stage of a generation: one engine does the prefill and holds the cache for another engine. */
 final class PrefillAttempt implements ExchangeListener, WatchedAttempt {
-    /** An answer that names a handle is far shorter; anything longer is no such answer. */
+    /** From this length on, further data is ignored; an answer that contains a handle is far shorter. */
     private static final int MOST_BODY_BYTES = 8192;
 
     private final ServedRequest request;
@@ -72,9 +72,9 @@
         return work;
     }
 
-    /** Notes that the engine is given up; the exchange was cancelled. */
+    /** Ends the attempt after the exchange was cancelled because the engine stalled. */
     void stalled() {
-        request.prefillEnded(placement, work, new AttemptEnd.Lost(), "no answer came in time");
+        request.prefillEnded(placement, work, new AttemptEnd.Lost(), "no answer arrived within the stall limit");
     }
 
     @Override
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.internal.serving.AttemptAccount;
 
-/** Asks the budget that all entries share before an attempt of one request that would be a repeat. */
+/** Takes repeated attempts of one request out of the repeat budget, which all entries share. */
 final class RepeatPermit {
     private final RequestTools tools;
     private final String service;
@@ -16,7 +16,7 @@
         this.trace = trace;
     }
 
-    /** Returns whether the next attempt may be made; the first of a request always may. */
+    /** Returns whether the next attempt is allowed; the first attempt of a request always is. */
     boolean granted() {
         if (!account.nextIsRepeat()) {
             return true;
@@ -24,7 +24,7 @@
         boolean granted = tools.state().takeRepeat(service);
         tools.metrics().repeated(service, granted);
         if (!granted) {
-            trace.because("the budget of repeats is used up; " + trace.reason());
+            trace.because("the repeat budget of the service is used up; " + trace.reason());
         }
         return granted;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
@@ -11,10 +11,11 @@
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
 
 /**
- * Tells which arrivals are the same request: method, host, path, the caller's credentials and body are alike.
+ * Computes a digest that is the same for all arrivals of one request: it covers method, host, path, the caller's
+ * credentials and the body.
  *
- * <p>The caller's address is left out, since no server sees it, and so is the query: a page or a random number in it
- * varies between repeats of one request.
+ * <p>The caller's address is left out because no server sees it. The query is left out because a page or a random
+ * number in it can differ between repeats of one request.
  */
 final class RequestDigests {
     private RequestDigests() {}
@@ -32,7 +33,7 @@
         return RequestDigest.of(digest.digest());
     }
 
-    /** Adds a text with its length, so that no two lists of texts are alike. */
+    /** Adds a text with its length, so that different lists of texts never give the same input. */
     private static void update(MessageDigest digest, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
@@ -43,7 +44,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException impossible) {
-            throw new IllegalStateException("Every Java runtime has SHA-256.", impossible);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java runtime has to provide it.", impossible);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -19,19 +19,20 @@
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.ServingConfiguration;
 
-/** Finds the route of each request and starts it on its way. Confined to the event loop. */
+/** Finds the route of each incoming request and starts serving it. Confined to the event loop. */
 public final class RequestDispatcher implements RequestService {
-    /** Callers of a process that has just started come back when it has probably read its configuration. */
+    /** Retry delay for callers of a process that has just started; by then it has probably read its configuration. */
     private static final Duration START_PAUSE = Duration.ofSeconds(1);
 
     /**
-     * How long a request waits for a process that has just started. After a loss of power of all entries, callers find a
-     * port some tenths of a second before the configuration is read; refused there, most had no further try and got
-     * nothing, while those that wait are answered at once. Reading takes half a second; a store that is away takes longer.
+     * How long a request waits at most for a process that has just started. After a power failure of all entries, the
+     * port accepts callers some tenths of a second before the configuration is read. Most callers refused at that
+     * moment have no further attempt and get no answer, whereas those that wait are answered as soon as the entry is
+     * ready. Reading the configuration takes half a second, and longer if the store is unavailable.
      */
     private static final Duration LONGEST_START_WAIT = Duration.ofSeconds(1);
 
-    /** How often the requests that wait for the start are looked at. */
+    /** Interval at which requests that wait for the process to become ready are checked. */
     private static final long START_LOOK_MILLISECONDS = 20;
 
     private final RequestTools tools;
@@ -43,9 +44,9 @@
     private boolean stopping;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
-     * @param mostBodyBytes how many bytes of request bodies may be held at once
+     * @param maxBodyBytes maximum total size of the request bodies held at once
      */
     public RequestDispatcher(RequestTools tools, CallerProtocol callers, long mostBodyBytes) {
         this.tools = tools;
@@ -53,7 +54,7 @@
         this.mostBodyBytes = mostBodyBytes;
     }
 
-    /** Keeps no caller's connection from now on. */
+    /** Makes callers' connections close after their current request. */
     public void stop() {
         stopping = true;
     }
@@ -81,7 +82,8 @@
                         link,
                         RequestOutcome.NOT_RUN,
                         LocalAnswers.notRun(
-                                "this entry has just started", tools.state().spread(START_PAUSE))),
+                                "this entry has just started and has not read its configuration yet",
+                                tools.state().spread(START_PAUSE))),
                 () -> incoming.body().release());
         starting.add(waiting);
         if (startLook == null) {
@@ -114,7 +116,7 @@
                     caller,
                     link,
                     RequestOutcome.NO_ROUTE,
-                    LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route leads anywhere for this host and path."));
+                    LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route matches this host and path."));
         }
         String service = route.get().serviceFor(tools.state().random().nextDouble());
         ServedRequest request = new ServedRequest(
@@ -169,7 +171,7 @@
         return new EndedRequest();
     }
 
-    /** Ends a request that went nowhere. */
+    /** Ends a request that was not sent to any backend server. */
     private void end(IncomingRequest incoming, CallerRequest caller, RequestOutcome outcome) {
         incoming.body().release();
         tools.metrics().ended("", outcome);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestOutcome.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestOutcome.java
@@ -1,19 +1,19 @@
 package org.aspenmoor.internal.gateway.request;
 
-/** What a request ended in, for the log and the metrics. */
+/** How a request ended, for the log and the metrics. */
 enum RequestOutcome {
-    /** The whole answer of a backend server reached the caller. */
+    /** The complete answer of a backend server was sent to the caller. */
     ANSWERED,
-    /** A backend server's own failure was passed on. */
+    /** The error answer of a backend server was forwarded to the caller. */
     FAILURE_PASSED_ON,
-    /** It did not run, and the caller was told so. */
+    /** The request did not run, and the answer to the caller says so. */
     NOT_RUN,
-    /** It may have run; the caller was told that the outcome is unknown. */
+    /** The request may have run; the answer to the caller says that the outcome is unknown. */
     UNKNOWN,
-    /** The answer broke off after it had begun. */
+    /** The answer was aborted after part of it had been sent to the caller. */
     CUT,
-    /** The caller left first. */
+    /** The caller closed its connection before the answer was complete. */
     CALLER_LEFT,
-    /** No route leads anywhere for it. */
+    /** No route matched the request. */
     NO_ROUTE
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTools.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTools.java
@@ -6,15 +6,15 @@
 import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
 
 /**
- * What every request needs to do its work.
+ * The objects that all requests share.
  *
- * @param state what the process knows
- * @param connections the way to backend servers
- * @param protocol what backend servers understand
- * @param eventLoop the thread that all requests live on
- * @param metrics the counters
- * @param lines the requests that wait for room at an engine
- * @param fatalRequests the requests that end servers
+ * @param state the configuration, servers and budgets known to this process
+ * @param connections the connections to backend servers
+ * @param protocol the protocol of the backend servers
+ * @param eventLoop the thread on which all requests are handled
+ * @param metrics the request metrics
+ * @param waitQueues the requests that wait for capacity at an engine
+ * @param fatalRequests the requests that terminate the servers that run them
  */
 public record RequestTools(
         ServingState state,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.Route;
 
-/** What was decided about one request and by what, for the line that explains it afterwards. */
+/** Collects the decisions about one request, their reasons and its timing, and writes them to the decision log. */
 final class RequestTrace {
     private static final double MILLISECONDS = 1000;
 
@@ -72,17 +72,17 @@
         departedAt = now;
     }
 
-    /** Returns how long the answer has been told: from its first event to its last. */
+    /** Returns the time from the first byte of the answer to its last event so far. */
     Duration told() {
         return Duration.ofNanos(lastEventAt - firstByteAt);
     }
 
-    /** Returns when the caller last got an event; empty where it has got none. */
+    /** Returns when the last event arrived, in nanoseconds of the monotonic clock; empty if none has. */
     OptionalLong lastEvent() {
         return events == 0 ? OptionalLong.empty() : OptionalLong.of(lastEventAt);
     }
 
-    /** Notes that an engine is asked for the answer, at which so much runs already. */
+    /** Records that a server is asked for the answer, and its load at that time. */
     void answerAsked(EngineLoad there, long now) {
         loadWhenAsked = there;
         eventsOfAttempt = 0;
@@ -94,7 +94,7 @@
         promptReadyAt = now;
     }
 
-    /** Notes an event of a stream; returns how long after the one before it came, where both came from one engine. */
+    /** Records an event of a stream; returns the time since the previous event if both are from the same attempt. */
     Optional<Duration> event(long now) {
         long pause = now - lastEventAt;
         if (events > 0) {
@@ -128,7 +128,7 @@
         return reason;
     }
 
-    /** Writes that a prompt was not computed where it should have been. */
+    /** Logs that the prefill at an engine failed. */
     void prefillFailed(DecisionLog log, BackendServer engine, String why) {
         log.notable("prefill-failed")
                 .with("request", caller.id())
@@ -137,7 +137,7 @@
                 .write();
     }
 
-    /** Writes how an attempt ended and what follows. */
+    /** Logs how an attempt ended and the next step. */
     void attemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
                 .with("request", caller.id())
@@ -148,7 +148,7 @@
                 .write();
     }
 
-    /** Writes all of it, with what runs at the last server now. */
+    /** Logs the whole trace, with the current load of the last server. */
     void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad there, long now) {
         line.with("request", caller.id())
                 .with("outcome", outcome.name())
@@ -182,14 +182,14 @@
                 .write();
     }
 
-    /** Returns an engine's milliseconds from one event to the next; -1 where no answer shows it. */
+    /** Returns an engine's milliseconds from one event to the next; -1 if unknown. */
     private static long paceMilliseconds(EngineLoad load) {
         return load.secondsPerEvent()
                 .map(seconds -> Math.round(seconds * MILLISECONDS))
                 .orElse(-1L);
     }
 
-    /** Returns the milliseconds from the arrival to a step that may never have come; -1 where it has not. */
+    /** Returns the milliseconds from the arrival to a step; -1 if the step has not been reached. */
     private long sinceArrival(long at) {
         return at == 0 ? -1 : milliseconds(at);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -28,10 +28,11 @@
 import org.aspenmoor.internal.serving.WorkKind;
 
 /**
- * One request of a caller on its way: placed, sent, perhaps repeated, answered exactly once. Confined to the event loop.
+ * Serves one request of a caller: assigns it to a server, sends it, repeats it where that is allowed, and answers it
+ * exactly once. Confined to the event loop.
  */
 final class ServedRequest implements ActiveRequest {
-    /** A caller that is refused for want of time or servers comes back no sooner; below it, it only meets the same. */
+    /** Minimum retry delay of a refused caller; after a shorter delay the cause of the refusal usually still exists. */
     private static final Duration SHORTEST_PAUSE = Duration.ofMillis(200);
 
     private final RequestTools tools;
@@ -96,14 +97,14 @@
         place();
     }
 
-    /** Goes on after waiting for room at an engine. */
+    /** Continues when the request leaves the wait queue because an engine may have capacity. */
     void goOn() {
         place(placements.next(false, now()));
     }
 
-    /** Ends without having run: its turn cannot come before its deadline. */
+    /** Ends the request without having run it: it cannot leave the wait queue before its deadline. */
     void giveUp(Duration comeBackAfter) {
-        trace.because("no engine has room before the deadline");
+        trace.because("no engine has capacity before the deadline");
         conclude(account.conclusion(), comeBackAfter);
     }
 
@@ -153,7 +154,7 @@
         }
     }
 
-    /** Ends the request if it is kept from servers; returns whether it is. */
+    /** Refuses the request if it is in quarantine; returns whether it is. */
     private boolean keptFromServers() {
         Optional<Duration> term = serverEnds.quarantined();
         term.ifPresent(left -> conclude(account.conclusion(), left));
@@ -206,10 +207,11 @@
             when account.attempts() < route.mostBackends() -> {
                 answer.release();
                 current.cancel();
-                String reason = answer.begun() ? "the server went quiet" : "no answer began in time";
+                String reason =
+                        answer.begun() ? "the answer of the server stalled" : "no answer began within the stall limit";
                 attemptEnded(answer.work(), new AttemptEnd.Lost(), reason);
             }
-            case AnswerAttempt last -> trace.because("the server is silent, and there is no other to ask");
+            case AnswerAttempt last -> trace.because("the server is unresponsive, and no further attempt is allowed");
             case PrefillAttempt prefill -> {
                 current.cancel();
                 prefill.stalled();
@@ -246,14 +248,16 @@
         Optional<BackendServer> decoder =
                 tools.state().placer().chooseDecoder(placements.next(false, now()), computed.engine(), now());
         if (decoder.isEmpty()) {
-            trace.because("no engine that may answer is known");
+            trace.because("no engine is available to generate the answer");
             conclude(account.conclusion(), SHORTEST_PAUSE);
             return;
         }
         send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(computed.source()), Optional.empty());
     }
 
-    /** A computed prompt is only a help: where none came about, one engine does both parts. */
+    /**
+     * Handles a failed prefill. A separate prefill is optional: without one, a single engine does prefill and decode.
+     */
     void prefillEnded(Placement.Staged placement, PlacedWork work, AttemptEnd end, String reason) {
         tools.state().attemptEnded(work, end);
         current.end(work);
@@ -294,7 +298,10 @@
         }
     }
 
-    /** Goes on at another engine after the last event, where that is allowed; else this one tells the answer to its end. */
+    /**
+     * Continues at another engine after the last event if that is allowed; otherwise the current one completes the
+     * answer.
+     */
     private void goOnElsewhere() {
         if (!account.mayGoOnElsewhere() || !tools.state().takeRepeat(service)) {
             return;
@@ -305,14 +312,15 @@
         current.end(left);
         account.ended(new AttemptEnd.Lost());
         tools.metrics().attempted(service, "moved");
-        trace.because("the engine leaves its answers to others");
+        trace.because("the engine changes its role, so its answer continues elsewhere");
         place();
     }
 
     void streamComplete(PlacedWork work, boolean begun) {
         current.end(work);
         if (!stream.begun()) {
-            attemptEndedAfterWork(new AttemptEnd.Lost(), begun ? "no event came" : "the stream was empty");
+            attemptEndedAfterWork(
+                    new AttemptEnd.Lost(), begun ? "the stream ended without an event" : "the stream was empty");
             return;
         }
         progress.whole();
@@ -323,11 +331,11 @@
     void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
         current.end(work);
         if (stream.begun()) {
-            // A stream was to be continued and this is no stream; written now, it would stand in the middle of the
-            // draft.
+            // The continuation of a stream was expected, but the answer is not a stream; if forwarded, it would
+            // appear in the middle of the caller's stream.
             body.release();
-            trace.because(
-                    "the continuation was answered with status " + head.status().code());
+            trace.because("the continuation of the stream was answered with status "
+                    + head.status().code());
             conclude(NextStep.REPORT_UNKNOWN, SHORTEST_PAUSE);
             return;
         }
@@ -335,7 +343,7 @@
         link.answer(OutgoingMessage.answer(head, body));
     }
 
-    /** The server's own failure: tried elsewhere where the request may be repeated, else passed on as it is. */
+    /** Handles an error answer of a server: retries elsewhere if the request may be repeated, otherwise forwards it. */
     void failureCame(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
         AttemptEnd end = new AttemptEnd.Failed();
         tools.state().attemptEnded(work, end);
@@ -379,8 +387,9 @@
     }
 
     /**
-     * An engine that was not there has not touched a computed prompt, and another can fetch it. One that turned the request
-     * away may have found it gone, so it is computed anew, and not where it lapsed.
+     * Retries at another server. If the decode engine was not reached, the prefill cache is unchanged and another
+     * engine can transfer it. If the decode engine rejected the request, the cache may have expired, so the prefill
+     * is repeated at another engine.
      */
     private void tryElsewhere(AttemptEnd end) {
         boolean untouched = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
@@ -399,7 +408,7 @@
         if (over) {
             return;
         }
-        trace.because("the time was over; " + trace.reason());
+        trace.because("the deadline was reached; " + trace.reason());
         conclude(account.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, SHORTEST_PAUSE);
     }
 
@@ -422,7 +431,10 @@
         link.answer(LocalAnswers.unknown(trace.reason(), times.deadline() <= now()));
     }
 
-    /** Ends everything that belongs to the request; its answer is sent right after, if its caller is still there. */
+    /**
+     * Releases all resources of the request and logs its outcome; the caller of this method then sends the answer, if
+     * any.
+     */
     private void finish(RequestOutcome outcome) {
         over = true;
         if (outcome == RequestOutcome.ANSWERED) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
@@ -11,9 +11,12 @@
 import org.aspenmoor.internal.serving.quarantine.ServerStart;
 import org.aspenmoor.internal.serving.quarantine.Verdict;
 
-/** What the ends of servers say of one request, and what its own runs add to that. Confined to the event loop. */
+/**
+ * Checks whether one request is quarantined because it terminates servers, and reports terminations that its own
+ * attempts cause. Confined to the event loop.
+ */
 final class ServerEnds {
-    /** A server that ends later than this after an answer began has not ended by beginning it. */
+    /** If a server terminates later than this after an answer began, the request is not considered the cause. */
     private static final Duration LONGEST_FATAL_RUN = Duration.ofSeconds(1);
 
     private final RequestTools tools;
@@ -34,21 +37,21 @@
         this.trace = trace;
     }
 
-    /** Returns for how long the request is kept from servers, and notes that it is; empty where it may run. */
+    /** Returns the remaining quarantine time of the request and records the refusal; empty if the request may run. */
     Optional<Duration> quarantined() {
         return switch (verdict()) {
             case Verdict.Clear clear -> Optional.empty();
             case Verdict.Suspected suspected -> Optional.empty();
             case Verdict.Quarantined quarantined -> {
                 tools.metrics().quarantined(service);
-                trace.because("it ends the servers that run it, " + quarantined.ends() + " so far; digest "
+                trace.because("running it has terminated backend servers, " + quarantined.ends() + " so far; digest "
                         + digest().text());
                 yield Optional.of(quarantined.left());
             }
         };
     }
 
-    /** Returns whether the request may go to one more server at once, given the ends that are not confirmed yet. */
+    /** Returns whether the request may be sent to another server, counting terminations that are not yet confirmed. */
     boolean mayRepeat() {
         return switch (verdict()) {
             case Verdict.Clear clear -> unconfirmed < Quarantine.LEAST_ENDS;
@@ -57,12 +60,12 @@
         };
     }
 
-    /** Notes that the request was answered. */
+    /** Records that the request was answered, which clears it. */
     void answered() {
         known.answered(digest());
     }
 
-    /** Returns the request's digest, made when it is first needed. */
+    /** Returns the request's digest, computed on first use. */
     RequestDigest digest() {
         if (digest == null) {
             digest = RequestDigests.of(incoming);
@@ -71,9 +74,9 @@
     }
 
     /**
-     * Notes that a connection broke before the answer was complete; whether its server has ended shows a little later.
+     * Records that a connection broke before the answer was complete, and probes whether the server has terminated.
      *
-     * @param told how long the answer had been told
+     * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
      */
     void connectionBroke(BackendServer server, PlacedWork work, Duration told) {
         Duration asked = Duration.ofNanos(tools.state().time().monotonicNanoseconds() - work.atNanoseconds());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -37,9 +37,12 @@
 import org.aspenmoor.internal.serving.ServingConfiguration;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** What one process knows while it serves: configuration, servers, budgets. Confined to the event loop. */
+/** The state of one entry process: configuration, servers, peers and repeat budgets. Confined to the event loop. */
 public final class ServingState {
-    /** Traffic pauses for fractions of a second; after some seconds without any, a change of role disturbs nobody. */
+    /**
+     * Traffic normally pauses for fractions of a second; after some seconds without any, a role change affects no
+     * caller.
+     */
     private static final Duration IDLE_AFTER = Duration.ofSeconds(4);
 
     private final TimeSource time;
@@ -72,7 +75,7 @@
         this.placer = new Placer(placement, peers, random);
     }
 
-    /** Takes changed settings up. */
+    /** Applies changed settings. */
     public void reload(RepeatSettings newRepeats, PlacementSettings placement) {
         if (!newRepeats.equals(repeats)) {
             repeats = newRepeats;
@@ -81,7 +84,7 @@
         placer.reload(placement);
     }
 
-    /** Takes a configuration in; an older one than that in force is dropped, so that nothing goes back. */
+    /** Applies a configuration and returns whether it was newer than the one in force; others are ignored. */
     public boolean configure(ServingConfiguration newer) {
         if (configuration.isPresent() && newer.version() <= configuration.get().version()) {
             return false;
@@ -96,7 +99,7 @@
         return true;
     }
 
-    /** Takes a server's registration in. */
+    /** Applies the registration of a server. */
     public void serverChanged(BackendServer told) {
         Optional<BackendServer> before = directory.find(told.id());
         BackendServer server = directory.changed(told);
@@ -104,7 +107,7 @@
             log.notable("server-not-believed")
                     .with("server", told.id())
                     .with("told", told.state().name())
-                    .with("reason", "this start has said that it leaves")
+                    .with("reason", "this server process has already announced that it is leaving")
                     .write();
         }
         placer.changed(server, cacheTokens(server));
@@ -121,7 +124,7 @@
         }
     }
 
-    /** Notes that a registration is missing; returns whether the server is gone. */
+    /** Records that a registration is missing; returns whether the server is removed or else only suspect. */
     public boolean serverMissing(String id, long now) {
         boolean gone = directory.removed(id, now);
         log.notable(gone ? "server-gone" : "server-doubtful").with("server", id).write();
@@ -131,41 +134,43 @@
         return gone;
     }
 
-    /** Notes that the store has come back from an older copy, in which servers may be missing that live. */
+    /**
+     * Records that the store was restored from an older copy, in which registrations of live servers may be missing.
+     */
     public void storeCameBackOlder(long now) {
         directory.cameBackOlder(now);
     }
 
-    /** Notes that the list of servers may miss changes from now on. */
+    /** Records that the server list may miss changes from now on. */
     public void serversInterrupted(long now) {
         directory.interrupted(now);
     }
 
-    /** Notes that the list of servers is complete. */
+    /** Records that the server list is complete. */
     public void serversSynchronised(long now) {
         directory.synchronised(now);
         serversKnown = true;
     }
 
-    /** Notes that the requests which end servers, as far as the store holds them, have been taken in. */
+    /** Records that the fatal requests listed in the store have been loaded. */
     public void fatalRequestsKnown() {
         fatalRequestsKnown = true;
     }
 
-    /** Drops servers whose time to return is over; returns their identities. */
+    /** Removes servers whose time limit for registering again has passed; returns their ids. */
     public Iterable<String> expireServers(long now) {
         Iterable<String> gone = directory.expire(now);
         for (String id : gone) {
             placer.removed(id);
             log.notable("server-gone")
                     .with("server", id)
-                    .with("reason", "not back after an outage of the store")
+                    .with("reason", "the server did not register again after a store outage")
                     .write();
         }
         return gone;
     }
 
-    /** Takes another entry's report in. */
+    /** Applies the report of another entry. */
     public void peerHeard(PeerReport report, long now) {
         peers.heard(report, now);
         report.prompts().forEach(prompt -> placer.promptPlacedByPeer(prompt, now));
@@ -174,60 +179,66 @@
         report.changes().forEach(change -> placer.roleChanging(change, now));
     }
 
-    /** Notes that an engine has accepted this entry's order to change its role. */
+    /** Records that an engine has accepted an order of this entry to change its role. */
     public void roleOrdered(RoleChange change) {
         ordered.put(change.server(), change);
         placer.roleChanging(change, time.monotonicNanoseconds());
     }
 
-    /** Returns the orders of this entry that engines are still carrying out, for the other entries. */
+    /**
+     * Returns the role changes ordered by this entry that are still in progress, to be reported to the other entries.
+     */
     public List<RoleChange> roleChanges() {
         long now = time.monotonicNanoseconds();
         ordered.keySet().removeIf(server -> !placer.changing(server, now));
         return List.copyOf(ordered.values());
     }
 
-    /** Samples how much prompts press on the engines, given whether requests of a service wait at this entry. */
+    /**
+     * Samples the prompt pressure of all model services.
+     *
+     * @param waiting returns whether requests of a service wait at this entry
+     */
     public void samplePressure(Predicate<String> waiting) {
         long now = time.monotonicNanoseconds();
         modelServices().forEach(service -> placer.samplePressure(service, waiting.test(service), now));
     }
 
-    /** Returns how fast this entry has found the engines, for the other entries. */
+    /** Returns the engine speeds estimated by this entry, to be reported to the other entries. */
     public List<LearntSpeed> learntSpeeds() {
         return placer.learntSpeeds();
     }
 
-    /** Returns how long this entry has found the events of answers, for the other entries. */
+    /** Returns the event lengths estimated by this entry, to be reported to the other entries. */
     public List<EventLength> eventLengths() {
         return placer.eventLengths();
     }
 
-    /** Forgets entries that have been silent for too long. */
+    /** Removes entries whose last report is too old. */
     public void expirePeers(long now) {
         peers.expire(now);
     }
 
-    /** Returns this entry's own part of the load. */
+    /** Returns this entry's share of the load of each server, by server id. */
     public Map<String, PeerShare> ownShares() {
         return placer.ownShares(time.monotonicNanoseconds());
     }
 
-    /** Returns the prompts that this entry has placed since it was last asked. */
+    /** Returns and clears the prompts that this entry has placed since the last call. */
     public List<PlacedPrompt> takeUntoldPrompts() {
         return placer.takeUntoldPrompts();
     }
 
     /**
-     * Returns how many entries share the budgets: those that are heard and this one. Until any is heard the settings'
-     * number stands, since a process that has just started may be one of many.
+     * Returns how many entries share the budgets: this one and those whose reports are received. Until a report is
+     * received, the number in the settings is used, because a process that has just started may be one of many.
      */
     public int entries() {
         int heard = peers.heardEntries();
         return heard == 0 ? repeats.assumedEntries() : heard + 1;
     }
 
-    /** Returns how many connections this entry may have open to one server of a service. */
+    /** Returns the maximum number of connections that this entry may have open to one server of a service. */
     public int connectionShare(String service) {
         return configuration
                 .flatMap(known -> known.service(service))
@@ -240,12 +251,12 @@
         return configuration.isPresent() && serversKnown && fatalRequestsKnown;
     }
 
-    /** Returns how many other entries are heard. */
+    /** Returns the number of other entries whose reports are received. */
     public int heardEntries() {
         return peers.heardEntries();
     }
 
-    /** Returns what is believed of each backend server. */
+    /** Returns the estimated state and load of each backend server. */
     public List<ServerSummary> servers() {
         return placer.summaries(time.monotonicNanoseconds());
     }
@@ -260,8 +271,9 @@
     }
 
     /**
-     * Returns the engines that were not returned before. A process that has just started does not know what engines keep;
-     * after a restart of all entries, every shared part would be computed anew while the callers wait.
+     * Returns the engines whose cache contents have to be listed, each start of an engine once. A process that has just
+     * started does not know what engines have cached; without the listing, after a restart of all entries every shared
+     * prompt part would be computed again while the callers wait.
      */
     public List<BackendServer> takeUnlistedEngines() {
         List<BackendServer> unlisted = new ArrayList<>();
@@ -273,7 +285,7 @@
         return unlisted;
     }
 
-    /** Notes which prompt parts an engine says that it keeps. */
+    /** Records the prompt parts that an engine reports as cached. */
     public void cacheListed(BackendServer engine, List<PromptPart> parts, long now) {
         placer.cacheListed(engine.id(), parts, now);
         log.notable("cache-listed")
@@ -282,7 +294,7 @@
                 .write();
     }
 
-    /** Returns what the role duty needs to know, given the name of this entry. */
+    /** Returns the state that role assignment needs, given the name of this entry. */
     public FleetSnapshot snapshot(String entry) {
         long now = time.monotonicNanoseconds();
         List<ServiceLoad> services = modelServices().stream()
@@ -302,18 +314,18 @@
         return services;
     }
 
-    /** Notes a request for a service, which earns a part of a repeat. */
+    /** Records a request for a service; it adds a fraction of a repeat to the service's budget. */
     void requested(String service) {
         lastRequestAt = time.monotonicNanoseconds();
         allowance(service).requested();
     }
 
-    /** Takes a repeat out of the service's budget. */
+    /** Takes a repeat out of the service's budget; returns whether the budget allowed it. */
     boolean takeRepeat(String service) {
         return allowance(service).take(entries());
     }
 
-    /** Notes what the end of an attempt says of its server. */
+    /** Updates the estimate of a server from the end of an attempt. */
     void attemptEnded(PlacedWork work, AttemptEnd end) {
         long now = time.monotonicNanoseconds();
         switch (end) {
@@ -325,7 +337,7 @@
         }
     }
 
-    /** Returns whether a start of a server is registered and has not said that it leaves. */
+    /** Returns whether this start of the server is registered as ready. */
     boolean takesWork(BackendServer server) {
         return directory
                 .find(server.id())
@@ -345,7 +357,7 @@
         return random;
     }
 
-    /** Returns a pause with up to half of it added at random, so that refused callers do not return in one wave. */
+    /** Returns the delay plus a random part of up to half of it, so that refused callers do not all retry at once. */
     Duration spread(Duration pause) {
         return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
@@ -8,21 +8,24 @@
 import org.aspenmoor.internal.serving.Route;
 
 /**
- * Notices that the server of a request has stalled. Confined to the event loop.
+ * Detects that the server of an attempt has stalled. Confined to the event loop.
  *
- * <p>An engine that hangs, or has gone dark, takes requests and answers none; without this its callers wait until their
- * deadline, though another engine would have answered them.
+ * <p>An engine that hangs or has become unresponsive accepts requests and answers none. Without this check its callers
+ * would wait until their deadline, although another engine could have answered them.
  */
 final class StallWatch {
-    /** An attempt whose answer has not begun after this many objectives is looked at, and given up if its server is silent. */
+    /**
+     * If an answer has not begun after this many times the route's objective, the attempt is checked, and abandoned
+     * if its server is unresponsive.
+     */
     private static final int STALLED_OBJECTIVES = 2;
 
-    /** By how much a queue may be longer than expected. */
+    /** Factor by which a queue may be longer than expected. */
     private static final double QUEUE_MARGIN = 2;
 
     /**
-     * How long a stream may be quiet at a server that tells others nothing either, in percent of the silence after which
-     * callers leave; the rest is for another engine to go on.
+     * Maximum gap in a stream if the server sends nothing for other requests either, in percent of the gap after which
+     * callers leave; the rest of the time is left for another engine to continue.
      */
     private static final int QUIET_PERCENT = 40;
 
@@ -37,10 +40,10 @@
     private long unreadAt = Long.MIN_VALUE;
 
     /**
-     * Makes a watch.
+     * Creates a detector.
      *
-     * @param reading whether what the server tells is read; not while the caller takes nothing
-     * @param stalled hears of an attempt whose server has stalled
+     * @param reading returns whether the answer is being read; it is not while the caller accepts no data
+     * @param stallListener receives an attempt whose server has stalled
      */
     StallWatch(RequestTools tools, Route route, BooleanSupplier reading, Consumer<WatchedAttempt> stalled) {
         this.tools = tools;
@@ -52,8 +55,8 @@
     }
 
     /**
-     * Watches an attempt instead of the one before. Where a long queue is expected, an entry with few requests there may
-     * see no answer of the engine for its length.
+     * Watches an attempt instead of the previous one. The limit includes the expected queue time, because an entry
+     * with few requests at an engine may see no answer from it for that long.
      */
     void watch(WatchedAttempt attempt) {
         Duration queue = Duration.ofNanos((long) (QUEUE_MARGIN * attempt.work().answerSeconds() * NANOSECONDS));
@@ -65,7 +68,9 @@
         timer = tools.eventLoop().schedule(() -> check(attempt, patience), patience.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Notes that the answer of the watched attempt, if it is one, has begun to be told. */
+    /**
+     * Records that the answer of an attempt has begun; if it is a stream that is being watched, its gaps are limited.
+     */
     void begun(AnswerAttempt answer) {
         boolean watching = timer != null && !timer.isDone();
         if (watching && answer.telling()) {
@@ -88,7 +93,8 @@
             return;
         }
         if (!tools.state().placer().silentSince(attempt.work())) {
-            // It answers others: the request waits in a queue, and would wait in another one too.
+            // The server answers other requests, so this one waits in its queue, and would wait at another server
+            // too.
             watch(attempt, patience);
             return;
         }
@@ -96,8 +102,9 @@
     }
 
     /**
-     * An engine that goes dark breaks no connection: callers would leave, though another engine could go on. One whose
-     * answer this entry itself has stopped to read, since the caller takes nothing, is not dark.
+     * Checks a stream for a gap that is too long. An unresponsive engine does not close its connections, so callers
+     * would leave although another engine could continue. Time in which this entry itself has stopped reading,
+     * because the caller accepts no data, does not count.
      */
     private void checkTelling(AnswerAttempt answer) {
         long now = tools.state().time().monotonicNanoseconds();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StartingRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StartingRequest.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
-/** A request that came before this process knew its configuration and servers; served or refused once that is settled. */
+/** A request that arrived before this process was ready; it is served once the process is ready, or refused in time. */
 final class StartingRequest implements ActiveRequest {
     private final long waitsUntil;
     private final Supplier<ActiveRequest> serve;
@@ -14,12 +14,12 @@
     private boolean left;
 
     /**
-     * Makes a request.
+     * Creates a deferred request.
      *
-     * @param waitsUntil until when it waits, on the monotonic clock
-     * @param serve begins to serve it
-     * @param refuse tells its caller to come back
-     * @param release gives back what it holds, where its caller leaves before either
+     * @param waitsUntil when the request is refused at the latest, in nanoseconds of the monotonic clock
+     * @param serve starts serving the request
+     * @param refuse refuses the request and asks its caller to retry
+     * @param release releases the resources of the request, if its caller leaves before it is served or refused
      */
     StartingRequest(long waitsUntil, Supplier<ActiveRequest> serve, Supplier<ActiveRequest> refuse, Runnable release) {
         this.waitsUntil = waitsUntil;
@@ -28,7 +28,7 @@
         this.release = release;
     }
 
-    /** Goes on where that is due; returns whether it waits no longer. */
+    /** Serves or refuses the request if it is time to; returns whether it has stopped waiting. */
     boolean settled(boolean ready, long now) {
         if (left) {
             return true;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
@@ -4,9 +4,12 @@
 import java.util.Set;
 import org.aspenmoor.internal.serving.BackendServer;
 
-/** The servers that one request was tried at, which its next placement avoids. */
+/** The servers that one request was sent to, which its next placement avoids. */
 final class TriedServers {
-    /** Engines at which a prompt may be computed ahead of its answer; with more the time is better spent on the answer. */
+    /**
+     * Maximum number of separate prefill attempts; after that, the time is better spent on a single engine doing both
+     * stages.
+     */
     private static final int MOST_STAGED_TRIES = 2;
 
     private final Set<String> identities = new HashSet<>();
@@ -16,7 +19,7 @@
         identities.add(server.id());
     }
 
-    /** Notes that a server has not computed the prompt. */
+    /** Records that the prefill at a server failed. */
     void stageFailed(BackendServer server) {
         add(server);
         failedStages++;
@@ -26,7 +29,7 @@
         return identities;
     }
 
-    /** Returns whether the prompt may be computed ahead of the answer once more. */
+    /** Returns whether another separate prefill may be attempted. */
     boolean mayStage() {
         return failedStages < MOST_STAGED_TRIES;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/UnfetchedPrompt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/UnfetchedPrompt.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The prompt that one engine has computed for a request and another has not fetched yet, if there is any. */
+/** The prefill cache of a request that no decode engine has transferred yet, if there is one. */
 final class UnfetchedPrompt {
     private final RequestTools tools;
     private final String request;
@@ -25,7 +25,7 @@
         prompt = Optional.empty();
     }
 
-    /** Lets its engine drop it; one that nobody fetches would keep the engine's memory until its handle lapses. */
+    /** Releases the cache at its engine; otherwise it would occupy the engine's memory until its handle expires. */
     void free() {
         prompt.ifPresent(computed -> computed.free(tools, request));
         prompt = Optional.empty();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
@@ -9,9 +9,12 @@
 import org.aspenmoor.internal.serving.WaitingLine;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** The requests that wait at this entry for room at an engine, by service. Confined to the event loop. */
+/**
+ * The wait queues of this entry, one per service, for requests that no engine has capacity for. Confined to the event
+ * loop.
+ */
 public final class WaitingRequests {
-    /** How often a line is looked at while nothing ends: a fraction of what a prompt takes. */
+    /** Interval at which queues are checked even if no request ends: a fraction of the time that a prefill takes. */
     private static final long LOOK_MILLISECONDS = 10;
 
     private static final double NANOSECONDS = 1e9;
@@ -37,7 +40,7 @@
         roomMayBe(service);
     }
 
-    /** Returns whether any request of a service waits. */
+    /** Returns whether any request for a service waits. */
     public boolean anyFor(String service) {
         return line(service).size() > 0;
     }
@@ -50,14 +53,14 @@
         line(service).departed(aimAt, now);
     }
 
-    /** Notes the first byte of an answer. */
+    /** Records the first byte of an answer. */
     void answered(String service, long departedAt, long now) {
         if (departedAt > 0) {
             line(service).answered((now - departedAt) / NANOSECONDS);
         }
     }
 
-    /** Sends on who is next, as long as there is room. */
+    /** Dispatches waiting requests in queue order as long as engines have capacity. */
     void roomMayBe(String service) {
         WaitingLine<ServedRequest> line = line(service);
         if (moving || line.size() == 0) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WatchedAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WatchedAttempt.java
@@ -2,9 +2,9 @@
 
 import org.aspenmoor.internal.serving.PlacedWork;
 
-/** An attempt that may turn out to have stalled. */
+/** An attempt that is checked for stalls. */
 sealed interface WatchedAttempt permits AnswerAttempt, PrefillAttempt {
-    /** Returns whether any part of an answer came. */
+    /** Returns whether any part of an answer has arrived. */
     boolean begun();
 
     PlacedWork work();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/package-info.java
@@ -1,2 +1,2 @@
-/** The way of one request from its caller to backend servers and back. */
+/** Serves callers' requests: placement, attempts at backend servers, repeats, streams and traces. */
 package org.aspenmoor.internal.gateway.request;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DecisionLogTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DecisionLogTest.java
@@ -35,8 +35,8 @@
                         + "\"server\":\"one\",\"age\":3}"));
     }
 
-    // Thousands of requests a second end well while some fail. Lines about those that went well must neither fill the
-    // output nor push the failures out of it.
+    // Thousands of requests per second succeed while some fail. Lines about successful requests must neither flood
+    // the output nor displace lines about failures.
     @Test
     public void should_bound_ordinary_lines_and_keep_the_notable_ones() {
         for (int request = 0; request < 5000; request++) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DependencyLogTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DependencyLogTest.java
@@ -11,9 +11,8 @@
 import org.testng.annotations.Test;
 
 public class DependencyLogTest {
-    // The store is silent for seconds, and every call to it fails. Whoever looks for the cause of a failed request
-    // reads
-    // hundreds of equal lines and not when the store was back.
+    // The store is unresponsive for seconds and every call to it fails. One line per call would give hundreds of
+    // equal lines, which do not show when the store was available again.
     @Test
     public void should_write_one_line_for_a_loss_and_one_for_the_return() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/RequestDigestsTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/RequestDigestsTest.java
@@ -21,13 +21,13 @@
                 digest("/draft/a", "house.example", "Bearer one", "body", "second-id"));
     }
 
-    // Guards against a fatal request that escapes by a number in its query that differs each time.
+    // Guards against a fatal request that is not recognised because a number in its query differs at each arrival.
     @Test
     public void should_leave_the_query_out() {
         assertEquals(digest("/read/a?page=1", "h", "", "", "1"), digest("/read/a?page=2", "h", "", "", "2"));
     }
 
-    // Guards against a caller who makes somebody else's request look guilty.
+    // Guards against a caller who can get another caller's request quarantined.
     @Test
     public void should_tell_callers_by_their_credentials() {
         assertNotEquals(digest("/read/a", "h", "Bearer one", "", "1"), digest("/read/a", "h", "Bearer two", "", "1"));
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/StartingRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/StartingRequestTest.java
@@ -23,9 +23,9 @@
                 WAITS_UNTIL, () -> begun("served"), () -> begun("refused"), () -> happened.add("released"));
     }
 
-    // All entries lost power. Callers reach a port that is open again before the entry has read its configuration; told
-    // to
-    // come back, most have no further try and get nothing, though the entry would be ready half a second later.
+    // After a power failure of all entries, callers connect before the entry has read its configuration. Most
+    // callers that are refused then have no further attempt and get no answer, although the entry is ready half a
+    // second later.
     @Test
     public void should_serve_a_request_that_came_before_the_process_was_ready() {
         assertFalse(request.settled(false, 500));
@@ -34,7 +34,8 @@
         assertEquals(happened, List.of("served"));
     }
 
-    // The store is away while the process starts. Callers are told so while they still have time for another entry.
+    // The store is unavailable while the process starts. Callers are refused while they still have time to try
+    // another entry.
     @Test
     public void should_refuse_it_where_the_start_takes_too_long() {
         assertFalse(request.settled(false, WAITS_UNTIL - 1));
@@ -43,7 +44,7 @@
         assertEquals(happened, List.of("refused"));
     }
 
-    // A caller leaves while the entry starts. Served all the same, its request would run for nobody.
+    // A caller leaves while the entry starts. Its request must not be run, because nobody would receive the answer.
     @Test
     public void should_do_nothing_for_a_caller_that_has_left() {
         request.callerLeft();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -29,10 +29,10 @@
     private static final int SERVERS = 10;
     private static final int ARRIVALS = 10;
 
-    /** Of the servers that one request may end before it is kept from all others. */
+    /** Maximum number of servers that one request may terminate before it is quarantined. */
     private static final int MOST_ENDS = 3;
 
-    /** What may still run until all entries have heard of the last end. */
+    /** Maximum number of further runs until all entries have received the report of the last termination. */
     private static final int MOST_RUNS_AFTER = 3;
 
     private final List<ScriptedBackend> servers = new ArrayList<>();
@@ -57,28 +57,30 @@
         gateway.close();
     }
 
-    // Guards against a request that ends server after server because each of its arrivals is taken for a new one.
+    // Guards against a request that terminates one server after another because each arrival is treated as a new
+    // request.
     @Test
     public void should_keep_a_request_from_servers_once_it_has_ended_three() throws Exception {
         plainServers();
 
         arriveAgainAndAgain("/book/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "ended: " + endedServers());
+        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
         assertTrue(call(gateway, "/book/a", FATAL_BODY, ARRIVALS).line().contains(" 503 "));
     }
 
-    // Guards against one arrival that is tried at server after server though the request has ended others before.
+    // Guards against one arrival that is sent to one server after another although earlier attempts terminated
+    // servers.
     @Test
     public void should_count_the_ends_of_repeats_within_one_arrival() throws Exception {
         plainServers();
 
         arriveAgainAndAgain("/read/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "ended: " + endedServers());
+        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
     }
 
-    // Guards against a request that ends a full number of servers at each entry that its caller turns to.
+    // Guards against a request that terminates the full number of servers through each entry that its caller uses.
     @Test
     public void should_count_ends_over_all_entries() throws Exception {
         plainServers();
@@ -89,10 +91,10 @@
             call(entry, "/book/a", FATAL_BODY, arrival);
         }
 
-        assertTrue(endedServers() <= MOST_ENDS + MOST_RUNS_AFTER, "ended: " + endedServers());
+        assertTrue(endedServers() <= MOST_ENDS + MOST_RUNS_AFTER, "terminated servers: " + endedServers());
     }
 
-    // Guards against entries that forget, when all of them are restarted, which requests end servers.
+    // Guards against entries that lose the list of fatal requests when all of them are restarted.
     @Test
     public void should_remember_the_request_after_all_entries_were_restarted() throws Exception {
         plainServers();
@@ -105,10 +107,11 @@
             call(restarted, "/book/a", FATAL_BODY, arrival);
         }
 
-        assertTrue(endedServers() <= MOST_ENDS, "ended: " + endedServers());
+        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
     }
 
-    // Guards against a request for a model whose prompt is computed again and again though its answer ends each engine.
+    // Guards against a request for a model whose prefill is repeated although generating its answer terminates each
+    // engine.
     @Test
     public void should_keep_a_request_from_engines_for_prompts_too() throws Exception {
         List<ScriptedBackend> prompts = new ArrayList<>();
@@ -124,15 +127,16 @@
 
         arriveAgainAndAgain("/draft/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "ended: " + endedServers());
+        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
         long computed = prompts.stream()
                 .flatMap(engine -> engine.received().stream())
                 .filter(request -> request.line().startsWith("POST"))
                 .count();
-        assertTrue(computed <= MOST_ENDS, "prompts computed: " + computed);
+        assertTrue(computed <= MOST_ENDS, "prefills: " + computed);
     }
 
-    // Guards against callers who are told to come back at once to what will be refused again, or that it may have run.
+    // Guards against callers who are told to retry at once although they will be refused again, or that it may have
+    // run.
     @Test
     public void should_tell_the_caller_that_it_has_not_run_and_when_to_come_back() throws Exception {
         plainServers();
@@ -141,13 +145,14 @@
         ReceivedRequest refusal = call(gateway, "/book/a", FATAL_BODY, ARRIVALS);
 
         assertTrue(
-                refusal.body().startsWith("The request has not run: it ends the servers that run it"), refusal.body());
+                refusal.body().startsWith("The request has not run: running it has terminated backend servers"),
+                refusal.body());
         assertTrue(Double.parseDouble(refusal.header("Retry-After").orElse("0")) > 0);
         assertTrue(gateway.metrics().contains("aspenmoor_requests_quarantined_total{service=\"registry\"}"));
         assertTrue(gateway.state().contains("\"quarantinedRequests\" : 1"), gateway.state());
     }
 
-    // Guards against requests that are refused since servers, which go on living, lose their answers.
+    // Guards against requests that are refused because servers that are still running lose their answers.
     @Test
     public void should_not_take_a_broken_connection_for_the_end_of_a_server() throws Exception {
         ScriptedBackend breaking = gateway.backend("breaking", PLAIN, request -> Reply.thenClose(""));
@@ -160,7 +165,7 @@
         assertEquals(breaking.received().size(), ARRIVALS);
     }
 
-    // Guards against a request that is refused though it is answered, since it shares its path with a fatal one.
+    // Guards against a harmless request that is refused because it has the same path as a fatal one.
     @Test
     public void should_serve_other_requests_beside_a_fatal_one() throws Exception {
         plainServers();
@@ -169,7 +174,7 @@
         assertTrue(call(gateway, "/book/a", "another", ARRIVALS).line().contains(" 200 "));
     }
 
-    /** Lets the fatal request come so many times, each time after the end that it caused before has been noticed. */
+    /** Sends the fatal request {@link #ARRIVALS} times, each time after the previous termination has been detected. */
     private void arriveAgainAndAgain(String path) throws IOException {
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             call(gateway, path, FATAL_BODY, arrival);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What operators see of an entry, and how many connections it opens. */
+/** The metrics and state pages of an entry, and its connection limit. */
 public class OperatorPagesTest {
     private static final String SERVICE = "registry";
 
@@ -66,8 +66,9 @@
         assertTrue(state.contains("\"connectionsOpened\" : 1"), state);
     }
 
-    // A server accepts a bounded number of connections from all entries and resets those beyond it, bookings included.
-    // The second booking here would be lost with its connection, and nobody could say whether it had run.
+    // A server accepts a limited number of connections from all entries and resets further ones, including those
+    // that carry bookings. The second booking here would be lost with its connection, and its outcome would be
+    // unknown.
     @Test
     public void should_open_no_more_connections_than_its_part_and_refuse_what_is_beyond() throws Exception {
         gateway.connectionLimit(SERVICE, 1);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -78,9 +78,8 @@
         }
     }
 
-    // A server takes a booking and its connection breaks before the answer. Were the caller told that it has not run,
-    // it
-    // would book a second time.
+    // A server accepts a booking and its connection breaks before the answer. A caller that is told that the
+    // booking has not run would book a second time.
     @Test
     public void should_call_the_outcome_of_a_lost_booking_unknown_and_send_it_nowhere_else() throws Exception {
         ScriptedBackend first = backend("one", request -> Reply.thenClose(""));
@@ -117,7 +116,8 @@
         }
     }
 
-    // One server is full and says that it did not run the booking. It may be sent to the other.
+    // One server has no capacity and states that it did not run the booking. The booking may be sent to the other
+    // one.
     @Test
     public void should_offer_a_booking_elsewhere_that_a_server_did_not_run() throws Exception {
         Script refuses =
@@ -156,9 +156,8 @@
         }
     }
 
-    // A server says 503 and does not say that it did not run the booking. Passed on, the status would promise the
-    // caller
-    // what nobody knows.
+    // A server answers 503 without stating that it did not run the booking. If the status were forwarded, the
+    // caller would conclude that the booking has not run, which is unknown.
     @Test
     public void should_not_pass_a_promise_on_that_the_server_did_not_make() throws Exception {
         backend(
@@ -193,8 +192,8 @@
         }
     }
 
-    // A server answers a request twice. The second answer arrives where that of the next request is due; handed on, it
-    // would be somebody else's booking.
+    // A server answers a request twice. The second answer arrives where the answer to the next request is expected;
+    // if forwarded, the caller would receive another caller's booking.
     @Test
     public void should_give_nobody_the_answer_to_another_request() throws Exception {
         backend("one", request -> {
@@ -259,7 +258,7 @@
         }
     }
 
-    // A caller gives up and closes its connection. The server must not go on working for nobody.
+    // A caller closes its connection before the answer. The server must not go on working on the request.
     @Test
     public void should_close_the_way_to_a_server_whose_caller_has_left() throws Exception {
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
@@ -272,9 +271,9 @@
         assertTrue(gateway.awaitLogged("CALLER_LEFT").contains("\"request\":\"r1\""));
     }
 
-    // All entries have just been restarted and are short of processor time. Callers give up and close while their
-    // requests
-    // lie unread; half a second later servers work on them for nobody, and the callers who are still there wait behind.
+    // After a restart of all entries, processor time is short, and callers close their connections while their
+    // requests are still unread. If these requests were forwarded half a second later, servers would work on
+    // answers that nobody receives while the remaining callers wait.
     @Test
     public void should_not_send_a_request_on_whose_caller_left_while_the_entry_was_busy() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
@@ -330,8 +329,8 @@
         }
     }
 
-    // The process has just started and has not read its configuration. A 404 would tell callers that their route is
-    // gone.
+    // The process has just started and has not read its configuration. A 404 would tell callers that their route
+    // does not exist.
     @Test
     public void should_refuse_for_now_before_any_configuration_is_known() throws Exception {
         try (TestCaller caller = gateway.caller()) {
@@ -355,7 +354,8 @@
         }
     }
 
-    // A request whose head gives both a length and chunks can hide a second one from whoever reads it differently.
+    // Request smuggling: a request with both a content length and chunked encoding can hide a second request from a
+    // receiver that interprets it differently.
     @Test
     public void should_not_let_a_request_hide_another() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
@@ -33,7 +33,7 @@
         gateway.close();
     }
 
-    // Guards against servers that are dropped at once, though they live and will register again.
+    // Guards against servers that are removed at once although they are running and will register again.
     @Test
     public void should_doubt_that_a_server_is_gone_which_the_store_has_lost() throws Exception {
         List<StoredObject> before = gateway.store().copy();
@@ -45,7 +45,7 @@
         assertTrue(gateway.awaitLogged("server-doubtful").contains("\"server\":\"one\""));
     }
 
-    // Guards against routes that vanish with the configuration that the store has lost.
+    // Guards against routes that are lost because the store has lost the configuration.
     @Test
     public void should_go_on_by_the_configuration_in_force() throws Exception {
         gateway.backend("one", SERVICE, StoreCameBackOlderTest::answer);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -31,7 +31,10 @@
 public class StreamTest {
     private static final String SERVICE = "model";
     private static final int REQUESTS = 4;
-    /** So many that an answer surely leaves before the last, though it draws at each whether it does. */
+    /**
+     * Enough events that an answer is practically certain to move to another engine before the last one; whether it
+     * moves is decided at random at each event.
+     */
     private static final int EVENTS = 200;
 
     private static final String HEAD =
@@ -62,8 +65,8 @@
         }
     }
 
-    // An engine crashes in the middle of a draft. The caller must see that the draft is not complete; one that looks
-    // whole would be filed with its end missing.
+    // An engine crashes in the middle of a draft. The caller must be able to see that the draft is incomplete;
+    // otherwise it would be stored without its end.
     @Test
     public void should_not_let_a_broken_stream_look_complete() throws Exception {
         backend("one", EngineRole.WHOLE, request -> Reply.thenClose(HEAD + event(1)));
@@ -75,7 +78,8 @@
         }
     }
 
-    // An engine stops within an event. Another goes on after the last whole one, and the caller reads one draft.
+    // An engine stops in the middle of an event. Another one continues after the last complete event, and the caller
+    // receives one continuous draft.
     @Test
     public void should_resume_at_another_engine_after_the_last_whole_event() throws Exception {
         Script breaksUnlessResumed =
@@ -98,7 +102,8 @@
                         request.header(TestProtocols.AFTER).orElse("").equals("1")));
     }
 
-    // Guards against a caller who loses the rest of an answer, or gets a part twice, when its engine changes its role.
+    // Guards against a caller that loses the rest of an answer, or receives a part twice, when the engine changes its
+    // role.
     @Test
     public void should_go_on_elsewhere_where_an_engine_leaves_its_answers() throws Exception {
         CountDownLatch leaving = new CountDownLatch(1);
@@ -121,7 +126,7 @@
         assertEquals(posts(first).size() + posts(second).size(), 2);
     }
 
-    // Guards against callers who leave in the middle of an answer because its engine has gone dark.
+    // Guards against callers that leave in the middle of an answer because its engine has become unresponsive.
     @Test
     public void should_go_on_elsewhere_where_an_engine_goes_quiet_within_an_answer() throws Exception {
         gateway.route("/quiet/", RepeatRule.RESUMABLE, true, 2, SERVICE, Duration.ofSeconds(1));
@@ -139,9 +144,8 @@
         }
     }
 
-    // A stream breaks, and the engine that should go on answers with a plain page instead. Written into the open
-    // stream, the
-    // page would stand in the middle of the caller's draft.
+    // A stream breaks, and the engine that should continue it answers with a plain page instead. If forwarded into
+    // the open stream, the page would appear in the middle of the caller's draft.
     @Test
     public void should_break_a_stream_off_whose_continuation_is_no_stream() throws Exception {
         Script answersPlainlyWhenResumed = request -> request.header(TestProtocols.AFTER)
@@ -175,11 +179,9 @@
         assertEquals(posts(decode).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
     }
 
-    // An engine for answers is gone and another server has its address, which says that it is not the one asked for.
-    // Its
-    // registration lapses only seconds later. Every prompt would be computed again for each such answer, and the
-    // requests
-    // that come after would meet the same; callers then wait and are refused though another engine is free.
+    // A decode engine has terminated and another server, which rejects misdirected requests, now has its address.
+    // The engine's registration expires only seconds later. Until then, each rejection would cause another prefill,
+    // also for later requests, and callers would wait and be refused although another engine has capacity.
     @Test
     public void should_hand_a_computed_prompt_to_another_engine_where_the_first_is_gone() throws Exception {
         ScriptedBackend prefill = backend("prefill", EngineRole.PREFILL, StreamTest::computes);
@@ -204,9 +206,8 @@
         assertEquals(posts(gone).size(), 1);
     }
 
-    // An engine for prompts goes dark: it takes requests and says nothing more. Its callers would wait until their
-    // deadline
-    // and get no draft, though another engine is free.
+    // A prefill engine becomes unresponsive: it accepts requests and sends nothing. Its callers would wait until
+    // their deadline and receive no draft, although another engine has capacity.
     @Test
     public void should_compute_a_prompt_elsewhere_where_the_engine_has_gone_dark() throws Exception {
         CountDownLatch dark = new CountDownLatch(1);
@@ -228,9 +229,9 @@
         assertEquals(posts(silent).size() + posts(other).size(), 2);
     }
 
-    // An engine for answers turns a request away for want of memory. The prompt is computed again, which loads an
-    // engine a
-    // second time: both count against the budget of repeats, or a fleet that is short of memory gets twice the load.
+    // A decode engine rejects a request because it is out of memory. The prefill is repeated, which loads an engine
+    // a second time. Both repeats have to count against the repeat budget; otherwise a fleet that is short of
+    // memory gets twice the load.
     @Test
     public void should_count_a_prompt_that_is_computed_again_as_a_repeat() throws Exception {
         backend("prefill", EngineRole.PREFILL, StreamTest::computes);
@@ -261,7 +262,7 @@
                 gateway.metrics());
     }
 
-    // The engine that should compute the prompt takes nothing. The other can do both parts, only slower.
+    // The prefill engine accepts no request. The other engine can do both stages, only slower.
     @Test
     public void should_answer_without_a_computed_prompt_where_none_can_be_had() throws Exception {
         backend("prefill", EngineRole.PREFILL, request -> Reply.thenClose(""));
@@ -275,9 +276,8 @@
         assertTrue(posts(decode).getFirst().header(TestProtocols.SOURCE).isEmpty());
     }
 
-    // All entries have been restarted and remember nothing, while the engines still keep what they have computed.
-    // Placed
-    // anywhere else, every prompt would be computed anew in the seconds in which the callers come back.
+    // All entries have been restarted and have lost their state, while the engines still have prompts cached.
+    // Prompts placed at other engines would all be computed again within the seconds in which the callers retry.
     @Test
     public void should_learn_what_engines_keep_when_it_starts() throws Exception {
         for (int engine = 0; engine < 5; engine++) {
@@ -294,7 +294,7 @@
         assertTrue(keeps.received().stream().anyMatch(request -> request.line().startsWith("POST")));
     }
 
-    /** Returns the engine that has got a caller's request. */
+    /** Waits until one of the engines has received a caller's request; returns its id. */
     private static String serving(ScriptedBackend first, ScriptedBackend second) {
         while (true) {
             if (!posts(first).isEmpty()) {
@@ -307,7 +307,7 @@
         }
     }
 
-    /** An entry also asks engines what they keep; only callers' requests are posted. */
+    /** Returns the callers' requests that a backend has received; an entry's cache queries are not POST requests. */
     private static List<ReceivedRequest> posts(ScriptedBackend backend) {
         return backend.received().stream()
                 .filter(request -> request.line().startsWith("POST"))
