--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -42,10 +42,10 @@
 import org.aspenmoor.internal.gateway.quarantine.FatalRequestKeeper;
 import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
 import org.aspenmoor.internal.gateway.request.GatewayMetrics;
+import org.aspenmoor.internal.gateway.request.RequestDependencies;
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
-import org.aspenmoor.internal.gateway.request.RequestTools;
 import org.aspenmoor.internal.gateway.request.ServingState;
-import org.aspenmoor.internal.gateway.request.WaitingRequests;
+import org.aspenmoor.internal.gateway.request.WaitQueues;
 import org.aspenmoor.internal.gateway.roles.FleetSnapshot;
 import org.aspenmoor.internal.gateway.roles.RoleKeeper;
 import org.aspenmoor.internal.gateway.settings.GatewaySettings;
@@ -76,7 +76,7 @@
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final ServingState state;
     private final BackendConnections connections;
-    private final WaitingRequests lines;
+    private final WaitQueues lines;
     private final FatalRequests fatalRequests;
     private final RequestDispatcher dispatcher;
     private final CallerServer callers;
@@ -103,14 +103,14 @@
         this.backendProtocol = backendProtocol;
         this.state = new ServingState(time, random, settings.repeats(), log, settings.placement());
         this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
-        this.lines = new WaitingRequests(time, eventLoop);
+        this.lines = new WaitQueues(time, eventLoop);
         this.fatalRequests = new FatalRequests(time, log);
-        RequestTools tools = new RequestTools(
+        RequestDependencies tools = new RequestDependencies(
                 state,
                 connections,
                 backendProtocol,
                 eventLoop,
-                new GatewayMetrics(registry, connections::opened, state::servers, fatalRequests::quarantined),
+                new GatewayMetrics(registry, connections::opened, state::serverSummaries, fatalRequests::quarantined),
                 lines,
                 fatalRequests);
         this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.mostBodyBytes());
@@ -134,7 +134,7 @@
                 ObjectKind.BACKEND_SERVER,
                 new ServerListener(decoder, state, connections, eventLoop, time, log, store::generation));
         FatalRequestKeeper keeper =
-                new FatalRequestKeeper(store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
+                new FatalRequestKeeper(store, fatalRequests, state::fatalRequestsLoaded, eventLoop, time, random, log);
         follow(store, storeSettings, ObjectKind.FATAL_REQUEST, keeper);
         keeper.start();
         GaugeWithCallback.builder()
@@ -209,25 +209,25 @@
         ObjectKey key = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
         OrderRight right = new OrderRight(store, key, settings.process(), time);
         Supplier<FleetSnapshot> fleet =
-                () -> CompletableFuture.supplyAsync(() -> state.snapshot(settings.process()), eventLoop)
+                () -> CompletableFuture.supplyAsync(() -> state.fleetSnapshot(settings.process()), eventLoop)
                         .join();
-        Consumer<RoleChange> accepted = change -> eventLoop.execute(() -> state.roleOrdered(change));
+        Consumer<RoleChange> accepted = change -> eventLoop.execute(() -> state.roleChangeOrdered(change));
         new RoleKeeper(settings.process(), fleet, accepted, right, connections, backendProtocol, eventLoop, log)
                 .start();
     }
 
     private void heard(PeerReport report) {
-        state.peerHeard(report, time.monotonicNanoseconds());
+        state.peerReported(report, time.monotonicNanoseconds());
         fatalRequests.heard(report.ends(), report.entry());
     }
 
     private void tellPeers() {
         peers.tell(
-                state.ownShares(),
-                state.takeUntoldPrompts(),
+                state.ownLoadShares(),
+                state.takeUnreportedPrompts(),
                 state.learntSpeeds(),
                 state.eventLengths(),
-                state.roleChanges(),
+                state.pendingRoleChanges(),
                 fatalRequests.takeNews(),
                 stop.begun());
         eventLoop.schedule(this::tellPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
@@ -237,8 +237,8 @@
         long now = time.monotonicNanoseconds();
         state.expirePeers(now);
         fatalRequests.check();
-        state.samplePressure(lines::anyFor);
-        state.takeUnlistedEngines().forEach(this::askCache);
+        state.samplePressure(lines::anyWaiting);
+        state.takeEnginesToList().forEach(this::askCache);
         state.expireServers(now).forEach(connections::forget);
         connections.closeStale();
         callers.check(now);
@@ -255,7 +255,7 @@
                         .write();
                 return;
             }
-            state.cacheListed(engine, backendProtocol.readCache(told.body()), time.monotonicNanoseconds());
+            state.cacheListingReceived(engine, backendProtocol.readCache(told.body()), time.monotonicNanoseconds());
         });
         connections.send(engine, "", backendProtocol.askCache(engine.id()), answer);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -46,13 +46,13 @@
         dump.put(
                 "configuration",
                 state.configuration().map(ServingConfiguration::version).orElse(-1L));
-        dump.put("otherEntries", state.heardEntries());
+        dump.put("otherEntries", state.peerCount());
         dump.put("callerConnections", callers.open());
         dump.put("requests", callers.serving());
         dump.put("connectionsOpened", connections.opened());
         dump.put("quarantinedRequests", fatalRequests.quarantined());
         ArrayNode servers = dump.putArray("servers");
-        state.servers().forEach(server -> describe(server, servers.addObject()));
+        state.serverSummaries().forEach(server -> describe(server, servers.addObject()));
         return dump;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -17,28 +17,28 @@
  */
 public final class DecisionLog {
     /** Maximum rate of routine lines: enough to follow single requests, at little cost compared with the requests. */
-    private static final double USUAL_LINES_PER_SECOND = 40;
+    private static final double ROUTINE_LINES_PER_SECOND = 40;
 
     /** Maximum rate of lines about refusals, failures and changes of known state. */
     private static final double NOTABLE_LINES_PER_SECOND = 200;
 
     private static final double BURST_SECONDS = 2;
-    private static final int MOST_WAITING_LINES = 1024;
+    private static final int MAX_QUEUED_LINES = 1024;
 
     private final TimeSource time;
     private final String process;
     private final PrintStream out;
-    private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING_LINES);
-    private final AtomicLong leftOut = new AtomicLong();
-    private final AtomicLong toldLeftOut = new AtomicLong();
-    private final TokenBucket usual;
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong reportedDropped = new AtomicLong();
+    private final TokenBucket routine;
     private final TokenBucket notable;
 
     public DecisionLog(TimeSource time, String process, PrintStream out) {
         this.time = time;
         this.process = process;
         this.out = out;
-        this.usual = new TokenBucket(time, USUAL_LINES_PER_SECOND, USUAL_LINES_PER_SECOND * BURST_SECONDS);
+        this.routine = new TokenBucket(time, ROUTINE_LINES_PER_SECOND, ROUTINE_LINES_PER_SECOND * BURST_SECONDS);
         this.notable = new TokenBucket(time, NOTABLE_LINES_PER_SECOND, NOTABLE_LINES_PER_SECOND * BURST_SECONDS);
     }
 
@@ -48,8 +48,8 @@
     }
 
     /** Begins a line about a normal event. */
-    public LogLine usual(String event) {
-        return line(event, usual);
+    public LogLine routine(String event) {
+        return line(event, routine);
     }
 
     /** Begins a line about a refusal, a failure, or a change of the state known to this process. */
@@ -59,15 +59,15 @@
 
     /** Writes the queued lines; called when the process stops. */
     public void flush() {
-        for (String line = waiting.poll(); line != null; line = waiting.poll()) {
+        for (String line = queue.poll(); line != null; line = queue.poll()) {
             out.println(line);
         }
         out.flush();
     }
 
     /** Returns how many lines have been dropped since the start. */
-    public long leftOut() {
-        return leftOut.get();
+    public long droppedLines() {
+        return dropped.get();
     }
 
     private LogLine line(String event, TokenBucket bucket) {
@@ -76,32 +76,32 @@
             granted = bucket.take();
         }
         if (!granted) {
-            leftOut.incrementAndGet();
-            return new LogLine(null, this::offer);
+            dropped.incrementAndGet();
+            return new LogLine(null, this::enqueue);
         }
-        LogLine line = new LogLine(JsonNodeFactory.instance.objectNode(), this::offer)
+        LogLine line = new LogLine(JsonNodeFactory.instance.objectNode(), this::enqueue)
                 .with("time", time.timeOfDay().toString())
                 .with("process", process)
                 .with("event", event);
-        long missing = leftOut.get();
-        if (missing != toldLeftOut.getAndSet(missing)) {
-            line.with("leftOut", missing);
+        long droppedNow = dropped.get();
+        if (droppedNow != reportedDropped.getAndSet(droppedNow)) {
+            line.with("leftOut", droppedNow);
         }
         return line;
     }
 
-    private void offer(String line) {
-        if (!waiting.offer(line)) {
-            leftOut.incrementAndGet();
+    private void enqueue(String line) {
+        if (!queue.offer(line)) {
+            dropped.incrementAndGet();
         }
     }
 
     private void writeAll() {
         try {
             while (true) {
-                out.println(waiting.take());
+                out.println(queue.take());
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
@@ -8,7 +8,7 @@
  */
 public final class DependencyLog {
     private final DecisionLog log;
-    private final String name;
+    private final String dependency;
     private long failures;
 
     /**
@@ -16,9 +16,9 @@
      *
      * @param name the data that this process reads from the dependency
      */
-    public DependencyLog(DecisionLog log, String name) {
+    public DependencyLog(DecisionLog log, String dependency) {
         this.log = log;
-        this.name = name;
+        this.dependency = dependency;
     }
 
     /** Records a failed call. */
@@ -26,17 +26,17 @@
         failures++;
         if (failures == 1) {
             log.notable("store-lost")
-                    .with("following", name)
+                    .with("following", dependency)
                     .with("reason", reason)
                     .write();
         }
     }
 
     /** Records a successful call. */
-    public synchronized void back() {
+    public synchronized void restored() {
         if (failures > 0) {
             log.notable("store-back")
-                    .with("following", name)
+                    .with("following", dependency)
                     .with("failedCalls", failures)
                     .write();
             failures = 0;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/StoreGenerationLog.java
@@ -3,10 +3,10 @@
 import org.aspenmoor.internal.store.client.StoreGeneration;
 
 /** Logs changes of the store's history generation as reported in its answers. */
-public final class GenerationLog implements StoreGeneration.Listener {
+public final class StoreGenerationLog implements StoreGeneration.Listener {
     private final DecisionLog log;
 
-    public GenerationLog(DecisionLog log) {
+    public StoreGenerationLog(DecisionLog log) {
         this.log = log;
     }
 
@@ -19,10 +19,10 @@
     }
 
     @Override
-    public void fell(long before, long told) {
+    public void fell(long before, long reported) {
         log.notable("store-generation-not-believed")
                 .with("generation", before)
-                .with("told", told)
+                .with("told", reported)
                 .write();
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
@@ -51,7 +51,7 @@
 
     @Override
     public void synchronised() {
-        configurations.back();
+        configurations.restored();
     }
 
     @Override
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
@@ -53,7 +53,7 @@
     public void changed(StoredObject object) {
         try {
             BackendServer read = decoder.readServer(object);
-            eventLoop.execute(() -> state.serverChanged(read));
+            eventLoop.execute(() -> state.serverRegistered(read));
         } catch (StoreMalformedException malformed) {
             // Anybody may write a registration that makes no sense. It names no server to use; the others hold.
             log.notable("server-unreadable")
@@ -72,16 +72,16 @@
 
     @Override
     public void synchronised() {
-        registrations.back();
+        registrations.restored();
         noteGeneration();
         synchronisedBefore = true;
-        eventLoop.execute(() -> state.serversSynchronised(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> state.serverListSynchronised(time.monotonicNanoseconds()));
     }
 
     @Override
     public void interrupted(StoreException cause) {
         registrations.lost(cause.problem());
-        eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> state.serverListInterrupted(time.monotonicNanoseconds()));
     }
 
     /** A server may be missing because the store has lost its last seconds, and not because it has left. */
@@ -90,7 +90,7 @@
         boolean rose = synchronisedBefore && now > knownGeneration;
         knownGeneration = now;
         if (rose) {
-            eventLoop.execute(() -> state.storeCameBackOlder(time.monotonicNanoseconds()));
+            eventLoop.execute(() -> state.storeRolledBack(time.monotonicNanoseconds()));
         }
     }
 
@@ -98,7 +98,7 @@
         String id = object.key().name();
         noteGeneration();
         eventLoop.execute(() -> {
-            if (state.serverMissing(id, time.monotonicNanoseconds())) {
+            if (state.registrationMissing(id, time.monotonicNanoseconds())) {
                 connections.forget(id);
             }
         });
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
@@ -71,7 +71,7 @@
                 register();
                 addresses.put(key.name(), address);
             }
-            entries.back();
+            entries.restored();
             listener.accept(addresses);
             return LISTING_PAUSE;
         } catch (StoreException failure) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
@@ -110,7 +110,7 @@
 
     @Override
     public void synchronised() {
-        dependency.back();
+        dependency.restored();
         eventLoop.execute(known);
         changes.release();
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -21,20 +21,20 @@
  */
 final class AnswerAttempt implements ExchangeListener, WatchedAttempt {
     /** Maximum size of a buffered answer; answers of plain services have some kilobytes. */
-    private static final int MOST_KEPT_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
     private final ServedRequest request;
     private final BackendServer server;
     private final PlacedWork work;
     private final boolean streamed;
-    private final ByteBuf kept = Unpooled.buffer();
+    private final ByteBuf buffered = Unpooled.buffer();
     private final EventSplitter events = new EventSplitter();
     private HttpResponse head;
     private AnswerFacts facts;
     private boolean begun;
     private long begunAt;
-    private long heardAt;
-    private boolean over;
+    private long lastEventAt;
+    private boolean finished;
 
     AnswerAttempt(ServedRequest request, BackendServer server, PlacedWork work, boolean streamed) {
         this.request = request;
@@ -48,49 +48,49 @@
         head = answerHead;
         facts = answerFacts;
         request.loadReported(work, answerFacts);
-        if (!streams() && !answerFacts.notExecuted()) {
-            noteBegin();
+        if (!isStream() && !answerFacts.notExecuted()) {
+            markBegun();
         }
     }
 
     @Override
     public void data(ByteBuf part) {
-        if (streams()) {
+        if (isStream()) {
             events.add(part);
-            passEventsOn();
+            forwardEvents();
             return;
         }
-        if (kept.readableBytes() + part.readableBytes() <= MOST_KEPT_BYTES) {
-            kept.writeBytes(part, part.readerIndex(), part.readableBytes());
+        if (buffered.readableBytes() + part.readableBytes() <= MAX_BUFFERED_BYTES) {
+            buffered.writeBytes(part, part.readerIndex(), part.readableBytes());
         }
     }
 
     @Override
     public void complete() {
-        if (over) {
+        if (finished) {
             return;
         }
-        if (streams() && events.holdsPart()) {
-            ended(new AttemptEnd.Lost(), "the stream ended in the middle of an event");
-        } else if (streams()) {
+        if (isStream() && events.hasPartialEvent()) {
+            endAttempt(new AttemptEnd.Lost(), "the stream ended in the middle of an event");
+        } else if (isStream()) {
             request.streamComplete(work, begun);
             release();
         } else {
-            completeKept();
+            completeBuffered();
         }
     }
 
     @Override
     public void neverSent(String reason) {
-        ended(new AttemptEnd.NeverSent(), reason);
+        endAttempt(new AttemptEnd.NeverSent(), reason);
     }
 
     @Override
     public void broken(String reason) {
-        if (!over) {
-            request.serverEnds().connectionBroke(server, work, told());
+        if (!finished) {
+            request.fatalRequestCheck().connectionBroken(server, work, sinceAnswerBegan());
         }
-        ended(new AttemptEnd.Lost(), reason);
+        endAttempt(new AttemptEnd.Lost(), reason);
     }
 
     @Override
@@ -104,25 +104,25 @@
     }
 
     /** Returns whether the answer is an event stream of which at least one event has arrived. */
-    boolean telling() {
-        return begun && streams();
+    boolean midStream() {
+        return begun && isStream();
     }
 
     /** Returns when the last event arrived, in nanoseconds of the monotonic clock. */
-    long heardAt() {
-        return heardAt;
+    long lastEventAt() {
+        return lastEventAt;
     }
 
     /** Ends the attempt and releases its buffers. */
     void release() {
-        if (!over) {
-            over = true;
-            kept.release();
+        if (!finished) {
+            finished = true;
+            buffered.release();
             events.release();
         }
     }
 
-    private boolean streams() {
+    private boolean isStream() {
         return streamed && succeeded() && facts.signed();
     }
 
@@ -130,23 +130,23 @@
         return head.status().codeClass() == HttpStatusClass.SUCCESS;
     }
 
-    private void passEventsOn() {
+    private void forwardEvents() {
         for (Optional<ByteBuf> event = events.next(); event.isPresent(); event = events.next()) {
-            heardAt = request.now();
-            noteBegin();
-            request.eventCame(head, event.get());
-            if (over) {
+            lastEventAt = request.now();
+            markBegun();
+            request.eventReceived(head, event.get());
+            if (finished) {
                 return;
             }
         }
     }
 
     /** Returns the time since the answer began; zero if it has not begun. */
-    private Duration told() {
+    private Duration sinceAnswerBegan() {
         return begun ? Duration.ofNanos(request.now() - begunAt) : Duration.ZERO;
     }
 
-    private void noteBegin() {
+    private void markBegun() {
         if (!begun) {
             begun = true;
             begunAt = request.now();
@@ -154,24 +154,24 @@
         }
     }
 
-    private void completeKept() {
+    private void completeBuffered() {
         if (facts.notExecuted()) {
-            ended(
+            endAttempt(
                     rejection(head.status()),
                     "the server did not run the request: status "
                             + head.status().code());
             return;
         }
         if (succeeded() && !(facts.signed() && facts.requestId().isPresent())) {
-            ended(new AttemptEnd.Lost(), "the answer has no signature or no request id");
+            endAttempt(new AttemptEnd.Lost(), "the answer has no signature or no request id");
             return;
         }
-        if (head.status().codeClass() == HttpStatusClass.SERVER_ERROR || promisesNoRun(head.status())) {
-            request.failureCame(work, head, kept.copy(), facts);
+        if (head.status().codeClass() == HttpStatusClass.SERVER_ERROR || impliesNoRun(head.status())) {
+            request.failureReceived(work, head, buffered.copy(), facts);
             release();
             return;
         }
-        request.answerComplete(work, head, kept.copy());
+        request.answerComplete(work, head, buffered.copy());
         release();
     }
 
@@ -186,15 +186,15 @@
      * Returns whether callers take this status to mean that the request was not run. It is trusted only if the server
      * also states so explicitly.
      */
-    static boolean promisesNoRun(HttpResponseStatus status) {
+    static boolean impliesNoRun(HttpResponseStatus status) {
         return status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
                 || status.code() == HttpResponseStatus.TOO_MANY_REQUESTS.code()
                 || status.code() == HttpResponseStatus.REQUEST_TIMEOUT.code()
                 || status.code() == HttpResponseStatus.MISDIRECTED_REQUEST.code();
     }
 
-    private void ended(AttemptEnd end, String reason) {
-        if (over) {
+    private void endAttempt(AttemptEnd end, String reason) {
+        if (finished) {
             return;
         }
         release();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
@@ -11,21 +11,21 @@
  * it.
  */
 final class AnswerProgress {
-    private final Placer placer;
+    private final Placer placementPolicy;
     private final String service;
     private final Optional<Prompt> prompt;
     private final RequestTrace trace;
 
-    AnswerProgress(Placer placer, String service, Optional<Prompt> prompt, RequestTrace trace) {
-        this.placer = placer;
+    AnswerProgress(Placer placementPolicy, String service, Optional<Prompt> prompt, RequestTrace trace) {
+        this.placementPolicy = placementPolicy;
         this.service = service;
         this.prompt = prompt;
         this.trace = trace;
     }
 
     /** Records that the answer has to be complete within the given time. */
-    void wanted(Duration allowed, long now) {
-        prompt.ifPresent(wanted -> placer.answerWanted(service, wanted, allowed, now));
+    void expectWithin(Duration allowed, long now) {
+        prompt.ifPresent(expected -> placementPolicy.answerWanted(service, expected, allowed, now));
     }
 
     /**
@@ -34,13 +34,13 @@
      * @param work the attempt that it belongs to
      * @param allowed the time limit of the request
      */
-    void event(PlacedWork work, Duration allowed, long now) {
-        trace.event(now).ifPresent(pause -> placer.eventTold(work, pause, now));
-        placer.answerTold(service, trace.told(), allowed, now);
+    void eventReceived(PlacedWork work, Duration allowed, long now) {
+        trace.eventReceived(now).ifPresent(gap -> placementPolicy.eventTold(work, gap, now));
+        placementPolicy.answerTold(service, trace.answerDuration(), allowed, now);
     }
 
     /** Records that the answer is complete. */
-    void whole() {
-        prompt.ifPresent(answered -> placer.answerWhole(service, answered, trace.events()));
+    void completed() {
+        prompt.ifPresent(answered -> placementPolicy.answerWhole(service, answered, trace.events()));
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -27,15 +27,15 @@
     }
 
     /** Returns the message that asks an engine for prefill only. */
-    FullHttpRequest prompt(Placement.Staged staged, Optional<String> lastEvent, long now) {
+    FullHttpRequest prefillRequest(Placement.Staged staged, Optional<String> lastEventId, long now) {
         return message(new Delivery(
                 staged.prefill().id(),
-                left(now),
+                remaining(now),
                 staged.promptRank(route.priority()),
                 WantedWork.PROMPT_ONLY,
                 Optional.empty(),
                 staged.holder(),
-                lastEvent));
+                lastEventId));
     }
 
     /**
@@ -45,21 +45,21 @@
      * @param holder an engine that probably caches the shared beginning of the prompt
      * @param lastEventId the last event that the caller has received, after which a resumed answer continues
      */
-    FullHttpRequest answer(
+    FullHttpRequest answerRequest(
             BackendServer server,
             Optional<CacheSource> source,
             Optional<BackendServer> holder,
-            Optional<String> lastEvent,
+            Optional<String> lastEventId,
             long now) {
-        return message(
-                new Delivery(server.id(), left(now), route.priority(), WantedWork.ANSWER, source, holder, lastEvent));
+        return message(new Delivery(
+                server.id(), remaining(now), route.priority(), WantedWork.ANSWER, source, holder, lastEventId));
     }
 
     private FullHttpRequest message(Delivery delivery) {
         return OutgoingMessage.request(incoming, protocol, delivery);
     }
 
-    private Duration left(long now) {
+    private Duration remaining(long now) {
         return Duration.ofNanos(Math.max(0, deadline - now));
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
@@ -15,23 +15,23 @@
  */
 final class CallerStream {
     private final CallerLink link;
-    private Optional<String> lastEvent = Optional.empty();
+    private Optional<String> lastEventId = Optional.empty();
     private boolean begun;
 
     CallerStream(CallerLink link) {
         this.link = link;
     }
 
-    void pass(HttpResponse head, ByteBuf event) {
-        Optional<String> identity = EventSplitter.identity(event);
+    void forward(HttpResponse head, ByteBuf event) {
+        Optional<String> eventId = EventSplitter.eventId(event);
         if (!begun) {
             begun = true;
-            HttpResponse first = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
-            first.headers().set(ForwardedHeaders.copy(head.headers()));
-            link.begin(first);
+            HttpResponse callerHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
+            callerHead.headers().set(ForwardedHeaders.copy(head.headers()));
+            link.begin(callerHead);
         }
-        if (identity.isPresent()) {
-            lastEvent = identity;
+        if (eventId.isPresent()) {
+            lastEventId = eventId;
         }
         link.part(event);
     }
@@ -42,7 +42,7 @@
     }
 
     /** Returns the id of the last event that has one. */
-    Optional<String> lastEvent() {
-        return lastEvent;
+    Optional<String> lastEventId() {
+        return lastEventId;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -8,22 +8,22 @@
 
 /** The open attempt of a request; there is at most one at a time. Confined to the event loop. */
 final class CurrentAttempt {
-    private final RequestTools tools;
+    private final RequestDependencies dependencies;
     private final String service;
     private final Duration objective;
     private PlacedWork work;
     private Exchange exchange;
 
-    CurrentAttempt(RequestTools tools, String service, Duration objective) {
-        this.tools = tools;
+    CurrentAttempt(RequestDependencies dependencies, String service, Duration objective) {
+        this.dependencies = dependencies;
         this.service = service;
         this.objective = objective;
     }
 
     /** Begins an attempt and records it with the placement policy. */
     PlacedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
-        long now = tools.state().time().monotonicNanoseconds();
-        work = tools.state().placer().placed(server, kind, promptSeconds, objective, now);
+        long now = dependencies.state().time().monotonicNanoseconds();
+        work = dependencies.state().placementPolicy().placed(server, kind, promptSeconds, objective, now);
         return work;
     }
 
@@ -33,20 +33,20 @@
      * a later cancellation would cancel it instead of the open exchange, whose answer would then reach a request that
      * has moved on.
      */
-    void sent(PlacedWork of, Exchange sent) {
-        if (of.equals(work)) {
-            exchange = sent;
+    void setExchange(PlacedWork sentWork, Exchange newExchange) {
+        if (sentWork.equals(work)) {
+            exchange = newExchange;
         }
     }
 
     /** Ends an attempt and dispatches waiting requests, since its server can accept another one. */
-    void end(PlacedWork ended) {
-        tools.state().placer().ended(ended);
-        if (ended.equals(work)) {
+    void end(PlacedWork endedWork) {
+        dependencies.state().placementPolicy().ended(endedWork);
+        if (endedWork.equals(work)) {
             work = null;
             exchange = null;
         }
-        tools.lines().roomMayBe(service);
+        dependencies.waitQueues().dispatchWaiting(service);
     }
 
     /** Cancels the exchange; the caller of this method has to end the attempt. */
@@ -66,9 +66,9 @@
     }
 
     /** Pauses or resumes reading the answer. */
-    void read(boolean on) {
+    void setReading(boolean reading) {
         if (exchange != null) {
-            exchange.read(on);
+            exchange.read(reading);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StartingRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/DeferredRequest.java
@@ -5,13 +5,13 @@
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
 /** A request that arrived before this process was ready; it is served once the process is ready, or refused in time. */
-final class StartingRequest implements ActiveRequest {
+final class DeferredRequest implements ActiveRequest {
     private final long waitsUntil;
     private final Supplier<ActiveRequest> serve;
     private final Supplier<ActiveRequest> refuse;
     private final Runnable release;
-    private Optional<ActiveRequest> begun = Optional.empty();
-    private boolean left;
+    private Optional<ActiveRequest> started = Optional.empty();
+    private boolean callerHasLeft;
 
     /**
      * Creates a deferred request.
@@ -21,7 +21,7 @@
      * @param refuse refuses the request and asks its caller to retry
      * @param release releases the resources of the request, if its caller leaves before it is served or refused
      */
-    StartingRequest(long waitsUntil, Supplier<ActiveRequest> serve, Supplier<ActiveRequest> refuse, Runnable release) {
+    DeferredRequest(long waitsUntil, Supplier<ActiveRequest> serve, Supplier<ActiveRequest> refuse, Runnable release) {
         this.waitsUntil = waitsUntil;
         this.serve = serve;
         this.refuse = refuse;
@@ -29,29 +29,29 @@
     }
 
     /** Serves or refuses the request if it is time to; returns whether it has stopped waiting. */
-    boolean settled(boolean ready, long now) {
-        if (left) {
+    boolean settle(boolean ready, long now) {
+        if (callerHasLeft) {
             return true;
         }
         if (!ready && now < waitsUntil) {
             return false;
         }
-        begun = Optional.of(ready ? serve.get() : refuse.get());
+        started = Optional.of(ready ? serve.get() : refuse.get());
         return true;
     }
 
     @Override
     public void callerLeft() {
-        if (begun.isPresent()) {
-            begun.get().callerLeft();
+        if (started.isPresent()) {
+            started.get().callerLeft();
             return;
         }
-        left = true;
+        callerHasLeft = true;
         release.run();
     }
 
     @Override
     public void writabilityChanged() {
-        begun.ifPresent(ActiveRequest::writabilityChanged);
+        started.ifPresent(ActiveRequest::writabilityChanged);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EventSplitter.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EventSplitter.java
@@ -16,11 +16,11 @@
     private static final String ID_FIELD = "id:";
 
     private final ByteBuf pending = Unpooled.buffer();
-    private int searched;
+    private int searchedTo;
 
     /** Adds bytes of the stream. */
-    void add(ByteBuf part) {
-        pending.writeBytes(part, part.readerIndex(), part.readableBytes());
+    void add(ByteBuf bytes) {
+        pending.writeBytes(bytes, bytes.readerIndex(), bytes.readableBytes());
     }
 
     /** Returns the next complete event including the empty line that ends it. */
@@ -30,21 +30,21 @@
             return Optional.empty();
         }
         ByteBuf event = pending.readBytes(end - pending.readerIndex());
-        searched = pending.readerIndex();
+        searchedTo = pending.readerIndex();
         if (!pending.isReadable()) {
             pending.clear();
-            searched = 0;
+            searchedTo = 0;
         }
         return Optional.of(event);
     }
 
     /** Returns whether bytes of an incomplete event are buffered. */
-    boolean holdsPart() {
+    boolean hasPartialEvent() {
         return pending.isReadable();
     }
 
     /** Returns the value of the event's {@code id} field. */
-    static Optional<String> identity(ByteBuf event) {
+    static Optional<String> eventId(ByteBuf event) {
         String text = event.toString(StandardCharsets.UTF_8);
         for (String line : text.split("\n", -1)) {
             if (line.startsWith(ID_FIELD)) {
@@ -59,20 +59,20 @@
     }
 
     private int endOfEvent() {
-        int from = Math.max(pending.readerIndex(), searched);
-        for (int index = from; index < pending.writerIndex(); index++) {
+        int start = Math.max(pending.readerIndex(), searchedTo);
+        for (int index = start; index < pending.writerIndex(); index++) {
             if (pending.getByte(index) != '\n') {
                 continue;
             }
-            int before = index - 1;
-            if (before >= pending.readerIndex() && pending.getByte(before) == '\r') {
-                before--;
+            int previous = index - 1;
+            if (previous >= pending.readerIndex() && pending.getByte(previous) == '\r') {
+                previous--;
             }
-            if (before >= pending.readerIndex() && pending.getByte(before) == '\n') {
+            if (previous >= pending.readerIndex() && pending.getByte(previous) == '\n') {
                 return index + 1;
             }
         }
-        searched = pending.writerIndex();
+        searchedTo = pending.writerIndex();
         return -1;
     }
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/FatalRequestCheck.java
@@ -0,0 +1,132 @@
+package org.aspenmoor.internal.gateway.request;
+
+import java.time.Duration;
+import java.util.Optional;
+import org.aspenmoor.internal.gateway.caller.IncomingRequest;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.serving.BackendServer;
+import org.aspenmoor.internal.serving.PlacedWork;
+import org.aspenmoor.internal.serving.quarantine.Quarantine;
+import org.aspenmoor.internal.serving.quarantine.RequestDigest;
+import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.Verdict;
+
+/**
+ * Checks whether one request is quarantined because it terminates servers, and reports terminations that its own
+ * attempts cause. Confined to the event loop.
+ */
+final class FatalRequestCheck {
+    /** If a server terminates later than this after an answer began, the request is not considered the cause. */
+    private static final Duration MAX_FATAL_RUN = Duration.ofSeconds(1);
+
+    private final RequestDependencies dependencies;
+    private final FatalRequests fatalRequests;
+    private final String requestId;
+    private final String service;
+    private final IncomingRequest incoming;
+    private final RequestTrace trace;
+    private RequestDigest digest;
+    private int unconfirmedTerminations;
+
+    FatalRequestCheck(
+            RequestDependencies dependencies,
+            String requestId,
+            String service,
+            IncomingRequest incoming,
+            RequestTrace trace) {
+        this.dependencies = dependencies;
+        this.fatalRequests = dependencies.fatalRequests();
+        this.requestId = requestId;
+        this.service = service;
+        this.incoming = incoming;
+        this.trace = trace;
+    }
+
+    /** Returns the remaining quarantine time of the request and records the refusal; empty if the request may run. */
+    Optional<Duration> checkQuarantine() {
+        return switch (decision()) {
+            case Verdict.Clear clear -> Optional.empty();
+            case Verdict.Suspected suspected -> Optional.empty();
+            case Verdict.Quarantined quarantined -> {
+                dependencies.metrics().quarantined(service);
+                trace.setReason("running it has terminated backend servers, " + quarantined.ends() + " so far; digest "
+                        + digest().text());
+                yield Optional.of(quarantined.left());
+            }
+        };
+    }
+
+    /** Returns whether the request may be sent to another server, counting terminations that are not yet confirmed. */
+    boolean mayRepeat() {
+        return switch (decision()) {
+            case Verdict.Clear clear -> unconfirmedTerminations < Quarantine.LEAST_ENDS;
+            case Verdict.Suspected suspected -> suspected.ends() + unconfirmedTerminations < Quarantine.LEAST_ENDS;
+            case Verdict.Quarantined quarantined -> false;
+        };
+    }
+
+    /** Records that the request was answered, which clears it. */
+    void answered() {
+        fatalRequests.answered(digest());
+    }
+
+    /** Returns the request's digest, computed on first use. */
+    RequestDigest digest() {
+        if (digest == null) {
+            digest = RequestDigests.of(incoming);
+        }
+        return digest;
+    }
+
+    /**
+     * Records that a connection broke before the answer was complete, and probes whether the server has terminated.
+     *
+     * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
+     */
+    void connectionBroken(BackendServer server, PlacedWork work, Duration sinceAnswerBegan) {
+        Duration sinceSent =
+                Duration.ofNanos(dependencies.state().time().monotonicNanoseconds() - work.atNanoseconds());
+        InterruptedAttempt attempt = new InterruptedAttempt(requestId, digest(), server, sinceSent, sinceAnswerBegan);
+        unconfirmedTerminations++;
+        dependencies.connections().probe(server, terminated -> probed(attempt, terminated));
+    }
+
+    private Verdict decision() {
+        return fatalRequests.empty() ? new Verdict.Clear() : fatalRequests.verdict(digest());
+    }
+
+    private void probed(InterruptedAttempt attempt, boolean terminated) {
+        unconfirmedTerminations--;
+        if (!terminated) {
+            return;
+        }
+        BackendServer server = attempt.server();
+        boolean planned = !dependencies.state().acceptsWork(server);
+        dependencies.metrics().serverTerminated(server.service(), planned);
+        logTermination(attempt, planned);
+        if (!planned && attempt.sinceAnswerBegan().compareTo(MAX_FATAL_RUN) <= 0) {
+            fatalRequests.serverEnded(attempt.digest(), ServerStart.of(server));
+        }
+    }
+
+    private void logTermination(InterruptedAttempt attempt, boolean planned) {
+        BackendServer server = attempt.server();
+        long now = dependencies.state().time().monotonicNanoseconds();
+        long requests = Math.round(
+                dependencies.state().placementPolicy().load(server.id(), now).requests());
+        dependencies
+                .state()
+                .log()
+                .notable("server-ended")
+                .with("request", attempt.requestId())
+                .with("digest", attempt.digest().text())
+                .with("service", server.service())
+                .with("server", server.id())
+                .with("startedAt", server.startedAt())
+                .with("planned", Boolean.toString(planned))
+                .with("askedMs", attempt.sinceSent().toMillis())
+                .with("toldMs", attempt.sinceAnswerBegan().toMillis())
+                .with("requests", requests)
+                .write();
+    }
+}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ForwardedHeaders.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ForwardedHeaders.java
@@ -8,7 +8,7 @@
 
 /** Copies the end-to-end headers of a message; hop-by-hop headers are left out. */
 final class ForwardedHeaders {
-    private static final List<CharSequence> OF_ONE_CONNECTION = List.of(
+    private static final List<CharSequence> HOP_BY_HOP = List.of(
             HttpHeaderNames.CONNECTION,
             "keep-alive",
             "proxy-connection",
@@ -23,19 +23,19 @@
 
     private ForwardedHeaders() {}
 
-    static HttpHeaders copy(HttpHeaders from) {
+    static HttpHeaders copy(HttpHeaders original) {
         HttpHeaders copy = new DefaultHttpHeaders();
-        for (Map.Entry<String, String> header : from) {
+        for (Map.Entry<String, String> header : original) {
             copy.add(header.getKey(), header.getValue());
         }
-        for (String listed : from.getAll(HttpHeaderNames.CONNECTION)) {
-            for (String name : listed.split(",", -1)) {
+        for (String connectionOptions : original.getAll(HttpHeaderNames.CONNECTION)) {
+            for (String name : connectionOptions.split(",", -1)) {
                 if (!name.isBlank()) {
                     copy.remove(name.strip());
                 }
             }
         }
-        OF_ONE_CONNECTION.forEach(copy::remove);
+        HOP_BY_HOP.forEach(copy::remove);
         return copy;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
@@ -16,7 +16,7 @@
     private final Counter requests;
     private final Counter attempts;
     private final Counter repeats;
-    private final Counter serverEnds;
+    private final Counter serverTerminations;
     private final Counter quarantinedArrivals;
     private final Histogram firstByteSeconds;
 
@@ -47,7 +47,7 @@
                 .help("Repeated arrivals asked of the shared budget, by service and whether it granted them.")
                 .labelNames("service", "granted")
                 .register(registry);
-        this.serverEnds = Counter.builder()
+        this.serverTerminations = Counter.builder()
                 .name("aspenmoor_requests_at_server_end_total")
                 .help(
                         "Requests that a backend server had when it ended, by service and whether it had said that it leaves.")
@@ -83,37 +83,37 @@
                 .help("Requests at a backend server, of all entries, by server and role.")
                 .labelNames("server", "role")
                 .callback(callback -> servers.get()
-                        .forEach(each -> callback.call(
-                                each.load().requests(),
-                                each.server().id(),
-                                each.server().role().name())))
+                        .forEach(summary -> callback.call(
+                                summary.load().requests(),
+                                summary.server().id(),
+                                summary.server().role().name())))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("aspenmoor_server_event_seconds")
                 .help("Seconds from one event of an answer to the next, of all entries, by server.")
                 .labelNames("server")
                 .callback(callback -> servers.get()
-                        .forEach(each -> each.load()
+                        .forEach(summary -> summary.load()
                                 .secondsPerEvent()
-                                .ifPresent(pace ->
-                                        callback.call(pace, each.server().id()))))
+                                .ifPresent(seconds ->
+                                        callback.call(seconds, summary.server().id()))))
                 .register(registry);
     }
 
-    void ended(String service, RequestOutcome outcome) {
+    void requestEnded(String service, RequestOutcome outcome) {
         requests.labelValues(service, outcome.name()).inc();
     }
 
-    void attempted(String service, String end) {
+    void attemptEnded(String service, String end) {
         attempts.labelValues(service, end).inc();
     }
 
-    void repeated(String service, boolean granted) {
+    void repeatRequested(String service, boolean granted) {
         repeats.labelValues(service, Boolean.toString(granted)).inc();
     }
 
-    void serverEnded(String service, boolean planned) {
-        serverEnds.labelValues(service, Boolean.toString(planned)).inc();
+    void serverTerminated(String service, boolean planned) {
+        serverTerminations.labelValues(service, Boolean.toString(planned)).inc();
     }
 
     void quarantined(String service) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoredAnswer.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoringExchangeListener.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.gateway.protocol.AnswerFacts;
 
 /** Ignores the outcome of a release call: a cache handle that is not released expires by itself some seconds later. */
-final class IgnoredAnswer implements ExchangeListener {
+final class IgnoringExchangeListener implements ExchangeListener {
     @Override
     public void head(HttpResponse head, AnswerFacts facts) {
         // Nothing depends on it.
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/BrokenRun.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/InterruptedAttempt.java
@@ -13,4 +13,5 @@
  * @param sinceSent time from sending the request to the break
  * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
  */
-record BrokenRun(String request, RequestDigest digest, BackendServer server, Duration asked, Duration told) {}
+record InterruptedAttempt(
+        String requestId, RequestDigest digest, BackendServer server, Duration sinceSent, Duration sinceAnswerBegan) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/EndedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LocallyAnsweredRequest.java
@@ -3,7 +3,7 @@
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
 /** A request that was answered without being sent to a backend server. */
-final class EndedRequest implements ActiveRequest {
+final class LocallyAnsweredRequest implements ActiveRequest {
     @Override
     public void callerLeft() {
         // There is no work to cancel.
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PendingHandoff.java
@@ -0,0 +1,33 @@
+package org.aspenmoor.internal.gateway.request;
+
+import java.util.Optional;
+
+/** The prefill cache of a request that no decode engine has transferred yet, if there is one. */
+final class PendingHandoff {
+    private final RequestDependencies dependencies;
+    private final String requestId;
+    private Optional<PrefilledPrompt> prompt = Optional.empty();
+
+    PendingHandoff(RequestDependencies dependencies, String requestId) {
+        this.dependencies = dependencies;
+        this.requestId = requestId;
+    }
+
+    Optional<PrefilledPrompt> prompt() {
+        return prompt;
+    }
+
+    void begin(PrefilledPrompt prefilled) {
+        prompt = Optional.of(prefilled);
+    }
+
+    void completed() {
+        prompt = Optional.empty();
+    }
+
+    /** Releases the cache at its engine; otherwise it would occupy the engine's memory until its handle expires. */
+    void release() {
+        prompt.ifPresent(prefilled -> prefilled.release(dependencies, requestId));
+        prompt = Optional.empty();
+    }
+}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequestFactory.java
@@ -7,42 +7,42 @@
 import org.aspenmoor.internal.serving.Route;
 
 /** Builds the placement requests of one caller's request. */
-final class PlacementRequests {
+final class PlacementRequestFactory {
     private final String service;
     private final CallerRequest caller;
     private final Route route;
     private final RequestTimes times;
     private final RequestTrace trace;
     private final CallerStream stream;
-    private final TriedServers tried;
+    private final TriedServers triedServers;
 
-    PlacementRequests(
+    PlacementRequestFactory(
             String service,
             CallerRequest caller,
             Route route,
             RequestTimes times,
             RequestTrace trace,
             CallerStream stream,
-            TriedServers tried) {
+            TriedServers triedServers) {
         this.service = service;
         this.caller = caller;
         this.route = route;
         this.times = times;
         this.trace = trace;
         this.stream = stream;
-        this.tried = tried;
+        this.triedServers = triedServers;
     }
 
-    PlacementRequest next(boolean othersWait, long now) {
-        Duration left = Duration.ofNanos(times.wantedBy(trace.lastEvent()) - now);
+    PlacementRequest create(boolean othersWait, long now) {
+        Duration remaining = Duration.ofNanos(times.wantedBy(trace.lastEventTime()) - now);
         return new PlacementRequest(
                 service,
                 caller.prompt(),
-                left,
+                remaining,
                 route.objective(),
                 stream.begun(),
-                tried.identities(),
-                tried.mayStage(),
+                triedServers.ids(),
+                triedServers.mayPrefill(),
                 caller.prompt().isPresent(),
                 othersWait);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -17,7 +17,7 @@
 /** The first stage of a generation: one engine does the prefill and holds the cache for another engine. */
 final class PrefillAttempt implements ExchangeListener, WatchedAttempt {
     /** From this length on, further data is ignored; an answer that contains a handle is far shorter. */
-    private static final int MOST_BODY_BYTES = 8192;
+    private static final int MAX_BODY_CHARACTERS = 8192;
 
     private final ServedRequest request;
     private final BackendProtocol protocol;
@@ -43,7 +43,7 @@
 
     @Override
     public void data(ByteBuf part) {
-        if (body.length() < MOST_BODY_BYTES) {
+        if (body.length() < MAX_BODY_CHARACTERS) {
             body.append(part.toString(StandardCharsets.UTF_8));
         }
     }
@@ -54,7 +54,7 @@
         Optional<String> handle = accepted ? protocol.readHandle(body.toString()) : Optional.empty();
         if (handle.isEmpty()) {
             AttemptEnd end = rejected ? AnswerAttempt.rejection(status) : new AttemptEnd.Failed();
-            request.prefillEnded(placement, work, end, "status " + status.code() + ", no handle");
+            request.prefillFailed(placement, work, end, "status " + status.code() + ", no handle");
             return;
         }
         CacheSource source =
@@ -74,17 +74,17 @@
 
     /** Ends the attempt after the exchange was cancelled because the engine stalled. */
     void stalled() {
-        request.prefillEnded(placement, work, new AttemptEnd.Lost(), "no answer arrived within the stall limit");
+        request.prefillFailed(placement, work, new AttemptEnd.Lost(), "no answer arrived within the stall limit");
     }
 
     @Override
     public void neverSent(String reason) {
-        request.prefillEnded(placement, work, new AttemptEnd.NeverSent(), reason);
+        request.prefillFailed(placement, work, new AttemptEnd.NeverSent(), reason);
     }
 
     @Override
     public void broken(String reason) {
-        request.serverEnds().connectionBroke(placement.prefill(), work, Duration.ZERO);
-        request.prefillEnded(placement, work, new AttemptEnd.Lost(), reason);
+        request.fatalRequestCheck().connectionBroken(placement.prefill(), work, Duration.ZERO);
+        request.prefillFailed(placement, work, new AttemptEnd.Lost(), reason);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ComputedPrompt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefilledPrompt.java
@@ -9,15 +9,18 @@
  * @param engine the prefill engine
  * @param source the address and handle of the cache
  */
-record ComputedPrompt(BackendServer engine, CacheSource source) {
+record PrefilledPrompt(BackendServer engine, CacheSource source) {
     /** Tells the engine that the cache will not be transferred, so that it can free the memory. */
-    void free(RequestTools tools, String requestId) {
-        tools.state()
+    void release(RequestDependencies dependencies, String requestId) {
+        dependencies
+                .state()
                 .log()
-                .usual("prompt-freed")
+                .routine("prompt-freed")
                 .with("request", requestId)
                 .with("server", engine.id())
                 .write();
-        tools.connections().send(engine, "", tools.protocol().release(source), new IgnoredAnswer());
+        dependencies
+                .connections()
+                .send(engine, "", dependencies.protocol().release(source), new IgnoringExchangeListener());
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
@@ -5,15 +5,15 @@
 import org.aspenmoor.internal.serving.WaitingLine;
 
 /** Records the steps of one request in the wait queue of its service: queued, dispatched to an engine, answered. */
-final class LinePlace {
-    private final RequestTools tools;
+final class QueueTracker {
+    private final RequestDependencies dependencies;
     private final ServedRequest request;
     private final RequestTimes times;
     private final RequestTrace trace;
-    private long departedAt;
+    private long dispatchedAt;
 
-    LinePlace(RequestTools tools, ServedRequest request, RequestTimes times, RequestTrace trace) {
-        this.tools = tools;
+    QueueTracker(RequestDependencies dependencies, ServedRequest request, RequestTimes times, RequestTrace trace) {
+        this.dependencies = dependencies;
         this.request = request;
         this.times = times;
         this.trace = trace;
@@ -24,26 +24,27 @@
      *
      * @param wantedBy when the answer has to begin at the latest to be of use, in nanoseconds of the monotonic clock
      */
-    void take(Placement.Held held, long wantedBy) {
-        trace.waits(now());
-        tools.lines()
+    void enqueue(Placement.Held held, long wantedBy) {
+        trace.queued(now());
+        dependencies
+                .waitQueues()
                 .add(new WaitingLine.Waiting<>(
                         request, held.promptSeconds(), times.arrivedAt(), times.aimAt(), wantedBy));
     }
 
     /** Records that the request is sent to an engine. */
-    void departed() {
-        departedAt = now();
-        trace.departed(departedAt);
-        tools.lines().departed(request.service(), times.aimAt(), departedAt);
+    void dispatched() {
+        dispatchedAt = now();
+        trace.dispatched(dispatchedAt);
+        dependencies.waitQueues().dispatched(request.service(), times.aimAt(), dispatchedAt);
     }
 
     /** Records the first byte of the answer. */
-    void answered() {
-        tools.lines().answered(request.service(), departedAt, now());
+    void answerBegan() {
+        dependencies.waitQueues().answerBegan(request.service(), dispatchedAt, now());
     }
 
     private long now() {
-        return tools.state().time().monotonicNanoseconds();
+        return dependencies.state().time().monotonicNanoseconds();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
@@ -4,27 +4,27 @@
 
 /** Takes repeated attempts of one request out of the repeat budget, which all entries share. */
 final class RepeatPermit {
-    private final RequestTools tools;
+    private final RequestDependencies dependencies;
     private final String service;
-    private final AttemptAccount account;
+    private final AttemptAccount attemptTracker;
     private final RequestTrace trace;
 
-    RepeatPermit(RequestTools tools, String service, AttemptAccount account, RequestTrace trace) {
-        this.tools = tools;
+    RepeatPermit(RequestDependencies dependencies, String service, AttemptAccount attemptTracker, RequestTrace trace) {
+        this.dependencies = dependencies;
         this.service = service;
-        this.account = account;
+        this.attemptTracker = attemptTracker;
         this.trace = trace;
     }
 
     /** Returns whether the next attempt is allowed; the first attempt of a request always is. */
-    boolean granted() {
-        if (!account.nextIsRepeat()) {
+    boolean tryAcquire() {
+        if (!attemptTracker.nextIsRepeat()) {
             return true;
         }
-        boolean granted = tools.state().takeRepeat(service);
-        tools.metrics().repeated(service, granted);
+        boolean granted = dependencies.state().tryTakeRepeat(service);
+        dependencies.metrics().repeatRequested(service, granted);
         if (!granted) {
-            trace.because("the repeat budget of the service is used up; " + trace.reason());
+            trace.setReason("the repeat budget of the service is used up; " + trace.reason());
         }
         return granted;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTools.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDependencies.java
@@ -16,11 +16,11 @@
  * @param waitQueues the requests that wait for capacity at an engine
  * @param fatalRequests the requests that terminate the servers that run them
  */
-public record RequestTools(
+public record RequestDependencies(
         ServingState state,
         BackendConnections connections,
         BackendProtocol protocol,
         EventLoop eventLoop,
         GatewayMetrics metrics,
-        WaitingRequests lines,
+        WaitQueues waitQueues,
         FatalRequests fatalRequests) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
@@ -43,9 +43,9 @@
     private static MessageDigest algorithm() {
         try {
             return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException impossible) {
+        } catch (NoSuchAlgorithmException exception) {
             throw new IllegalStateException(
-                    "SHA-256 is not available, although every Java runtime has to provide it.", impossible);
+                    "SHA-256 is not available, although every Java runtime has to provide it.", exception);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -22,7 +22,7 @@
 /** Finds the route of each incoming request and starts serving it. Confined to the event loop. */
 public final class RequestDispatcher implements RequestService {
     /** Retry delay for callers of a process that has just started; by then it has probably read its configuration. */
-    private static final Duration START_PAUSE = Duration.ofSeconds(1);
+    private static final Duration START_RETRY_DELAY = Duration.ofSeconds(1);
 
     /**
      * How long a request waits at most for a process that has just started. After a power failure of all entries, the
@@ -30,17 +30,17 @@
      * moment have no further attempt and get no answer, whereas those that wait are answered as soon as the entry is
      * ready. Reading the configuration takes half a second, and longer if the store is unavailable.
      */
-    private static final Duration LONGEST_START_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAX_START_WAIT = Duration.ofSeconds(1);
 
     /** Interval at which requests that wait for the process to become ready are checked. */
-    private static final long START_LOOK_MILLISECONDS = 20;
-
-    private final RequestTools tools;
-    private final CallerProtocol callers;
-    private final long mostBodyBytes;
-    private final List<StartingRequest> starting = new ArrayList<>();
-    private Future<?> startLook;
-    private long bodyBytes;
+    private static final long START_POLL_MILLISECONDS = 20;
+
+    private final RequestDependencies dependencies;
+    private final CallerProtocol callerProtocol;
+    private final long maxBodyBytes;
+    private final List<DeferredRequest> deferredRequests = new ArrayList<>();
+    private Future<?> startPoll;
+    private long reservedBodyBytes;
     private boolean stopping;
 
     /**
@@ -48,10 +48,10 @@
      *
      * @param maxBodyBytes maximum total size of the request bodies held at once
      */
-    public RequestDispatcher(RequestTools tools, CallerProtocol callers, long mostBodyBytes) {
-        this.tools = tools;
-        this.callers = callers;
-        this.mostBodyBytes = mostBodyBytes;
+    public RequestDispatcher(RequestDependencies dependencies, CallerProtocol callerProtocol, long maxBodyBytes) {
+        this.dependencies = dependencies;
+        this.callerProtocol = callerProtocol;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     /** Makes callers' connections close after their current request. */
@@ -61,20 +61,21 @@
 
     @Override
     public ActiveRequest serve(IncomingRequest incoming, CallerLink link) {
-        CallerRequest caller = callers.read(incoming.head());
-        return ready() ? serveNow(incoming, caller, link) : waitForStart(incoming, caller, link);
+        CallerRequest caller = callerProtocol.read(incoming.head());
+        return ready() ? serveNow(incoming, caller, link) : deferUntilReady(incoming, caller, link);
     }
 
     private boolean ready() {
-        return tools.state().ready() && tools.state().configuration().isPresent();
+        return dependencies.state().ready()
+                && dependencies.state().configuration().isPresent();
     }
 
-    private ActiveRequest waitForStart(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
-        Duration wait = caller.patience()
-                .filter(patience -> patience.compareTo(LONGEST_START_WAIT) < 0)
-                .orElse(LONGEST_START_WAIT);
-        StartingRequest waiting = new StartingRequest(
-                incoming.arrivedAt() + wait.toNanos(),
+    private ActiveRequest deferUntilReady(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
+        Duration maxWait = caller.patience()
+                .filter(callerLimit -> callerLimit.compareTo(MAX_START_WAIT) < 0)
+                .orElse(MAX_START_WAIT);
+        DeferredRequest deferred = new DeferredRequest(
+                incoming.arrivedAt() + maxWait.toNanos(),
                 () -> serveNow(incoming, caller, link),
                 () -> refuse(
                         incoming,
@@ -83,32 +84,33 @@
                         RequestOutcome.NOT_RUN,
                         LocalAnswers.notRun(
                                 "this entry has just started and has not read its configuration yet",
-                                tools.state().spread(START_PAUSE))),
+                                dependencies.state().withJitter(START_RETRY_DELAY))),
                 () -> incoming.body().release());
-        starting.add(waiting);
-        if (startLook == null) {
-            startLook = tools.eventLoop()
+        deferredRequests.add(deferred);
+        if (startPoll == null) {
+            startPoll = dependencies
+                    .eventLoop()
                     .scheduleWithFixedDelay(
-                            this::lookAtStarting,
-                            START_LOOK_MILLISECONDS,
-                            START_LOOK_MILLISECONDS,
+                            this::pollDeferred,
+                            START_POLL_MILLISECONDS,
+                            START_POLL_MILLISECONDS,
                             TimeUnit.MILLISECONDS);
         }
-        return waiting;
+        return deferred;
     }
 
-    private void lookAtStarting() {
-        long now = tools.state().time().monotonicNanoseconds();
+    private void pollDeferred() {
+        long now = dependencies.state().time().monotonicNanoseconds();
         boolean ready = ready();
-        starting.removeIf(each -> each.settled(ready, now));
-        if (starting.isEmpty()) {
-            startLook.cancel(false);
-            startLook = null;
+        deferredRequests.removeIf(each -> each.settle(ready, now));
+        if (deferredRequests.isEmpty()) {
+            startPoll.cancel(false);
+            startPoll = null;
         }
     }
 
     private ActiveRequest serveNow(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
-        Optional<ServingConfiguration> configuration = tools.state().configuration();
+        Optional<ServingConfiguration> configuration = dependencies.state().configuration();
         Optional<Route> route = configuration.get().match(incoming.host(), incoming.path());
         if (route.isEmpty()) {
             return refuse(
@@ -118,9 +120,9 @@
                     RequestOutcome.NO_ROUTE,
                     LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route matches this host and path."));
         }
-        String service = route.get().serviceFor(tools.state().random().nextDouble());
+        String service = route.get().serviceFor(dependencies.state().random().nextDouble());
         ServedRequest request = new ServedRequest(
-                tools,
+                dependencies,
                 incoming,
                 caller,
                 link,
@@ -133,12 +135,16 @@
 
     @Override
     public void drop(IncomingRequest incoming) {
-        end(incoming, callers.read(incoming.head()), RequestOutcome.CALLER_LEFT);
+        endUnserved(incoming, callerProtocol.read(incoming.head()), RequestOutcome.CALLER_LEFT);
     }
 
     @Override
     public ConnectionLimits limits() {
-        return tools.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.usual());
+        return dependencies
+                .state()
+                .configuration()
+                .map(ServingConfiguration::limits)
+                .orElse(ConnectionLimits.usual());
     }
 
     @Override
@@ -148,16 +154,16 @@
 
     @Override
     public boolean reserve(int bytes) {
-        if (bodyBytes + bytes > mostBodyBytes) {
+        if (reservedBodyBytes + bytes > maxBodyBytes) {
             return false;
         }
-        bodyBytes += bytes;
+        reservedBodyBytes += bytes;
         return true;
     }
 
     @Override
     public void release(int bytes) {
-        bodyBytes -= bytes;
+        reservedBodyBytes -= bytes;
     }
 
     private ActiveRequest refuse(
@@ -166,16 +172,17 @@
             CallerLink link,
             RequestOutcome outcome,
             FullHttpResponse answer) {
-        end(incoming, caller, outcome);
+        endUnserved(incoming, caller, outcome);
         link.answer(answer);
-        return new EndedRequest();
+        return new LocallyAnsweredRequest();
     }
 
     /** Ends a request that was not sent to any backend server. */
-    private void end(IncomingRequest incoming, CallerRequest caller, RequestOutcome outcome) {
+    private void endUnserved(IncomingRequest incoming, CallerRequest caller, RequestOutcome outcome) {
         incoming.body().release();
-        tools.metrics().ended("", outcome);
-        tools.state()
+        dependencies.metrics().requestEnded("", outcome);
+        dependencies
+                .state()
                 .log()
                 .notable("request-ended")
                 .with("request", caller.id())
@@ -184,7 +191,8 @@
                 .with("path", incoming.path())
                 .with(
                         "configuration",
-                        tools.state()
+                        dependencies
+                                .state()
                                 .configuration()
                                 .map(ServingConfiguration::version)
                                 .orElse(-1L))
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -16,7 +16,7 @@
 
 /** Collects the decisions about one request, their reasons and its timing, and writes them to the decision log. */
 final class RequestTrace {
-    private static final double MILLISECONDS = 1000;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
 
     private final CallerRequest caller;
     private final Route route;
@@ -24,19 +24,19 @@
     private final long configurationVersion;
     private final long arrivedAt;
     private final long deadline;
-    private String way = "none";
-    private String server = "";
+    private String placementType = "none";
+    private String serverId = "";
     private String reason = "";
     private double expectedSeconds;
-    private String promptServer = "";
-    private long waitedFrom;
-    private long departedAt;
-    private long promptReadyAt;
-    private long answerAskedAt;
-    private EngineLoad loadWhenAsked = EngineLoad.UNKNOWN;
+    private String prefillServerId = "";
+    private long queuedAt;
+    private long dispatchedAt;
+    private long prefillCompletedAt;
+    private long answerRequestedAt;
+    private EngineLoad loadAtRequest = EngineLoad.UNKNOWN;
     private long firstByteAt;
     private long lastEventAt;
-    private long longestPause;
+    private long longestGap;
     private int events;
     private int eventsOfAttempt;
 
@@ -55,62 +55,62 @@
         this.deadline = deadline;
     }
 
-    void placed(String newWay, double seconds) {
-        way = newWay;
+    void placed(String newPlacementType, double seconds) {
+        placementType = newPlacementType;
         expectedSeconds = seconds;
     }
 
-    void sentTo(BackendServer to) {
-        server = to.id();
+    void sentTo(BackendServer target) {
+        serverId = target.id();
     }
 
-    void waits(long now) {
-        waitedFrom = waitedFrom == 0 ? now : waitedFrom;
+    void queued(long now) {
+        queuedAt = queuedAt == 0 ? now : queuedAt;
     }
 
-    void departed(long now) {
-        departedAt = now;
+    void dispatched(long now) {
+        dispatchedAt = now;
     }
 
     /** Returns the time from the first byte of the answer to its last event so far. */
-    Duration told() {
+    Duration answerDuration() {
         return Duration.ofNanos(lastEventAt - firstByteAt);
     }
 
     /** Returns when the last event arrived, in nanoseconds of the monotonic clock; empty if none has. */
-    OptionalLong lastEvent() {
+    OptionalLong lastEventTime() {
         return events == 0 ? OptionalLong.empty() : OptionalLong.of(lastEventAt);
     }
 
     /** Records that a server is asked for the answer, and its load at that time. */
-    void answerAsked(EngineLoad there, long now) {
-        loadWhenAsked = there;
+    void answerRequested(EngineLoad load, long now) {
+        loadAtRequest = load;
         eventsOfAttempt = 0;
-        answerAskedAt = now;
+        answerRequestedAt = now;
     }
 
-    void promptReady(BackendServer by, long now) {
-        promptServer = by.id();
-        promptReadyAt = now;
+    void prefillCompleted(BackendServer engine, long now) {
+        prefillServerId = engine.id();
+        prefillCompletedAt = now;
     }
 
     /** Records an event of a stream; returns the time since the previous event if both are from the same attempt. */
-    Optional<Duration> event(long now) {
-        long pause = now - lastEventAt;
+    Optional<Duration> eventReceived(long now) {
+        long gap = now - lastEventAt;
         if (events > 0) {
-            longestPause = Math.max(longestPause, pause);
+            longestGap = Math.max(longestGap, gap);
         }
         lastEventAt = now;
         events++;
         eventsOfAttempt++;
-        return eventsOfAttempt > 1 ? Optional.of(Duration.ofNanos(pause)) : Optional.empty();
+        return eventsOfAttempt > 1 ? Optional.of(Duration.ofNanos(gap)) : Optional.empty();
     }
 
-    void because(String newReason) {
+    void setReason(String newReason) {
         reason = newReason;
     }
 
-    void firstByte(long now) {
+    void firstByteReceived(long now) {
         if (firstByteAt == 0) {
             firstByteAt = now;
         }
@@ -120,8 +120,8 @@
         return events;
     }
 
-    String server() {
-        return server;
+    String serverId() {
+        return serverId;
     }
 
     String reason() {
@@ -129,19 +129,19 @@
     }
 
     /** Logs that the prefill at an engine failed. */
-    void prefillFailed(DecisionLog log, BackendServer engine, String why) {
+    void logPrefillFailed(DecisionLog log, BackendServer engine, String failure) {
         log.notable("prefill-failed")
                 .with("request", caller.id())
                 .with("server", engine.id())
-                .with("reason", why)
+                .with("reason", failure)
                 .write();
     }
 
     /** Logs how an attempt ended and the next step. */
-    void attemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
+    void logAttemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
                 .with("request", caller.id())
-                .with("server", server)
+                .with("server", serverId)
                 .with("end", end.getClass().getSimpleName())
                 .with("reason", reason)
                 .with("next", next.name())
@@ -149,52 +149,52 @@
     }
 
     /** Logs the whole trace, with the current load of the last server. */
-    void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad there, long now) {
+    void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad currentLoad, long now) {
         line.with("request", caller.id())
                 .with("outcome", outcome.name())
                 .with("route", route.name())
                 .with("configuration", configurationVersion)
                 .with("service", service)
-                .with("server", server)
+                .with("server", serverId)
                 .with("attempts", attempts)
-                .with("way", way)
+                .with("way", placementType)
                 .with("promptTokens", caller.prompt().map(Prompt::promptTokens).orElse(0))
                 .with("sharedTokens", caller.prompt().map(Prompt::sharedTokens).orElse(0))
                 .with(
                         "mostTokens",
                         caller.prompt().map(Prompt::mostOutputTokens).orElse(0))
-                .with("expectedMs", Math.round(expectedSeconds * MILLISECONDS))
-                .with("heldFromMs", sinceArrival(waitedFrom))
-                .with("departedMs", sinceArrival(departedAt))
-                .with("promptServer", promptServer)
-                .with("promptReadyMs", sinceArrival(promptReadyAt))
-                .with("answerAskedMs", sinceArrival(answerAskedAt))
-                .with("firstByteMs", sinceArrival(firstByteAt))
-                .with("askedRequests", Math.round(loadWhenAsked.requests()))
-                .with("askedPaceMs", paceMilliseconds(loadWhenAsked))
-                .with("endRequests", Math.round(there.requests()))
-                .with("endPaceMs", paceMilliseconds(there))
+                .with("expectedMs", Math.round(expectedSeconds * MILLISECONDS_PER_SECOND))
+                .with("heldFromMs", stepMilliseconds(queuedAt))
+                .with("departedMs", stepMilliseconds(dispatchedAt))
+                .with("promptServer", prefillServerId)
+                .with("promptReadyMs", stepMilliseconds(prefillCompletedAt))
+                .with("answerAskedMs", stepMilliseconds(answerRequestedAt))
+                .with("firstByteMs", stepMilliseconds(firstByteAt))
+                .with("askedRequests", Math.round(loadAtRequest.requests()))
+                .with("askedPaceMs", millisecondsPerEvent(loadAtRequest))
+                .with("endRequests", Math.round(currentLoad.requests()))
+                .with("endPaceMs", millisecondsPerEvent(currentLoad))
                 .with("events", events)
-                .with("longestPauseMs", TimeUnit.NANOSECONDS.toMillis(longestPause))
-                .with("afterMs", milliseconds(now))
-                .with("allowedMs", milliseconds(deadline))
+                .with("longestPauseMs", TimeUnit.NANOSECONDS.toMillis(longestGap))
+                .with("afterMs", millisecondsSinceArrival(now))
+                .with("allowedMs", millisecondsSinceArrival(deadline))
                 .with("reason", reason)
                 .write();
     }
 
     /** Returns an engine's milliseconds from one event to the next; -1 if unknown. */
-    private static long paceMilliseconds(EngineLoad load) {
+    private static long millisecondsPerEvent(EngineLoad load) {
         return load.secondsPerEvent()
-                .map(seconds -> Math.round(seconds * MILLISECONDS))
+                .map(seconds -> Math.round(seconds * MILLISECONDS_PER_SECOND))
                 .orElse(-1L);
     }
 
     /** Returns the milliseconds from the arrival to a step; -1 if the step has not been reached. */
-    private long sinceArrival(long at) {
-        return at == 0 ? -1 : milliseconds(at);
+    private long stepMilliseconds(long at) {
+        return at == 0 ? -1 : millisecondsSinceArrival(at);
     }
 
-    private long milliseconds(long at) {
+    private long millisecondsSinceArrival(long at) {
         return TimeUnit.NANOSECONDS.toMillis(at - arrivedAt);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -33,9 +33,9 @@
  */
 final class ServedRequest implements ActiveRequest {
     /** Minimum retry delay of a refused caller; after a shorter delay the cause of the refusal usually still exists. */
-    private static final Duration SHORTEST_PAUSE = Duration.ofMillis(200);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(200);
 
-    private final RequestTools tools;
+    private final RequestDependencies dependencies;
     private final IncomingRequest incoming;
     private final CallerRequest caller;
     private final CallerLink link;
@@ -45,67 +45,69 @@
     private final RequestTimes times;
     private final RequestTrace trace;
     private final AttemptMessages messages;
-    private final AnswerProgress progress;
-    private final LinePlace line;
-    private final AttemptAccount account;
-    private final CurrentAttempt current;
-    private final RepeatPermit permit;
-    private final StallWatch stallWatch;
-    private final ServerEnds serverEnds;
-    private final UnfetchedPrompt unfetched;
-    private final TriedServers tried = new TriedServers();
-    private final PlacementRequests placements;
-    private AnswerAttempt attempt;
+    private final AnswerProgress answerProgress;
+    private final QueueTracker queueTracker;
+    private final AttemptAccount attemptTracker;
+    private final CurrentAttempt currentAttempt;
+    private final RepeatPermit repeatPermit;
+    private final StallDetector stallDetector;
+    private final FatalRequestCheck fatalRequestCheck;
+    private final PendingHandoff pendingHandoff;
+    private final TriedServers triedServers = new TriedServers();
+    private final PlacementRequestFactory placementRequests;
+    private AnswerAttempt answerAttempt;
     private Future<?> deadlineTimer;
-    private boolean over;
+    private boolean finished;
 
     ServedRequest(
-            RequestTools tools,
+            RequestDependencies dependencies,
             IncomingRequest incoming,
             CallerRequest caller,
             CallerLink link,
             Route route,
             String service,
             long configurationVersion) {
-        this.tools = tools;
+        this.dependencies = dependencies;
         this.incoming = incoming;
         this.caller = caller;
         this.link = link;
         this.stream = new CallerStream(link);
         this.route = route;
         this.service = service;
-        this.account = new AttemptAccount(route.repeatRule(), route.mostBackends());
-        this.current = new CurrentAttempt(tools, service, route.objective());
-        this.stallWatch = new StallWatch(tools, route, link::writable, this::stalled);
+        this.attemptTracker = new AttemptAccount(route.repeatRule(), route.mostBackends());
+        this.currentAttempt = new CurrentAttempt(dependencies, service, route.objective());
+        this.stallDetector = new StallDetector(dependencies, route, link::writable, this::stalled);
         this.times = new RequestTimes(incoming.arrivedAt(), caller.patience(), route);
         this.trace =
                 new RequestTrace(caller, route, service, configurationVersion, incoming.arrivedAt(), times.deadline());
-        this.messages = new AttemptMessages(incoming, tools.protocol(), route, times.deadline());
-        this.progress = new AnswerProgress(tools.state().placer(), service, caller.prompt(), trace);
-        this.line = new LinePlace(tools, this, times, trace);
-        this.placements = new PlacementRequests(service, caller, route, times, trace, stream, tried);
-        this.permit = new RepeatPermit(tools, service, account, trace);
-        this.unfetched = new UnfetchedPrompt(tools, caller.id());
-        this.serverEnds = new ServerEnds(tools, caller.id(), service, incoming, trace);
+        this.messages = new AttemptMessages(incoming, dependencies.protocol(), route, times.deadline());
+        this.answerProgress =
+                new AnswerProgress(dependencies.state().placementPolicy(), service, caller.prompt(), trace);
+        this.queueTracker = new QueueTracker(dependencies, this, times, trace);
+        this.placementRequests =
+                new PlacementRequestFactory(service, caller, route, times, trace, stream, triedServers);
+        this.repeatPermit = new RepeatPermit(dependencies, service, attemptTracker, trace);
+        this.pendingHandoff = new PendingHandoff(dependencies, caller.id());
+        this.fatalRequestCheck = new FatalRequestCheck(dependencies, caller.id(), service, incoming, trace);
     }
 
     void start() {
-        tools.state().requested(service);
-        progress.wanted(route.timeout(), now());
+        dependencies.state().requestArrived(service);
+        answerProgress.expectWithin(route.timeout(), now());
         long left = Math.max(0, times.deadline() - now());
-        deadlineTimer = tools.eventLoop().schedule(this::deadlineReached, left, TimeUnit.NANOSECONDS);
-        place();
+        deadlineTimer = dependencies.eventLoop().schedule(this::deadlineReached, left, TimeUnit.NANOSECONDS);
+        assignServer();
     }
 
     /** Continues when the request leaves the wait queue because an engine may have capacity. */
-    void goOn() {
-        place(placements.next(false, now()));
+    void continueFromQueue() {
+        assignServer(placementRequests.create(false, now()));
     }
 
     /** Ends the request without having run it: it cannot leave the wait queue before its deadline. */
-    void giveUp(Duration comeBackAfter) {
-        trace.because("no engine has capacity before the deadline");
-        conclude(account.conclusion(), comeBackAfter);
+    void refuseFromQueue(Duration retryDelay) {
+        trace.setReason("no engine has capacity before the deadline");
+        conclude(attemptTracker.conclusion(), retryDelay);
     }
 
     String service() {
@@ -114,7 +116,7 @@
 
     @Override
     public void callerLeft() {
-        if (over) {
+        if (finished) {
             return;
         }
         finish(RequestOutcome.CALLER_LEFT);
@@ -122,23 +124,23 @@
 
     @Override
     public void writabilityChanged() {
-        current.read(link.writable());
+        currentAttempt.setReading(link.writable());
     }
 
-    private void place() {
-        place(placements.next(tools.lines().anyFor(service), now()));
+    private void assignServer() {
+        assignServer(placementRequests.create(dependencies.waitQueues().anyWaiting(service), now()));
     }
 
-    private void place(PlacementRequest wanted) {
-        if (keptFromServers()) {
+    private void assignServer(PlacementRequest wanted) {
+        if (refusedByQuarantine()) {
             return;
         }
-        switch (tools.state().placer().choose(wanted, now())) {
+        switch (dependencies.state().placementPolicy().choose(wanted, now())) {
             case Placement.Whole whole -> {
                 trace.placed("whole", whole.expectedSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
-                    line.departed();
+                    queueTracker.dispatched();
                 }
                 send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.holder());
             }
@@ -146,30 +148,33 @@
                 trace.placed("staged", staged.expectedSeconds());
                 prefill(staged);
             }
-            case Placement.Held held -> line.take(held, times.wantedBy(trace.lastEvent()));
+            case Placement.Held held -> queueTracker.enqueue(held, times.wantedBy(trace.lastEventTime()));
             case Placement.Refused refused -> {
-                trace.because(refused.reason());
-                conclude(account.conclusion(), refused.comeBackAfter());
+                trace.setReason(refused.reason());
+                conclude(attemptTracker.conclusion(), refused.comeBackAfter());
             }
         }
     }
 
     /** Refuses the request if it is in quarantine; returns whether it is. */
-    private boolean keptFromServers() {
-        Optional<Duration> term = serverEnds.quarantined();
-        term.ifPresent(left -> conclude(account.conclusion(), left));
-        return term.isPresent();
+    private boolean refusedByQuarantine() {
+        Optional<Duration> remaining = fatalRequestCheck.checkQuarantine();
+        remaining.ifPresent(retryDelay -> conclude(attemptTracker.conclusion(), retryDelay));
+        return remaining.isPresent();
     }
 
     private void prefill(Placement.Staged staged) {
-        line.departed();
+        queueTracker.dispatched();
         trace.sentTo(staged.prefill());
-        PlacedWork work = current.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptPlaced(staged.prefill(), prompt, now()));
-        FullHttpRequest message = messages.prompt(staged, stream.lastEvent(), now());
-        PrefillAttempt prefill = new PrefillAttempt(this, tools.protocol(), staged, work);
-        stallWatch.watch(prefill);
-        current.sent(work, tools.connections().send(staged.prefill(), caller.id(), message, prefill));
+        PlacedWork work = currentAttempt.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
+        caller.prompt()
+                .ifPresent(
+                        prompt -> dependencies.state().placementPolicy().promptPlaced(staged.prefill(), prompt, now()));
+        FullHttpRequest message = messages.prefillRequest(staged, stream.lastEventId(), now());
+        PrefillAttempt prefill = new PrefillAttempt(this, dependencies.protocol(), staged, work);
+        stallDetector.watch(prefill);
+        currentAttempt.setExchange(
+                work, dependencies.connections().send(staged.prefill(), caller.id(), message, prefill));
     }
 
     private void send(
@@ -178,78 +183,81 @@
             double promptSeconds,
             Optional<CacheSource> source,
             Optional<BackendServer> holder) {
-        account.began();
-        trace.answerAsked(tools.state().placer().load(server.id(), now()), now());
-        tried.add(server);
+        attemptTracker.began();
+        trace.answerRequested(dependencies.state().placementPolicy().load(server.id(), now()), now());
+        triedServers.add(server);
         trace.sentTo(server);
-        PlacedWork work = current.begin(server, kind, promptSeconds);
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptPlaced(server, prompt, now()));
-        attempt = new AnswerAttempt(this, server, work, route.streamed());
-        FullHttpRequest message = messages.answer(server, source, holder, stream.lastEvent(), now());
+        PlacedWork work = currentAttempt.begin(server, kind, promptSeconds);
+        caller.prompt()
+                .ifPresent(prompt -> dependencies.state().placementPolicy().promptPlaced(server, prompt, now()));
+        answerAttempt = new AnswerAttempt(this, server, work, route.streamed());
+        FullHttpRequest message = messages.answerRequest(server, source, holder, stream.lastEventId(), now());
         if (route.repeatRule() == RepeatRule.AT_MOST_ONCE || route.mostBackends() == 1) {
-            stallWatch.cancel();
+            stallDetector.cancel();
         } else {
-            stallWatch.watch(attempt);
+            stallDetector.watch(answerAttempt);
         }
-        current.sent(work, tools.connections().send(server, caller.id(), message, attempt));
+        currentAttempt.setExchange(work, dependencies.connections().send(server, caller.id(), message, answerAttempt));
     }
 
-    ServerEnds serverEnds() {
-        return serverEnds;
+    FatalRequestCheck fatalRequestCheck() {
+        return fatalRequestCheck;
     }
 
     private void stalled(WatchedAttempt watched) {
-        if (over) {
+        if (finished) {
             return;
         }
         switch (watched) {
             case AnswerAttempt answer
-            when account.attempts() < route.mostBackends() -> {
+            when attemptTracker.attempts() < route.mostBackends() -> {
                 answer.release();
-                current.cancel();
+                currentAttempt.cancel();
                 String reason =
                         answer.begun() ? "the answer of the server stalled" : "no answer began within the stall limit";
                 attemptEnded(answer.work(), new AttemptEnd.Lost(), reason);
             }
-            case AnswerAttempt last -> trace.because("the server is unresponsive, and no further attempt is allowed");
+            case AnswerAttempt last -> trace.setReason("the server is unresponsive, and no further attempt is allowed");
             case PrefillAttempt prefill -> {
-                current.cancel();
+                currentAttempt.cancel();
                 prefill.stalled();
             }
         }
     }
 
     void loadReported(PlacedWork work, AnswerFacts facts) {
-        facts.load().ifPresent(load -> tools.state().placer().reported(work, load, now()));
+        facts.load().ifPresent(load -> dependencies.state().placementPolicy().reported(work, load, now()));
     }
 
     void prefilled(Placement.Staged placement, PlacedWork work, CacheSource source) {
-        tools.state().placer().answerBegan(work, now());
-        current.end(work);
-        if (over) {
+        dependencies.state().placementPolicy().answerBegan(work, now());
+        currentAttempt.end(work);
+        if (finished) {
             return;
         }
-        account.promptComputed();
-        trace.promptReady(placement.prefill(), now());
-        ComputedPrompt computed = new ComputedPrompt(placement.prefill(), source);
-        unfetched.computed(computed);
-        tools.metrics().attempted(service, "prefilled");
-        if (!permit.granted()) {
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+        attemptTracker.promptComputed();
+        trace.prefillCompleted(placement.prefill(), now());
+        PrefilledPrompt computed = new PrefilledPrompt(placement.prefill(), source);
+        pendingHandoff.begin(computed);
+        dependencies.metrics().attemptEnded(service, "prefilled");
+        if (!repeatPermit.tryAcquire()) {
+            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        handOver(computed);
+        handOff(computed);
     }
 
-    private void handOver(ComputedPrompt computed) {
-        if (keptFromServers()) {
+    private void handOff(PrefilledPrompt computed) {
+        if (refusedByQuarantine()) {
             return;
         }
-        Optional<BackendServer> decoder =
-                tools.state().placer().chooseDecoder(placements.next(false, now()), computed.engine(), now());
+        Optional<BackendServer> decoder = dependencies
+                .state()
+                .placementPolicy()
+                .chooseDecoder(placementRequests.create(false, now()), computed.engine(), now());
         if (decoder.isEmpty()) {
-            trace.because("no engine is available to generate the answer");
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+            trace.setReason("no engine is available to generate the answer");
+            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
             return;
         }
         send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(computed.source()), Optional.empty());
@@ -258,43 +266,43 @@
     /**
      * Handles a failed prefill. A separate prefill is optional: without one, a single engine does prefill and decode.
      */
-    void prefillEnded(Placement.Staged placement, PlacedWork work, AttemptEnd end, String reason) {
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        if (over) {
+    void prefillFailed(Placement.Staged placement, PlacedWork work, AttemptEnd end, String reason) {
+        dependencies.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        if (finished) {
             return;
         }
-        account.promptFailed(end);
-        tools.metrics().attempted(service, "prefill-failed");
-        trace.because("prefill at " + placement.prefill().id() + ": " + reason);
-        trace.prefillFailed(tools.state().log(), placement.prefill(), reason);
-        tried.stageFailed(placement.prefill());
-        if (!permit.granted()) {
-            conclude(account.conclusion(), SHORTEST_PAUSE);
+        attemptTracker.promptFailed(end);
+        dependencies.metrics().attemptEnded(service, "prefill-failed");
+        trace.setReason("prefill at " + placement.prefill().id() + ": " + reason);
+        trace.logPrefillFailed(dependencies.state().log(), placement.prefill(), reason);
+        triedServers.prefillFailed(placement.prefill());
+        if (!repeatPermit.tryAcquire()) {
+            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        place();
+        assignServer();
     }
 
     void answerBegan(PlacedWork work) {
-        tools.state().placer().answerBegan(work, now());
-        unfetched.fetched();
-        stallWatch.begun(attempt);
+        dependencies.state().placementPolicy().answerBegan(work, now());
+        pendingHandoff.completed();
+        stallDetector.answerBegan(answerAttempt);
         if (!stream.begun()) {
-            trace.firstByte(now());
-            line.answered();
-            tools.metrics().firstByte(service, (now() - incoming.arrivedAt()) / 1e9);
+            trace.firstByteReceived(now());
+            queueTracker.answerBegan();
+            dependencies.metrics().firstByte(service, (now() - incoming.arrivedAt()) / 1e9);
         }
     }
 
-    void eventCame(HttpResponse head, ByteBuf event) {
-        stream.pass(head, event);
-        progress.event(attempt.work(), times.allowed(), now());
+    void eventReceived(HttpResponse head, ByteBuf event) {
+        stream.forward(head, event);
+        answerProgress.eventReceived(answerAttempt.work(), times.allowed(), now());
         if (!link.writable()) {
-            current.read(false);
+            currentAttempt.setReading(false);
         }
-        if (tools.state().placer().answerLeaves(attempt.work(), now())) {
-            goOnElsewhere();
+        if (dependencies.state().placementPolicy().answerLeaves(answerAttempt.work(), now())) {
+            continueElsewhere();
         }
     }
 
@@ -302,41 +310,41 @@
      * Continues at another engine after the last event if that is allowed; otherwise the current one completes the
      * answer.
      */
-    private void goOnElsewhere() {
-        if (!account.mayGoOnElsewhere() || !tools.state().takeRepeat(service)) {
+    private void continueElsewhere() {
+        if (!attemptTracker.mayGoOnElsewhere() || !dependencies.state().tryTakeRepeat(service)) {
             return;
         }
-        PlacedWork left = attempt.work();
-        attempt.release();
-        current.cancel();
-        current.end(left);
-        account.ended(new AttemptEnd.Lost());
-        tools.metrics().attempted(service, "moved");
-        trace.because("the engine changes its role, so its answer continues elsewhere");
-        place();
+        PlacedWork interrupted = answerAttempt.work();
+        answerAttempt.release();
+        currentAttempt.cancel();
+        currentAttempt.end(interrupted);
+        attemptTracker.ended(new AttemptEnd.Lost());
+        dependencies.metrics().attemptEnded(service, "moved");
+        trace.setReason("the engine changes its role, so its answer continues elsewhere");
+        assignServer();
     }
 
     void streamComplete(PlacedWork work, boolean begun) {
-        current.end(work);
+        currentAttempt.end(work);
         if (!stream.begun()) {
-            attemptEndedAfterWork(
+            handleAttemptEnd(
                     new AttemptEnd.Lost(), begun ? "the stream ended without an event" : "the stream was empty");
             return;
         }
-        progress.whole();
+        answerProgress.completed();
         finish(RequestOutcome.ANSWERED);
         link.end();
     }
 
     void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
-        current.end(work);
+        currentAttempt.end(work);
         if (stream.begun()) {
             // The continuation of a stream was expected, but the answer is not a stream; if forwarded, it would
             // appear in the middle of the caller's stream.
             body.release();
-            trace.because("the continuation of the stream was answered with status "
+            trace.setReason("the continuation of the stream was answered with status "
                     + head.status().code());
-            conclude(NextStep.REPORT_UNKNOWN, SHORTEST_PAUSE);
+            conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.ANSWERED);
@@ -344,21 +352,21 @@
     }
 
     /** Handles an error answer of a server: retries elsewhere if the request may be repeated, otherwise forwards it. */
-    void failureCame(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
+    void failureReceived(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
         AttemptEnd end = new AttemptEnd.Failed();
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        NextStep next = account.ended(end);
-        trace.because("the server failed with status " + head.status().code());
-        tools.metrics().attempted(service, "failed");
-        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.granted()) {
+        dependencies.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        NextStep next = attemptTracker.ended(end);
+        trace.setReason("the server failed with status " + head.status().code());
+        dependencies.metrics().attemptEnded(service, "failed");
+        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && repeatPermit.tryAcquire()) {
             body.release();
-            place();
+            assignServer();
             return;
         }
-        if (stream.begun() || !facts.signed() || AnswerAttempt.promisesNoRun(head.status())) {
+        if (stream.begun() || !facts.signed() || AnswerAttempt.impliesNoRun(head.status())) {
             body.release();
-            conclude(NextStep.REPORT_UNKNOWN, SHORTEST_PAUSE);
+            conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.FAILURE_PASSED_ON);
@@ -366,23 +374,26 @@
     }
 
     void attemptEnded(PlacedWork work, AttemptEnd end, String reason) {
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        attemptEndedAfterWork(end, reason);
+        dependencies.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        handleAttemptEnd(end, reason);
     }
 
-    private void attemptEndedAfterWork(AttemptEnd end, String reason) {
-        if (over) {
+    private void handleAttemptEnd(AttemptEnd end, String reason) {
+        if (finished) {
             return;
         }
-        trace.because(reason);
-        tools.metrics().attempted(service, end.getClass().getSimpleName());
-        NextStep next = account.ended(end);
-        trace.attemptEnded(tools.state().log(), end, next);
-        if (next == NextStep.REPEAT && times.deadline() > now() && serverEnds.mayRepeat() && permit.granted()) {
-            tryElsewhere(end);
+        trace.setReason(reason);
+        dependencies.metrics().attemptEnded(service, end.getClass().getSimpleName());
+        NextStep next = attemptTracker.ended(end);
+        trace.logAttemptEnded(dependencies.state().log(), end, next);
+        if (next == NextStep.REPEAT
+                && times.deadline() > now()
+                && fatalRequestCheck.mayRepeat()
+                && repeatPermit.tryAcquire()) {
+            retryElsewhere(end);
         } else {
-            conclude(next == NextStep.REPEAT ? account.conclusion() : next, SHORTEST_PAUSE);
+            conclude(next == NextStep.REPEAT ? attemptTracker.conclusion() : next, MIN_RETRY_DELAY);
         }
     }
 
@@ -391,29 +402,29 @@
      * engine can transfer it. If the decode engine rejected the request, the cache may have expired, so the prefill
      * is repeated at another engine.
      */
-    private void tryElsewhere(AttemptEnd end) {
+    private void retryElsewhere(AttemptEnd end) {
         boolean untouched = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
-        if (untouched && unfetched.prompt().isPresent()) {
-            handOver(unfetched.prompt().get());
+        if (untouched && pendingHandoff.prompt().isPresent()) {
+            handOff(pendingHandoff.prompt().get());
             return;
         }
         if (end instanceof AttemptEnd.NotExecuted) {
-            unfetched.prompt().ifPresent(computed -> tried.add(computed.engine()));
+            pendingHandoff.prompt().ifPresent(computed -> triedServers.add(computed.engine()));
         }
-        unfetched.free();
-        place();
+        pendingHandoff.release();
+        assignServer();
     }
 
     private void deadlineReached() {
-        if (over) {
+        if (finished) {
             return;
         }
-        trace.because("the deadline was reached; " + trace.reason());
-        conclude(account.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, SHORTEST_PAUSE);
+        trace.setReason("the deadline was reached; " + trace.reason());
+        conclude(attemptTracker.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, MIN_RETRY_DELAY);
     }
 
-    private void conclude(NextStep step, Duration pause) {
-        if (over) {
+    private void conclude(NextStep step, Duration retryDelay) {
+        if (finished) {
             return;
         }
         if (stream.begun()) {
@@ -423,8 +434,8 @@
         }
         if (step == NextStep.REFUSE) {
             finish(RequestOutcome.NOT_RUN);
-            Duration comeBack = pause.compareTo(SHORTEST_PAUSE) < 0 ? SHORTEST_PAUSE : pause;
-            link.answer(LocalAnswers.notRun(trace.reason(), tools.state().spread(comeBack)));
+            Duration effectiveDelay = retryDelay.compareTo(MIN_RETRY_DELAY) < 0 ? MIN_RETRY_DELAY : retryDelay;
+            link.answer(LocalAnswers.notRun(trace.reason(), dependencies.state().withJitter(effectiveDelay)));
             return;
         }
         finish(RequestOutcome.UNKNOWN);
@@ -436,27 +447,32 @@
      * any.
      */
     private void finish(RequestOutcome outcome) {
-        over = true;
+        finished = true;
         if (outcome == RequestOutcome.ANSWERED) {
-            serverEnds.answered();
+            fatalRequestCheck.answered();
         }
-        tools.lines().remove(this);
+        dependencies.waitQueues().remove(this);
         deadlineTimer.cancel(false);
-        stallWatch.cancel();
-        current.abandon();
-        if (attempt != null) {
-            attempt.release();
+        stallDetector.cancel();
+        currentAttempt.abandon();
+        if (answerAttempt != null) {
+            answerAttempt.release();
         }
-        unfetched.free();
+        pendingHandoff.release();
         incoming.body().release();
-        tools.metrics().ended(service, outcome);
+        dependencies.metrics().requestEnded(service, outcome);
         LogLine line = outcome == RequestOutcome.ANSWERED
-                ? tools.state().log().usual("request-ended")
-                : tools.state().log().notable("request-ended");
-        trace.write(line, outcome, account.attempts(), tools.state().placer().load(trace.server(), now()), now());
+                ? dependencies.state().log().routine("request-ended")
+                : dependencies.state().log().notable("request-ended");
+        trace.write(
+                line,
+                outcome,
+                attemptTracker.attempts(),
+                dependencies.state().placementPolicy().load(trace.serverId(), now()),
+                now());
     }
 
     long now() {
-        return tools.state().time().monotonicNanoseconds();
+        return dependencies.state().time().monotonicNanoseconds();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -49,15 +49,15 @@
     private final RandomGenerator random;
     private final DecisionLog log;
     private final BackendDirectory directory = new BackendDirectory();
-    private final Placer placer;
+    private final Placer placementPolicy;
     private final PeerLoads peers;
-    private final Set<String> listed = new HashSet<>();
-    private final Map<String, RoleChange> ordered = new HashMap<>();
-    private final Map<String, RepeatAllowance> allowances = new HashMap<>();
+    private final Set<String> listedStarts = new HashSet<>();
+    private final Map<String, RoleChange> orderedRoleChanges = new HashMap<>();
+    private final Map<String, RepeatAllowance> repeatAllowances = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private RepeatSettings repeats;
-    private boolean serversKnown;
-    private boolean fatalRequestsKnown;
+    private RepeatSettings repeatSettings;
+    private boolean serverListKnown;
+    private boolean fatalRequestsLoaded;
     private long lastRequestAt;
 
     public ServingState(
@@ -68,20 +68,20 @@
             PlacementSettings placement) {
         this.time = time;
         this.random = random;
-        this.repeats = repeats;
+        this.repeatSettings = repeats;
         this.lastRequestAt = time.monotonicNanoseconds() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
-        this.placer = new Placer(placement, peers, random);
+        this.placementPolicy = new Placer(placement, peers, random);
     }
 
     /** Applies changed settings. */
     public void reload(RepeatSettings newRepeats, PlacementSettings placement) {
-        if (!newRepeats.equals(repeats)) {
-            repeats = newRepeats;
-            allowances.clear();
+        if (!newRepeats.equals(repeatSettings)) {
+            repeatSettings = newRepeats;
+            repeatAllowances.clear();
         }
-        placer.reload(placement);
+        placementPolicy.reload(placement);
     }
 
     /** Applies a configuration and returns whether it was newer than the one in force; others are ignored. */
@@ -95,23 +95,23 @@
                 .with("routes", newer.routeCount())
                 .write();
         configuration = Optional.of(newer);
-        directory.servers().forEach(server -> placer.changed(server, cacheTokens(server)));
+        directory.servers().forEach(server -> placementPolicy.changed(server, cacheTokens(server)));
         return true;
     }
 
     /** Applies the registration of a server. */
-    public void serverChanged(BackendServer told) {
-        Optional<BackendServer> before = directory.find(told.id());
-        BackendServer server = directory.changed(told);
-        if (server.state() != told.state()) {
+    public void serverRegistered(BackendServer registration) {
+        Optional<BackendServer> previous = directory.find(registration.id());
+        BackendServer server = directory.changed(registration);
+        if (server.state() != registration.state()) {
             log.notable("server-not-believed")
-                    .with("server", told.id())
-                    .with("told", told.state().name())
+                    .with("server", registration.id())
+                    .with("told", registration.state().name())
                     .with("reason", "this server process has already announced that it is leaving")
                     .write();
         }
-        placer.changed(server, cacheTokens(server));
-        if (before.isEmpty() || !before.get().equals(server)) {
+        placementPolicy.changed(server, cacheTokens(server));
+        if (previous.isEmpty() || !previous.get().equals(server)) {
             log.notable("server-known")
                     .with("server", server.id())
                     .with("service", server.service())
@@ -125,73 +125,75 @@
     }
 
     /** Records that a registration is missing; returns whether the server is removed or else only suspect. */
-    public boolean serverMissing(String id, long now) {
-        boolean gone = directory.removed(id, now);
-        log.notable(gone ? "server-gone" : "server-doubtful").with("server", id).write();
-        if (gone) {
-            placer.removed(id);
+    public boolean registrationMissing(String id, long now) {
+        boolean removed = directory.removed(id, now);
+        log.notable(removed ? "server-gone" : "server-doubtful")
+                .with("server", id)
+                .write();
+        if (removed) {
+            placementPolicy.removed(id);
         }
-        return gone;
+        return removed;
     }
 
     /**
      * Records that the store was restored from an older copy, in which registrations of live servers may be missing.
      */
-    public void storeCameBackOlder(long now) {
+    public void storeRolledBack(long now) {
         directory.cameBackOlder(now);
     }
 
     /** Records that the server list may miss changes from now on. */
-    public void serversInterrupted(long now) {
+    public void serverListInterrupted(long now) {
         directory.interrupted(now);
     }
 
     /** Records that the server list is complete. */
-    public void serversSynchronised(long now) {
+    public void serverListSynchronised(long now) {
         directory.synchronised(now);
-        serversKnown = true;
+        serverListKnown = true;
     }
 
     /** Records that the fatal requests listed in the store have been loaded. */
-    public void fatalRequestsKnown() {
-        fatalRequestsKnown = true;
+    public void fatalRequestsLoaded() {
+        fatalRequestsLoaded = true;
     }
 
     /** Removes servers whose time limit for registering again has passed; returns their ids. */
     public Iterable<String> expireServers(long now) {
-        Iterable<String> gone = directory.expire(now);
-        for (String id : gone) {
-            placer.removed(id);
+        Iterable<String> removed = directory.expire(now);
+        for (String id : removed) {
+            placementPolicy.removed(id);
             log.notable("server-gone")
                     .with("server", id)
                     .with("reason", "the server did not register again after a store outage")
                     .write();
         }
-        return gone;
+        return removed;
     }
 
     /** Applies the report of another entry. */
-    public void peerHeard(PeerReport report, long now) {
+    public void peerReported(PeerReport report, long now) {
         peers.heard(report, now);
-        report.prompts().forEach(prompt -> placer.promptPlacedByPeer(prompt, now));
-        report.speeds().forEach(placer::speedHeard);
-        report.lengths().forEach(placer::eventLengthHeard);
-        report.changes().forEach(change -> placer.roleChanging(change, now));
+        report.prompts().forEach(prompt -> placementPolicy.promptPlacedByPeer(prompt, now));
+        report.speeds().forEach(placementPolicy::speedHeard);
+        report.lengths().forEach(placementPolicy::eventLengthHeard);
+        report.changes().forEach(change -> placementPolicy.roleChanging(change, now));
     }
 
     /** Records that an engine has accepted an order of this entry to change its role. */
-    public void roleOrdered(RoleChange change) {
-        ordered.put(change.server(), change);
-        placer.roleChanging(change, time.monotonicNanoseconds());
+    public void roleChangeOrdered(RoleChange change) {
+        orderedRoleChanges.put(change.server(), change);
+        placementPolicy.roleChanging(change, time.monotonicNanoseconds());
     }
 
     /**
      * Returns the role changes ordered by this entry that are still in progress, to be reported to the other entries.
      */
-    public List<RoleChange> roleChanges() {
+    public List<RoleChange> pendingRoleChanges() {
         long now = time.monotonicNanoseconds();
-        ordered.keySet().removeIf(server -> !placer.changing(server, now));
-        return List.copyOf(ordered.values());
+        orderedRoleChanges.keySet().removeIf(server -> !placementPolicy.changing(server, now));
+        return List.copyOf(orderedRoleChanges.values());
     }
 
     /**
@@ -201,17 +203,17 @@
      */
     public void samplePressure(Predicate<String> waiting) {
         long now = time.monotonicNanoseconds();
-        modelServices().forEach(service -> placer.samplePressure(service, waiting.test(service), now));
+        modelServices().forEach(service -> placementPolicy.samplePressure(service, waiting.test(service), now));
     }
 
     /** Returns the engine speeds estimated by this entry, to be reported to the other entries. */
     public List<LearntSpeed> learntSpeeds() {
-        return placer.learntSpeeds();
+        return placementPolicy.learntSpeeds();
     }
 
     /** Returns the event lengths estimated by this entry, to be reported to the other entries. */
     public List<EventLength> eventLengths() {
-        return placer.eventLengths();
+        return placementPolicy.eventLengths();
     }
 
     /** Removes entries whose last report is too old. */
@@ -220,45 +222,45 @@
     }
 
     /** Returns this entry's share of the load of each server, by server id. */
-    public Map<String, PeerShare> ownShares() {
-        return placer.ownShares(time.monotonicNanoseconds());
+    public Map<String, PeerShare> ownLoadShares() {
+        return placementPolicy.ownShares(time.monotonicNanoseconds());
     }
 
     /** Returns and clears the prompts that this entry has placed since the last call. */
-    public List<PlacedPrompt> takeUntoldPrompts() {
-        return placer.takeUntoldPrompts();
+    public List<PlacedPrompt> takeUnreportedPrompts() {
+        return placementPolicy.takeUntoldPrompts();
     }
 
     /**
      * Returns how many entries share the budgets: this one and those whose reports are received. Until a report is
      * received, the number in the settings is used, because a process that has just started may be one of many.
      */
-    public int entries() {
-        int heard = peers.heardEntries();
-        return heard == 0 ? repeats.assumedEntries() : heard + 1;
+    public int entryCount() {
+        int peerCount = peers.heardEntries();
+        return peerCount == 0 ? repeatSettings.assumedEntries() : peerCount + 1;
     }
 
     /** Returns the maximum number of connections that this entry may have open to one server of a service. */
     public int connectionShare(String service) {
         return configuration
                 .flatMap(known -> known.service(service))
-                .map(traits -> Math.max(1, traits.mostConnections() / entries()))
+                .map(traits -> Math.max(1, traits.mostConnections() / entryCount()))
                 .orElse(Integer.MAX_VALUE);
     }
 
     /** Returns whether requests can be served. */
     public boolean ready() {
-        return configuration.isPresent() && serversKnown && fatalRequestsKnown;
+        return configuration.isPresent() && serverListKnown && fatalRequestsLoaded;
     }
 
     /** Returns the number of other entries whose reports are received. */
-    public int heardEntries() {
+    public int peerCount() {
         return peers.heardEntries();
     }
 
     /** Returns the estimated state and load of each backend server. */
-    public List<ServerSummary> servers() {
-        return placer.summaries(time.monotonicNanoseconds());
+    public List<ServerSummary> serverSummaries() {
+        return placementPolicy.summaries(time.monotonicNanoseconds());
     }
 
     /** Returns the configuration in force. */
@@ -266,8 +268,8 @@
         return configuration;
     }
 
-    Placer placer() {
-        return placer;
+    Placer placementPolicy() {
+        return placementPolicy;
     }
 
     /**
@@ -275,19 +277,19 @@
      * started does not know what engines have cached; without the listing, after a restart of all entries every shared
      * prompt part would be computed again while the callers wait.
      */
-    public List<BackendServer> takeUnlistedEngines() {
-        List<BackendServer> unlisted = new ArrayList<>();
+    public List<BackendServer> takeEnginesToList() {
+        List<BackendServer> engines = new ArrayList<>();
         for (BackendServer server : directory.servers()) {
-            if (cacheTokens(server) > 0 && listed.add(server.id() + "@" + server.startedAt())) {
-                unlisted.add(server);
+            if (cacheTokens(server) > 0 && listedStarts.add(server.id() + "@" + server.startedAt())) {
+                engines.add(server);
             }
         }
-        return unlisted;
+        return engines;
     }
 
     /** Records the prompt parts that an engine reports as cached. */
-    public void cacheListed(BackendServer engine, List<PromptPart> parts, long now) {
-        placer.cacheListed(engine.id(), parts, now);
+    public void cacheListingReceived(BackendServer engine, List<PromptPart> parts, long now) {
+        placementPolicy.cacheListed(engine.id(), parts, now);
         log.notable("cache-listed")
                 .with("server", engine.id())
                 .with("parts", parts.size())
@@ -295,13 +297,13 @@
     }
 
     /** Returns the state that role assignment needs, given the name of this entry. */
-    public FleetSnapshot snapshot(String entry) {
+    public FleetSnapshot fleetSnapshot(String entryName) {
         long now = time.monotonicNanoseconds();
         List<ServiceLoad> services = modelServices().stream()
-                .map(service -> placer.serviceLoad(service, now))
+                .map(service -> placementPolicy.serviceLoad(service, now))
                 .toList();
         boolean idle = now - lastRequestAt > IDLE_AFTER.toNanos() && peers.idle();
-        return new FleetSnapshot(services, idle, peers.noneBefore(entry));
+        return new FleetSnapshot(services, idle, peers.noneBefore(entryName));
     }
 
     private Set<String> modelServices() {
@@ -315,30 +317,30 @@
     }
 
     /** Records a request for a service; it adds a fraction of a repeat to the service's budget. */
-    void requested(String service) {
+    void requestArrived(String service) {
         lastRequestAt = time.monotonicNanoseconds();
-        allowance(service).requested();
+        repeatAllowance(service).requested();
     }
 
     /** Takes a repeat out of the service's budget; returns whether the budget allowed it. */
-    boolean takeRepeat(String service) {
-        return allowance(service).take(entries());
+    boolean tryTakeRepeat(String service) {
+        return repeatAllowance(service).take(entryCount());
     }
 
     /** Updates the estimate of a server from the end of an attempt. */
     void attemptEnded(PlacedWork work, AttemptEnd end) {
         long now = time.monotonicNanoseconds();
         switch (end) {
-            case AttemptEnd.NeverSent neverSent -> placer.unreachable(work, now);
-            case AttemptEnd.Misdirected misdirected -> placer.unreachable(work, now);
-            case AttemptEnd.NotExecuted notExecuted -> placer.rejected(work, now);
-            case AttemptEnd.Lost lost -> placer.failed(work, now);
-            case AttemptEnd.Failed failed -> placer.failed(work, now);
+            case AttemptEnd.NeverSent neverSent -> placementPolicy.unreachable(work, now);
+            case AttemptEnd.Misdirected misdirected -> placementPolicy.unreachable(work, now);
+            case AttemptEnd.NotExecuted notExecuted -> placementPolicy.rejected(work, now);
+            case AttemptEnd.Lost lost -> placementPolicy.failed(work, now);
+            case AttemptEnd.Failed failed -> placementPolicy.failed(work, now);
         }
     }
 
     /** Returns whether this start of the server is registered as ready. */
-    boolean takesWork(BackendServer server) {
+    boolean acceptsWork(BackendServer server) {
         return directory
                 .find(server.id())
                 .filter(known -> known.sameStart(server) && known.state() == BackendState.READY)
@@ -358,13 +360,15 @@
     }
 
     /** Returns the delay plus a random part of up to half of it, so that refused callers do not all retry at once. */
-    Duration spread(Duration pause) {
-        return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
+    Duration withJitter(Duration delay) {
+        return delay.plusNanos((long) (delay.toNanos() * random.nextDouble() / 2));
     }
 
-    private RepeatAllowance allowance(String service) {
-        return allowances.computeIfAbsent(
-                service, name -> new RepeatAllowance(time, repeats.ratio(), repeats.slack(), repeats.window()));
+    private RepeatAllowance repeatAllowance(String service) {
+        return repeatAllowances.computeIfAbsent(
+                service,
+                name -> new RepeatAllowance(
+                        time, repeatSettings.ratio(), repeatSettings.slack(), repeatSettings.window()));
     }
 
     private int cacheTokens(BackendServer server) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
@@ -13,12 +13,12 @@
  * <p>An engine that hangs or has become unresponsive accepts requests and answers none. Without this check its callers
  * would wait until their deadline, although another engine could have answered them.
  */
-final class StallWatch {
+final class StallDetector {
     /**
      * If an answer has not begun after this many times the route's objective, the attempt is checked, and abandoned
      * if its server is unresponsive.
      */
-    private static final int STALLED_OBJECTIVES = 2;
+    private static final int STALL_OBJECTIVES = 2;
 
     /** Factor by which a queue may be longer than expected. */
     private static final double QUEUE_MARGIN = 2;
@@ -27,17 +27,17 @@
      * Maximum gap in a stream if the server sends nothing for other requests either, in percent of the gap after which
      * callers leave; the rest of the time is left for another engine to continue.
      */
-    private static final int QUIET_PERCENT = 40;
+    private static final int MAX_GAP_PERCENT = 40;
 
-    private static final double NANOSECONDS = 1e9;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    private final RequestTools tools;
+    private final RequestDependencies dependencies;
     private final Duration objective;
-    private final Duration tellingPatience;
+    private final Duration maxEventGap;
     private final BooleanSupplier reading;
-    private final Consumer<WatchedAttempt> stalled;
+    private final Consumer<WatchedAttempt> stallListener;
     private Future<?> timer;
-    private long unreadAt = Long.MIN_VALUE;
+    private long lastUnreadAt = Long.MIN_VALUE;
 
     /**
      * Creates a detector.
@@ -45,13 +45,16 @@
      * @param reading returns whether the answer is being read; it is not while the caller accepts no data
      * @param stallListener receives an attempt whose server has stalled
      */
-    StallWatch(RequestTools tools, Route route, BooleanSupplier reading, Consumer<WatchedAttempt> stalled) {
-        this.tools = tools;
+    StallDetector(
+            RequestDependencies dependencies,
+            Route route,
+            BooleanSupplier reading,
+            Consumer<WatchedAttempt> stallListener) {
+        this.dependencies = dependencies;
         this.reading = reading;
         this.objective = route.objective();
-        this.tellingPatience =
-                route.longestSilence().multipliedBy(QUIET_PERCENT).dividedBy(100);
-        this.stalled = stalled;
+        this.maxEventGap = route.longestSilence().multipliedBy(MAX_GAP_PERCENT).dividedBy(100);
+        this.stallListener = stallListener;
     }
 
     /**
@@ -59,22 +62,23 @@
      * with few requests at an engine may see no answer from it for that long.
      */
     void watch(WatchedAttempt attempt) {
-        Duration queue = Duration.ofNanos((long) (QUEUE_MARGIN * attempt.work().answerSeconds() * NANOSECONDS));
-        watch(attempt, objective.multipliedBy(STALLED_OBJECTIVES).plus(queue));
+        Duration queueTime =
+                Duration.ofNanos((long) (QUEUE_MARGIN * attempt.work().answerSeconds() * NANOSECONDS_PER_SECOND));
+        watch(attempt, objective.multipliedBy(STALL_OBJECTIVES).plus(queueTime));
     }
 
-    private void watch(WatchedAttempt attempt, Duration patience) {
+    private void watch(WatchedAttempt attempt, Duration limit) {
         cancel();
-        timer = tools.eventLoop().schedule(() -> check(attempt, patience), patience.toNanos(), TimeUnit.NANOSECONDS);
+        timer = dependencies.eventLoop().schedule(() -> check(attempt, limit), limit.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
      * Records that the answer of an attempt has begun; if it is a stream that is being watched, its gaps are limited.
      */
-    void begun(AnswerAttempt answer) {
+    void answerBegan(AnswerAttempt answer) {
         boolean watching = timer != null && !timer.isDone();
-        if (watching && answer.telling()) {
-            watch(answer, tellingPatience);
+        if (watching && answer.midStream()) {
+            watch(answer, maxEventGap);
         }
     }
 
@@ -84,21 +88,21 @@
         }
     }
 
-    private void check(WatchedAttempt attempt, Duration patience) {
-        if (attempt instanceof AnswerAttempt answer && answer.telling()) {
-            checkTelling(answer);
+    private void check(WatchedAttempt attempt, Duration limit) {
+        if (attempt instanceof AnswerAttempt answer && answer.midStream()) {
+            checkStream(answer);
             return;
         }
         if (attempt.begun()) {
             return;
         }
-        if (!tools.state().placer().silentSince(attempt.work())) {
+        if (!dependencies.state().placementPolicy().silentSince(attempt.work())) {
             // The server answers other requests, so this one waits in its queue, and would wait at another server
             // too.
-            watch(attempt, patience);
+            watch(attempt, limit);
             return;
         }
-        stalled.accept(attempt);
+        stallListener.accept(attempt);
     }
 
     /**
@@ -106,19 +110,19 @@
      * would leave although another engine could continue. Time in which this entry itself has stopped reading,
      * because the caller accepts no data, does not count.
      */
-    private void checkTelling(AnswerAttempt answer) {
-        long now = tools.state().time().monotonicNanoseconds();
-        unreadAt = reading.getAsBoolean() ? unreadAt : now;
-        long heardAt = Math.max(answer.heardAt(), unreadAt);
-        long quietFrom = now - tellingPatience.toNanos();
-        if (heardAt > quietFrom) {
-            watch(answer, Duration.ofNanos(heardAt - quietFrom));
+    private void checkStream(AnswerAttempt answer) {
+        long now = dependencies.state().time().monotonicNanoseconds();
+        lastUnreadAt = reading.getAsBoolean() ? lastUnreadAt : now;
+        long lastActivityAt = Math.max(answer.lastEventAt(), lastUnreadAt);
+        long windowStart = now - maxEventGap.toNanos();
+        if (lastActivityAt > windowStart) {
+            watch(answer, Duration.ofNanos(lastActivityAt - windowStart));
             return;
         }
-        if (tools.state().placer().nothingHeardSince(answer.work(), quietFrom)) {
-            stalled.accept(answer);
+        if (dependencies.state().placementPolicy().nothingHeardSince(answer.work(), windowStart)) {
+            stallListener.accept(answer);
             return;
         }
-        watch(answer, tellingPatience);
+        watch(answer, maxEventGap);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
@@ -10,27 +10,27 @@
      * Maximum number of separate prefill attempts; after that, the time is better spent on a single engine doing both
      * stages.
      */
-    private static final int MOST_STAGED_TRIES = 2;
+    private static final int MAX_PREFILL_ATTEMPTS = 2;
 
-    private final Set<String> identities = new HashSet<>();
-    private int failedStages;
+    private final Set<String> ids = new HashSet<>();
+    private int failedPrefills;
 
     void add(BackendServer server) {
-        identities.add(server.id());
+        ids.add(server.id());
     }
 
     /** Records that the prefill at a server failed. */
-    void stageFailed(BackendServer server) {
+    void prefillFailed(BackendServer server) {
         add(server);
-        failedStages++;
+        failedPrefills++;
     }
 
-    Set<String> identities() {
-        return identities;
+    Set<String> ids() {
+        return ids;
     }
 
     /** Returns whether another separate prefill may be attempted. */
-    boolean mayStage() {
-        return failedStages < MOST_STAGED_TRIES;
+    boolean mayPrefill() {
+        return failedPrefills < MAX_PREFILL_ATTEMPTS;
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DecisionLogTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DecisionLogTest.java
@@ -18,14 +18,14 @@
     private DecisionLog log;
 
     @BeforeMethod
-    public void start() {
+    public void setUp() {
         time = new ManualTimeSource();
         written = new ByteArrayOutputStream();
         log = new DecisionLog(time, "entry-1", new PrintStream(written, true, StandardCharsets.UTF_8));
     }
 
     @Test
-    public void should_write_a_decision_as_one_json_line() {
+    public void should_write_one_json_line_when_decision_is_logged() {
         log.notable("server-gone").with("server", "one").with("age", 3).write();
         log.flush();
 
@@ -38,31 +38,31 @@
     // Thousands of requests per second succeed while some fail. Lines about successful requests must neither flood
     // the output nor displace lines about failures.
     @Test
-    public void should_bound_ordinary_lines_and_keep_the_notable_ones() {
+    public void should_keep_notable_lines_when_routine_lines_exceed_rate() {
         for (int request = 0; request < 5000; request++) {
-            log.usual("request-ended").with("request", request).write();
+            log.routine("request-ended").with("request", request).write();
         }
         log.notable("request-ended").with("outcome", "UNKNOWN").write();
         log.flush();
 
         assertTrue(lines().size() < 200, "lines: " + lines().size());
         assertTrue(lines().getLast().contains("UNKNOWN"));
-        assertTrue(log.leftOut() > 4000);
+        assertTrue(log.droppedLines() > 4000);
     }
 
     @Test
-    public void should_say_how_many_lines_were_left_out() {
+    public void should_report_dropped_lines_when_next_line_is_written() {
         for (int request = 0; request < 500; request++) {
-            log.usual("request-ended").write();
+            log.routine("request-ended").write();
         }
         log.flush();
-        long before = log.leftOut();
+        long dropped = log.droppedLines();
         time.advance(Duration.ofSeconds(10));
-        log.usual("request-ended").write();
+        log.routine("request-ended").write();
         log.flush();
 
-        assertTrue(before > 0);
-        assertTrue(lines().getLast().contains("\"leftOut\":" + before), lines().getLast());
+        assertTrue(dropped > 0);
+        assertTrue(lines().getLast().contains("\"leftOut\":" + dropped), lines().getLast());
     }
 
     private List<String> lines() {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DependencyLogTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/log/DependencyLogTest.java
@@ -14,18 +14,18 @@
     // The store is unresponsive for seconds and every call to it fails. One line per call would give hundreds of
     // equal lines, which do not show when the store was available again.
     @Test
-    public void should_write_one_line_for_a_loss_and_one_for_the_return() {
+    public void should_write_one_line_each_when_dependency_is_lost_and_restored() {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         DecisionLog log =
                 new DecisionLog(new ManualTimeSource(), "one", new PrintStream(written, true, StandardCharsets.UTF_8));
         DependencyLog servers = new DependencyLog(log, "servers");
 
-        servers.back();
+        servers.restored();
         servers.lost("no answer");
         servers.lost("no answer");
         servers.lost("refused");
-        servers.back();
-        servers.back();
+        servers.restored();
+        servers.restored();
         log.flush();
 
         List<String> lines = written.toString(StandardCharsets.UTF_8).lines().toList();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/EventSplitterTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/EventSplitterTest.java
@@ -16,7 +16,7 @@
     private static final String STREAM = "id: 1\ndata: one\n\nid: 2\r\ndata: two\r\n\r\nid: 3\ndata: three\n\n";
 
     @Test
-    public void should_cut_a_stream_into_whole_events_wherever_its_pieces_end() {
+    public void should_split_stream_into_complete_events_when_chunks_end_anywhere() {
         Random random = new Random(3);
         for (int round = 0; round < 500; round++) {
             EventSplitter splitter = new EventSplitter();
@@ -30,27 +30,27 @@
             }
             assertEquals(String.join("", events), STREAM);
             assertEquals(events.size(), 3);
-            assertFalse(splitter.holdsPart());
+            assertFalse(splitter.hasPartialEvent());
             splitter.release();
         }
     }
 
     @Test
-    public void should_hold_back_an_event_that_has_not_ended() {
+    public void should_hold_back_event_when_it_is_incomplete() {
         EventSplitter splitter = new EventSplitter();
         List<String> events = new ArrayList<>();
         splitter.add(bytes("id: 1\ndata: one\n\nid: 2\nda"));
         drain(splitter, events);
 
         assertEquals(events, List.of("id: 1\ndata: one\n\n"));
-        assertEquals(splitter.holdsPart(), true);
+        assertEquals(splitter.hasPartialEvent(), true);
         splitter.release();
     }
 
     @Test
-    public void should_read_the_identity_of_an_event() {
-        assertEquals(EventSplitter.identity(bytes("data: x\nid: 17\n\n")), Optional.of("17"));
-        assertEquals(EventSplitter.identity(bytes("data: x\n\n")), Optional.empty());
+    public void should_return_event_id_when_event_has_one() {
+        assertEquals(EventSplitter.eventId(bytes("data: x\nid: 17\n\n")), Optional.of("17"));
+        assertEquals(EventSplitter.eventId(bytes("data: x\n\n")), Optional.empty());
     }
 
     private static void drain(EventSplitter splitter, List<String> events) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/RequestDigestsTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/RequestDigestsTest.java
@@ -15,7 +15,7 @@
 
 public class RequestDigestsTest {
     @Test
-    public void should_take_arrivals_of_one_request_for_the_same() {
+    public void should_give_same_digest_when_request_arrives_again() {
         assertEquals(
                 digest("/draft/a", "House.example:80", "Bearer one", "body", "first-id"),
                 digest("/draft/a", "house.example", "Bearer one", "body", "second-id"));
@@ -23,18 +23,18 @@
 
     // Guards against a fatal request that is not recognised because a number in its query differs at each arrival.
     @Test
-    public void should_leave_the_query_out() {
+    public void should_give_same_digest_when_only_query_differs() {
         assertEquals(digest("/read/a?page=1", "h", "", "", "1"), digest("/read/a?page=2", "h", "", "", "2"));
     }
 
     // Guards against a caller who can get another caller's request quarantined.
     @Test
-    public void should_tell_callers_by_their_credentials() {
+    public void should_give_different_digests_when_credentials_differ() {
         assertNotEquals(digest("/read/a", "h", "Bearer one", "", "1"), digest("/read/a", "h", "Bearer two", "", "1"));
     }
 
     @Test
-    public void should_tell_hosts_paths_and_bodies_apart() {
+    public void should_give_different_digests_when_host_path_or_body_differs() {
         RequestDigest digest = digest("/read/a", "h", "", "body", "1");
 
         assertNotEquals(digest("/read/b", "h", "", "body", "1"), digest);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -24,23 +24,23 @@
     private static final String PLAIN = "registry";
     private static final String MODEL = "model";
     private static final String FATAL_BODY = "fatal";
-    private static final String SERVER_ENDED = "\"event\":\"server-ended\"";
+    private static final String SERVER_ENDED_EVENT = "\"event\":\"server-ended\"";
 
     private static final int SERVERS = 10;
     private static final int ARRIVALS = 10;
 
     /** Maximum number of servers that one request may terminate before it is quarantined. */
-    private static final int MOST_ENDS = 3;
+    private static final int MAX_TERMINATIONS = 3;
 
     /** Maximum number of further runs until all entries have received the report of the last termination. */
-    private static final int MOST_RUNS_AFTER = 3;
+    private static final int MAX_RUNS_AFTER = 3;
 
     private final List<ScriptedBackend> servers = new ArrayList<>();
-    private final List<TestGateway> others = new ArrayList<>();
+    private final List<TestGateway> otherEntries = new ArrayList<>();
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/book/", RepeatRule.AT_MOST_ONCE, false, 1, PLAIN);
         gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, PLAIN);
@@ -48,99 +48,100 @@
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         servers.clear();
-        for (TestGateway other : others) {
+        for (TestGateway other : otherEntries) {
             other.close();
         }
-        others.clear();
+        otherEntries.clear();
         gateway.close();
     }
 
     // Guards against a request that terminates one server after another because each arrival is treated as a new
     // request.
     @Test
-    public void should_keep_a_request_from_servers_once_it_has_ended_three() throws Exception {
-        plainServers();
+    public void should_quarantine_request_when_it_has_terminated_three_servers() throws Exception {
+        startPlainServers();
 
-        arriveAgainAndAgain("/book/a");
+        sendFatalRequestRepeatedly("/book/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
+        assertTrue(terminatedServers() <= MAX_TERMINATIONS, "terminated servers: " + terminatedServers());
         assertTrue(call(gateway, "/book/a", FATAL_BODY, ARRIVALS).line().contains(" 503 "));
     }
 
     // Guards against one arrival that is sent to one server after another although earlier attempts terminated
     // servers.
     @Test
-    public void should_count_the_ends_of_repeats_within_one_arrival() throws Exception {
-        plainServers();
+    public void should_count_terminations_when_one_arrival_is_repeated() throws Exception {
+        startPlainServers();
 
-        arriveAgainAndAgain("/read/a");
+        sendFatalRequestRepeatedly("/read/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
+        assertTrue(terminatedServers() <= MAX_TERMINATIONS, "terminated servers: " + terminatedServers());
     }
 
     // Guards against a request that terminates the full number of servers through each entry that its caller uses.
     @Test
-    public void should_count_ends_over_all_entries() throws Exception {
-        plainServers();
-        TestGateway second = another("second-entry");
+    public void should_count_terminations_when_request_uses_several_entries() throws Exception {
+        startPlainServers();
+        TestGateway second = startEntry("second-entry");
 
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             TestGateway entry = arrival % 2 == 0 ? gateway : second;
             call(entry, "/book/a", FATAL_BODY, arrival);
         }
 
-        assertTrue(endedServers() <= MOST_ENDS + MOST_RUNS_AFTER, "terminated servers: " + endedServers());
+        assertTrue(
+                terminatedServers() <= MAX_TERMINATIONS + MAX_RUNS_AFTER, "terminated servers: " + terminatedServers());
     }
 
     // Guards against entries that lose the list of fatal requests when all of them are restarted.
     @Test
-    public void should_remember_the_request_after_all_entries_were_restarted() throws Exception {
-        plainServers();
-        arriveAgainAndAgain("/book/a");
+    public void should_keep_quarantine_when_all_entries_are_restarted() throws Exception {
+        startPlainServers();
+        sendFatalRequestRepeatedly("/book/a");
         gateway.awaitLogged("\"event\":\"fatal-request-stored\"");
         gateway.close();
-        TestGateway restarted = another("entry-under-test");
+        TestGateway restarted = startEntry("entry-under-test");
 
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             call(restarted, "/book/a", FATAL_BODY, arrival);
         }
 
-        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
+        assertTrue(terminatedServers() <= MAX_TERMINATIONS, "terminated servers: " + terminatedServers());
     }
 
     // Guards against a request for a model whose prefill is repeated although generating its answer terminates each
     // engine.
     @Test
-    public void should_keep_a_request_from_engines_for_prompts_too() throws Exception {
-        List<ScriptedBackend> prompts = new ArrayList<>();
+    public void should_not_prefill_when_request_is_quarantined() throws Exception {
+        List<ScriptedBackend> prefillEngines = new ArrayList<>();
         for (int number = 0; number < 2; number++) {
-            prompts.add(gateway.backend(
-                    "prompts-" + number, MODEL, EngineRole.PREFILL, TestGateway.HERE, FatalRequestTest::computed));
+            prefillEngines.add(gateway.backend(
+                    "prompts-" + number, MODEL, EngineRole.PREFILL, TestGateway.HERE, FatalRequestTest::prefillAnswer));
         }
         for (int number = 0; number < SERVERS; number++) {
             servers.add(gateway.backend(
-                    "answers-" + number, MODEL, EngineRole.DECODE, TestGateway.HERE, FatalRequestTest::answer));
+                    "answers-" + number, MODEL, EngineRole.DECODE, TestGateway.HERE, FatalRequestTest::crashIfFatal));
         }
         gateway.publish();
 
-        arriveAgainAndAgain("/draft/a");
+        sendFatalRequestRepeatedly("/draft/a");
 
-        assertTrue(endedServers() <= MOST_ENDS, "terminated servers: " + endedServers());
-        long computed = prompts.stream()
+        assertTrue(terminatedServers() <= MAX_TERMINATIONS, "terminated servers: " + terminatedServers());
+        long prefills = prefillEngines.stream()
                 .flatMap(engine -> engine.received().stream())
                 .filter(request -> request.line().startsWith("POST"))
                 .count();
-        assertTrue(computed <= MOST_ENDS, "prefills: " + computed);
+        assertTrue(prefills <= MAX_TERMINATIONS, "prefills: " + prefills);
     }
 
     // Guards against callers who are told to retry at once although they will be refused again, or that it may have
     // run.
     @Test
-    public void should_tell_the_caller_that_it_has_not_run_and_when_to_come_back() throws Exception {
-        plainServers();
-        arriveAgainAndAgain("/book/a");
+    public void should_answer_not_run_with_retry_after_when_request_is_quarantined() throws Exception {
+        startPlainServers();
+        sendFatalRequestRepeatedly("/book/a");
 
         ReceivedRequest refusal = call(gateway, "/book/a", FATAL_BODY, ARRIVALS);
 
@@ -154,7 +155,7 @@
 
     // Guards against requests that are refused because servers that are still running lose their answers.
     @Test
-    public void should_not_take_a_broken_connection_for_the_end_of_a_server() throws Exception {
+    public void should_not_count_termination_when_only_connection_breaks() throws Exception {
         ScriptedBackend breaking = gateway.backend("breaking", PLAIN, request -> Reply.thenClose(""));
         gateway.publish();
 
@@ -167,35 +168,35 @@
 
     // Guards against a harmless request that is refused because it has the same path as a fatal one.
     @Test
-    public void should_serve_other_requests_beside_a_fatal_one() throws Exception {
-        plainServers();
-        arriveAgainAndAgain("/book/a");
+    public void should_serve_other_requests_when_one_is_quarantined() throws Exception {
+        startPlainServers();
+        sendFatalRequestRepeatedly("/book/a");
 
         assertTrue(call(gateway, "/book/a", "another", ARRIVALS).line().contains(" 200 "));
     }
 
     /** Sends the fatal request {@link #ARRIVALS} times, each time after the previous termination has been detected. */
-    private void arriveAgainAndAgain(String path) throws IOException {
+    private void sendFatalRequestRepeatedly(String path) throws IOException {
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             call(gateway, path, FATAL_BODY, arrival);
-            gateway.awaitLogged(SERVER_ENDED, endedServers());
+            gateway.awaitLogged(SERVER_ENDED_EVENT, terminatedServers());
         }
     }
 
-    private void plainServers() throws AspenmoorException, IOException {
+    private void startPlainServers() throws AspenmoorException, IOException {
         for (int number = 0; number < SERVERS; number++) {
-            servers.add(gateway.backend("server-" + number, PLAIN, FatalRequestTest::answer));
+            servers.add(gateway.backend("server-" + number, PLAIN, FatalRequestTest::crashIfFatal));
         }
         gateway.publish();
     }
 
-    private TestGateway another(String process) throws AspenmoorException, IOException {
-        TestGateway started = gateway.another(process);
-        others.add(started);
-        return started;
+    private TestGateway startEntry(String process) throws AspenmoorException, IOException {
+        TestGateway entry = gateway.another(process);
+        otherEntries.add(entry);
+        return entry;
     }
 
-    private int endedServers() {
+    private int terminatedServers() {
         return (int) servers.stream().filter(ScriptedBackend::ended).count();
     }
 
@@ -212,7 +213,7 @@
         }
     }
 
-    private static Reply answer(ReceivedRequest request) {
+    private static Reply crashIfFatal(ReceivedRequest request) {
         return request.body().equals(FATAL_BODY)
                 ? Reply.crash()
                 : Reply.of(HttpText.head(
@@ -223,7 +224,7 @@
                         + "ok");
     }
 
-    private static Reply computed(ReceivedRequest request) {
+    private static Reply prefillAnswer(ReceivedRequest request) {
         return Reply.of(HttpText.head(
                         "HTTP/1.1 200 OK",
                         "Test-Id: " + request.header(TestProtocols.ID).orElse(""),
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
@@ -25,19 +25,19 @@
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/book/", RepeatRule.AT_MOST_ONCE, false, 1, SERVICE);
         gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     @Test
-    public void should_count_requests_by_outcome() throws Exception {
+    public void should_count_request_by_outcome_when_it_ends() throws Exception {
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    public void should_show_operators_what_it_believes_of_each_server() throws Exception {
+    public void should_show_known_servers_when_state_page_is_read() throws Exception {
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -70,11 +70,11 @@
     // that carry bookings. The second booking here would be lost with its connection, and its outcome would be
     // unknown.
     @Test
-    public void should_open_no_more_connections_than_its_part_and_refuse_what_is_beyond() throws Exception {
+    public void should_refuse_request_when_connection_share_is_used_up() throws Exception {
         gateway.connectionLimit(SERVICE, 1);
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         ScriptedBackend backend = backend("one", request -> {
-            Waiting.on(held);
+            Waiting.on(release);
             return answer(request);
         });
         gateway.publish();
@@ -88,7 +88,7 @@
             assertEquals(refusal.line(), "HTTP/1.1 503 Service Unavailable");
             assertTrue(refusal.header("Retry-After").isPresent());
 
-            held.countDown();
+            release.countDown();
             assertEquals(first.answer().body(), "answer to r1");
         }
         assertEquals(backend.received().size(), 1);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -25,19 +25,19 @@
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/book/", RepeatRule.AT_MOST_ONCE, false, 1, SERVICE);
         gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     @Test
-    public void should_hand_a_request_over_unchanged_and_its_answer_back_whole() throws Exception {
+    public void should_forward_request_unchanged_and_answer_complete_when_server_answers() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void should_serve_requests_that_follow_each_other_without_waiting() throws Exception {
+    public void should_answer_all_requests_when_they_are_pipelined() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -81,7 +81,7 @@
     // A server accepts a booking and its connection breaks before the answer. A caller that is told that the
     // booking has not run would book a second time.
     @Test
-    public void should_call_the_outcome_of_a_lost_booking_unknown_and_send_it_nowhere_else() throws Exception {
+    public void should_report_unknown_outcome_without_repeat_when_booking_is_lost() throws Exception {
         ScriptedBackend first = backend("one", request -> Reply.thenClose(""));
         ScriptedBackend second = backend("two", request -> Reply.thenClose(""));
         gateway.publish();
@@ -95,7 +95,7 @@
     }
 
     @Test
-    public void should_repeat_an_idempotent_request_whose_answer_was_lost() throws Exception {
+    public void should_repeat_idempotent_request_when_its_answer_is_lost() throws Exception {
         boolean[] lost = {false};
         Script losesTheFirst = request -> {
             synchronized (lost) {
@@ -119,7 +119,7 @@
     // One server has no capacity and states that it did not run the booking. The booking may be sent to the other
     // one.
     @Test
-    public void should_offer_a_booking_elsewhere_that_a_server_did_not_run() throws Exception {
+    public void should_send_booking_to_another_server_when_first_did_not_run_it() throws Exception {
         Script refuses =
                 request -> Reply.of("HTTP/1.1 503 Service Unavailable\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         boolean[] refused = {false};
@@ -141,7 +141,7 @@
     }
 
     @Test
-    public void should_refuse_with_a_time_to_come_back_what_no_server_runs() throws Exception {
+    public void should_refuse_with_retry_after_when_no_server_runs_request() throws Exception {
         backend(
                 "one",
                 request ->
@@ -159,7 +159,7 @@
     // A server answers 503 without stating that it did not run the booking. If the status were forwarded, the
     // caller would conclude that the booking has not run, which is unknown.
     @Test
-    public void should_not_pass_a_promise_on_that_the_server_did_not_make() throws Exception {
+    public void should_answer_bad_gateway_when_server_sends_503_without_not_run_header() throws Exception {
         backend(
                 "one",
                 request -> Reply.of(HttpText.head(
@@ -176,7 +176,7 @@
     }
 
     @Test
-    public void should_go_on_to_another_server_where_none_listens() throws Exception {
+    public void should_use_another_server_when_first_does_not_listen() throws Exception {
         int unused;
         try (ServerSocket probe = new ServerSocket(0)) {
             unused = probe.getLocalPort();
@@ -195,10 +195,10 @@
     // A server answers a request twice. The second answer arrives where the answer to the next request is expected;
     // if forwarded, the caller would receive another caller's booking.
     @Test
-    public void should_give_nobody_the_answer_to_another_request() throws Exception {
+    public void should_not_forward_surplus_answer_when_server_answers_twice() throws Exception {
         backend("one", request -> {
-            String whole = answer(request).bytes();
-            return Reply.of(whole + whole);
+            String single = answer(request).bytes();
+            return Reply.of(single + single);
         });
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -210,7 +210,7 @@
     }
 
     @Test
-    public void should_not_take_a_truncated_answer_for_a_whole_one() throws Exception {
+    public void should_answer_bad_gateway_when_answer_is_truncated() throws Exception {
         backend(
                 "one",
                 request -> Reply.thenClose(
@@ -224,7 +224,7 @@
     }
 
     @Test
-    public void should_take_an_answer_without_a_length_as_whole_when_its_connection_ends() throws Exception {
+    public void should_forward_answer_without_length_when_connection_ends() throws Exception {
         backend(
                 "one",
                 request -> Reply.thenClose("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Signed: by one\r\n\r\nall of it"));
@@ -237,7 +237,7 @@
     }
 
     @Test
-    public void should_not_take_bytes_that_are_no_answer() throws Exception {
+    public void should_answer_bad_gateway_when_server_sends_no_http() throws Exception {
         backend("one", request -> Reply.of("this is no HTTP\r\n\r\n"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -248,7 +248,7 @@
     }
 
     @Test
-    public void should_not_pass_an_unsigned_success_on() throws Exception {
+    public void should_answer_bad_gateway_when_success_is_unsigned() throws Exception {
         backend("one", request -> Reply.of("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nContent-Length: 2\r\n\r\nno"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -260,7 +260,7 @@
 
     // A caller closes its connection before the answer. The server must not go on working on the request.
     @Test
-    public void should_close_the_way_to_a_server_whose_caller_has_left() throws Exception {
+    public void should_close_server_connection_when_caller_leaves() throws Exception {
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -275,7 +275,7 @@
     // requests are still unread. If these requests were forwarded half a second later, servers would work on
     // answers that nobody receives while the remaining callers wait.
     @Test
-    public void should_not_send_a_request_on_whose_caller_left_while_the_entry_was_busy() throws Exception {
+    public void should_not_forward_request_when_caller_left_while_entry_was_busy() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller busy = gateway.caller()) {
@@ -300,7 +300,7 @@
     }
 
     @Test
-    public void should_answer_in_time_for_a_server_that_does_not() throws Exception {
+    public void should_answer_gateway_timeout_when_server_does_not_answer_in_time() throws Exception {
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -319,7 +319,7 @@
     }
 
     @Test
-    public void should_say_that_no_route_leads_anywhere() throws Exception {
+    public void should_answer_not_found_when_no_route_matches() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -332,7 +332,7 @@
     // The process has just started and has not read its configuration. A 404 would tell callers that their route
     // does not exist.
     @Test
-    public void should_refuse_for_now_before_any_configuration_is_known() throws Exception {
+    public void should_refuse_with_retry_after_when_configuration_is_not_known_yet() throws Exception {
         try (TestCaller caller = gateway.caller()) {
             caller.send(read("r1"));
 
@@ -343,7 +343,7 @@
     }
 
     @Test
-    public void should_refuse_a_request_that_names_two_hosts() throws Exception {
+    public void should_answer_bad_request_when_request_has_two_hosts() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -357,7 +357,7 @@
     // Request smuggling: a request with both a content length and chunked encoding can hide a second request from a
     // receiver that interprets it differently.
     @Test
-    public void should_not_let_a_request_hide_another() throws Exception {
+    public void should_not_forward_hidden_request_when_length_and_chunks_are_given() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -378,7 +378,7 @@
     }
 
     @Test
-    public void should_ask_callers_to_close_and_end_once_it_is_told_to_stop() throws Exception {
+    public void should_close_callers_connections_and_end_when_stopped() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreRolledBackTest.java
@@ -17,27 +17,27 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-public class StoreCameBackOlderTest {
+public class StoreRolledBackTest {
     private static final String SERVICE = "registry";
 
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/read/", RepeatRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     // Guards against servers that are removed at once although they are running and will register again.
     @Test
-    public void should_doubt_that_a_server_is_gone_which_the_store_has_lost() throws Exception {
+    public void should_keep_server_as_suspect_when_store_lost_its_registration() throws Exception {
         List<StoredObject> before = gateway.store().copy();
-        gateway.backend("one", SERVICE, StoreCameBackOlderTest::answer);
+        gateway.backend("one", SERVICE, StoreRolledBackTest::answer);
         gateway.publish();
 
         gateway.store().comeBackFrom(before);
@@ -47,8 +47,8 @@
 
     // Guards against routes that are lost because the store has lost the configuration.
     @Test
-    public void should_go_on_by_the_configuration_in_force() throws Exception {
-        gateway.backend("one", SERVICE, StoreCameBackOlderTest::answer);
+    public void should_keep_configuration_in_force_when_store_lost_it() throws Exception {
+        gateway.backend("one", SERVICE, StoreRolledBackTest::answer);
         List<StoredObject> servers = gateway.store().copy();
         gateway.publish();
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -43,36 +43,39 @@
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/once/", RepeatRule.AT_MOST_ONCE, true, 1, SERVICE);
         gateway.route("/resume/", RepeatRule.RESUMABLE, true, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     @Test
-    public void should_pass_all_events_on() throws Exception {
-        backend("one", EngineRole.WHOLE, request -> Reply.of(HEAD + event(1) + event(2) + HttpText.END_OF_CHUNKS));
+    public void should_forward_all_events_when_stream_completes() throws Exception {
+        backend(
+                "one",
+                EngineRole.WHOLE,
+                request -> Reply.of(HEAD + eventChunk(1) + eventChunk(2) + HttpText.END_OF_CHUNKS));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/once/"));
+            caller.send(streamRequest("/once/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2));
+            assertEquals(caller.answer().body(), eventText(1) + eventText(2));
         }
     }
 
     // An engine crashes in the middle of a draft. The caller must be able to see that the draft is incomplete;
     // otherwise it would be stored without its end.
     @Test
-    public void should_not_let_a_broken_stream_look_complete() throws Exception {
-        backend("one", EngineRole.WHOLE, request -> Reply.thenClose(HEAD + event(1)));
+    public void should_break_connection_to_caller_when_stream_breaks() throws Exception {
+        backend("one", EngineRole.WHOLE, request -> Reply.thenClose(HEAD + eventChunk(1)));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/once/"));
+            caller.send(streamRequest("/once/"));
 
             assertThrows(EOFException.class, caller::answer);
         }
@@ -81,18 +84,18 @@
     // An engine stops in the middle of an event. Another one continues after the last complete event, and the caller
     // receives one continuous draft.
     @Test
-    public void should_resume_at_another_engine_after_the_last_whole_event() throws Exception {
+    public void should_resume_after_last_complete_event_when_engine_stops_in_event() throws Exception {
         Script breaksUnlessResumed =
                 request -> request.header(TestProtocols.AFTER).isPresent()
-                        ? Reply.of(HEAD + event(2) + event(3) + HttpText.END_OF_CHUNKS)
-                        : Reply.thenClose(HEAD + event(1) + "6\r\nid: 2\n\r\n");
+                        ? Reply.of(HEAD + eventChunk(2) + eventChunk(3) + HttpText.END_OF_CHUNKS)
+                        : Reply.thenClose(HEAD + eventChunk(1) + "6\r\nid: 2\n\r\n");
         ScriptedBackend first = backend("one", EngineRole.WHOLE, breaksUnlessResumed);
         ScriptedBackend second = backend("two", EngineRole.WHOLE, breaksUnlessResumed);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/resume/"));
+            caller.send(streamRequest("/resume/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2) + text(3));
+            assertEquals(caller.answer().body(), eventText(1) + eventText(2) + eventText(3));
         }
         List<ReceivedRequest> all = new ArrayList<>(posts(first));
         all.addAll(posts(second));
@@ -105,60 +108,62 @@
     // Guards against a caller that loses the rest of an answer, or receives a part twice, when the engine changes its
     // role.
     @Test
-    public void should_go_on_elsewhere_where_an_engine_leaves_its_answers() throws Exception {
-        CountDownLatch leaving = new CountDownLatch(1);
-        Script toldInParts = request -> request.header(TestProtocols.AFTER)
-                .map(after -> Reply.of(HEAD + events(Integer.parseInt(after) + 1) + HttpText.END_OF_CHUNKS))
-                .orElseGet(() -> Reply.inParts(HEAD + event(1), new LaterPart(leaving, events(2))));
-        ScriptedBackend first = backend("one", EngineRole.WHOLE, toldInParts);
-        ScriptedBackend second = backend("two", EngineRole.WHOLE, toldInParts);
+    public void should_continue_at_another_engine_when_engine_changes_role() throws Exception {
+        CountDownLatch roleChanging = new CountDownLatch(1);
+        Script pausesUnlessResumed = request -> request.header(TestProtocols.AFTER)
+                .map(after -> Reply.of(HEAD + eventsFrom(Integer.parseInt(after) + 1) + HttpText.END_OF_CHUNKS))
+                .orElseGet(() -> Reply.inParts(HEAD + eventChunk(1), new LaterPart(roleChanging, eventsFrom(2))));
+        ScriptedBackend first = backend("one", EngineRole.WHOLE, pausesUnlessResumed);
+        ScriptedBackend second = backend("two", EngineRole.WHOLE, pausesUnlessResumed);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/resume/"));
-            String engine = serving(first, second);
+            caller.send(streamRequest("/resume/"));
+            String engine = awaitServingEngine(first, second);
             gateway.roleChanging(engine, EngineRole.PREFILL);
-            leaving.countDown();
+            roleChanging.countDown();
 
             assertEquals(
                     caller.answer().body(),
-                    IntStream.rangeClosed(1, EVENTS).mapToObj(StreamTest::text).collect(Collectors.joining()));
+                    IntStream.rangeClosed(1, EVENTS)
+                            .mapToObj(StreamTest::eventText)
+                            .collect(Collectors.joining()));
         }
         assertEquals(posts(first).size() + posts(second).size(), 2);
     }
 
     // Guards against callers that leave in the middle of an answer because its engine has become unresponsive.
     @Test
-    public void should_go_on_elsewhere_where_an_engine_goes_quiet_within_an_answer() throws Exception {
+    public void should_continue_at_another_engine_when_stream_stalls() throws Exception {
         gateway.route("/quiet/", RepeatRule.RESUMABLE, true, 2, SERVICE, Duration.ofSeconds(1));
         CountDownLatch never = new CountDownLatch(1);
-        Script quietUnlessResumed = request -> request.header(TestProtocols.AFTER)
-                .map(after -> Reply.of(HEAD + event(2) + event(3) + HttpText.END_OF_CHUNKS))
-                .orElseGet(() -> Reply.inParts(HEAD + event(1), new LaterPart(never, "")));
-        backend("one", EngineRole.WHOLE, quietUnlessResumed);
-        backend("two", EngineRole.WHOLE, quietUnlessResumed);
+        Script stallsUnlessResumed = request -> request.header(TestProtocols.AFTER)
+                .map(after -> Reply.of(HEAD + eventChunk(2) + eventChunk(3) + HttpText.END_OF_CHUNKS))
+                .orElseGet(() -> Reply.inParts(HEAD + eventChunk(1), new LaterPart(never, "")));
+        backend("one", EngineRole.WHOLE, stallsUnlessResumed);
+        backend("two", EngineRole.WHOLE, stallsUnlessResumed);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/quiet/"));
+            caller.send(streamRequest("/quiet/"));
 
-            assertEquals(caller.answer().body(), text(1) + text(2) + text(3));
+            assertEquals(caller.answer().body(), eventText(1) + eventText(2) + eventText(3));
         }
     }
 
     // A stream breaks, and the engine that should continue it answers with a plain page instead. If forwarded into
     // the open stream, the page would appear in the middle of the caller's draft.
     @Test
-    public void should_break_a_stream_off_whose_continuation_is_no_stream() throws Exception {
+    public void should_abort_stream_when_continuation_is_not_a_stream() throws Exception {
         Script answersPlainlyWhenResumed = request -> request.header(TestProtocols.AFTER)
                         .isPresent()
                 ? Reply.of(HttpText.head(
                                 "HTTP/1.1 404 Not Found", "Test-Id: r1", "Test-Signed: by one", "Content-Length: 4")
                         + "page")
-                : Reply.thenClose(HEAD + event(1));
+                : Reply.thenClose(HEAD + eventChunk(1));
         backend("one", EngineRole.WHOLE, answersPlainlyWhenResumed);
         backend("two", EngineRole.WHOLE, answersPlainlyWhenResumed);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(stream("/resume/"));
+            caller.send(streamRequest("/resume/"));
 
             assertThrows(EOFException.class, caller::answer);
         }
@@ -166,14 +171,14 @@
     }
 
     @Test
-    public void should_have_a_prompt_computed_at_one_engine_and_answered_at_another() throws Exception {
-        ScriptedBackend prefill = backend("prefill", EngineRole.PREFILL, StreamTest::computes);
-        ScriptedBackend decode = backend("decode", EngineRole.DECODE, StreamTest::streams);
+    public void should_prefill_and_decode_at_different_engines_when_roles_differ() throws Exception {
+        ScriptedBackend prefill = backend("prefill", EngineRole.PREFILL, StreamTest::prefillAnswer);
+        ScriptedBackend decode = backend("decode", EngineRole.DECODE, StreamTest::streamOfOneEvent);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
+            caller.send(generationRequest());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.answer().body(), eventText(1));
         }
         assertEquals(posts(prefill).getFirst().header(TestProtocols.WORK).orElse(""), "prompt");
         assertEquals(posts(decode).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
@@ -183,68 +188,69 @@
     // The engine's registration expires only seconds later. Until then, each rejection would cause another prefill,
     // also for later requests, and callers would wait and be refused although another engine has capacity.
     @Test
-    public void should_hand_a_computed_prompt_to_another_engine_where_the_first_is_gone() throws Exception {
-        ScriptedBackend prefill = backend("prefill", EngineRole.PREFILL, StreamTest::computes);
+    public void should_hand_off_to_another_engine_when_first_has_terminated() throws Exception {
+        ScriptedBackend prefill = backend("prefill", EngineRole.PREFILL, StreamTest::prefillAnswer);
         Script anotherServer = request -> Reply.of(HttpText.head(
                 "HTTP/1.1 421 Misdirected Request", "Test-Id: r1", "Test-Not-Run: 1", "Content-Length: 0"));
-        ScriptedBackend gone = backend("decode-gone", EngineRole.DECODE, anotherServer);
-        ScriptedBackend there =
-                gateway.backend("decode-there", SERVICE, EngineRole.DECODE, "elsewhere", StreamTest::streams);
+        ScriptedBackend terminated = backend("decode-gone", EngineRole.DECODE, anotherServer);
+        ScriptedBackend available =
+                gateway.backend("decode-there", SERVICE, EngineRole.DECODE, "elsewhere", StreamTest::streamOfOneEvent);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
-            assertEquals(caller.answer().body(), text(1));
+            caller.send(generationRequest());
+            assertEquals(caller.answer().body(), eventText(1));
             assertEquals(posts(prefill).size(), 1);
-            assertEquals(posts(there).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
+            assertEquals(
+                    posts(available).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
 
             for (int request = 1; request < REQUESTS; request++) {
-                caller.send(generation());
-                assertEquals(caller.answer().body(), text(1));
+                caller.send(generationRequest());
+                assertEquals(caller.answer().body(), eventText(1));
             }
         }
-        assertEquals(posts(there).size(), REQUESTS);
-        assertEquals(posts(gone).size(), 1);
+        assertEquals(posts(available).size(), REQUESTS);
+        assertEquals(posts(terminated).size(), 1);
     }
 
     // A prefill engine becomes unresponsive: it accepts requests and sends nothing. Its callers would wait until
     // their deadline and receive no draft, although another engine has capacity.
     @Test
-    public void should_compute_a_prompt_elsewhere_where_the_engine_has_gone_dark() throws Exception {
-        CountDownLatch dark = new CountDownLatch(1);
-        ScriptedBackend silent = backend("prefill-dark", EngineRole.PREFILL, request -> {
-            Waiting.on(dark);
+    public void should_prefill_at_another_engine_when_first_is_unresponsive() throws Exception {
+        CountDownLatch released = new CountDownLatch(1);
+        ScriptedBackend unresponsive = backend("prefill-dark", EngineRole.PREFILL, request -> {
+            Waiting.on(released);
             return Reply.thenClose("");
         });
         ScriptedBackend other =
-                gateway.backend("prefill-there", SERVICE, EngineRole.PREFILL, "elsewhere", StreamTest::computes);
-        backend("decode", EngineRole.DECODE, StreamTest::streams);
+                gateway.backend("prefill-there", SERVICE, EngineRole.PREFILL, "elsewhere", StreamTest::prefillAnswer);
+        backend("decode", EngineRole.DECODE, StreamTest::streamOfOneEvent);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
+            caller.send(generationRequest());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.answer().body(), eventText(1));
         } finally {
-            dark.countDown();
+            released.countDown();
         }
-        assertEquals(posts(silent).size() + posts(other).size(), 2);
+        assertEquals(posts(unresponsive).size() + posts(other).size(), 2);
     }
 
     // A decode engine rejects a request because it is out of memory. The prefill is repeated, which loads an engine
     // a second time. Both repeats have to count against the repeat budget; otherwise a fleet that is short of
     // memory gets twice the load.
     @Test
-    public void should_count_a_prompt_that_is_computed_again_as_a_repeat() throws Exception {
-        backend("prefill", EngineRole.PREFILL, StreamTest::computes);
-        backend("prefill-too", EngineRole.PREFILL, StreamTest::computes);
+    public void should_count_repeat_when_prefill_is_repeated() throws Exception {
+        backend("prefill", EngineRole.PREFILL, StreamTest::prefillAnswer);
+        backend("prefill-too", EngineRole.PREFILL, StreamTest::prefillAnswer);
         boolean[] refused = {false};
         Script refusesTheFirst = request -> {
             if (!request.line().startsWith("POST")) {
                 return streamOrCache(request, "");
             }
             synchronized (refused) {
-                Reply full = Reply.of(HttpText.head(
+                Reply rejection = Reply.of(HttpText.head(
                         "HTTP/1.1 503 Service Unavailable", "Test-Id: r1", "Test-Not-Run: 1", "Content-Length: 0"));
-                Reply reply = refused[0] ? streams(request) : full;
+                Reply reply = refused[0] ? streamOfOneEvent(request) : rejection;
                 refused[0] = true;
                 return reply;
             }
@@ -253,9 +259,9 @@
         backend("decode-too", EngineRole.DECODE, refusesTheFirst);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
+            caller.send(generationRequest());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.answer().body(), eventText(1));
         }
         assertTrue(
                 gateway.metrics().contains("aspenmoor_repeats_total{granted=\"true\",service=\"model\"} 2.0"),
@@ -264,14 +270,14 @@
 
     // The prefill engine accepts no request. The other engine can do both stages, only slower.
     @Test
-    public void should_answer_without_a_computed_prompt_where_none_can_be_had() throws Exception {
+    public void should_answer_without_separate_prefill_when_prefill_fails() throws Exception {
         backend("prefill", EngineRole.PREFILL, request -> Reply.thenClose(""));
-        ScriptedBackend decode = backend("decode", EngineRole.DECODE, StreamTest::streams);
+        ScriptedBackend decode = backend("decode", EngineRole.DECODE, StreamTest::streamOfOneEvent);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
+            caller.send(generationRequest());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.answer().body(), eventText(1));
         }
         assertTrue(posts(decode).getFirst().header(TestProtocols.SOURCE).isEmpty());
     }
@@ -279,23 +285,24 @@
     // All entries have been restarted and have lost their state, while the engines still have prompts cached.
     // Prompts placed at other engines would all be computed again within the seconds in which the callers retry.
     @Test
-    public void should_learn_what_engines_keep_when_it_starts() throws Exception {
+    public void should_use_cached_prompts_of_engines_when_entry_starts() throws Exception {
         for (int engine = 0; engine < 5; engine++) {
             backend("empty-" + engine, EngineRole.WHOLE, request -> streamOrCache(request, ""));
         }
-        ScriptedBackend keeps = backend("keeps", EngineRole.WHOLE, request -> streamOrCache(request, "own:20000"));
+        ScriptedBackend caching = backend("keeps", EngineRole.WHOLE, request -> streamOrCache(request, "own:20000"));
         gateway.publish();
         gateway.awaitLogged("\"event\":\"cache-listed\",\"server\":\"keeps\"");
         try (TestCaller caller = gateway.caller()) {
-            caller.send(generation());
+            caller.send(generationRequest());
 
-            assertEquals(caller.answer().body(), text(1));
+            assertEquals(caller.answer().body(), eventText(1));
         }
-        assertTrue(keeps.received().stream().anyMatch(request -> request.line().startsWith("POST")));
+        assertTrue(
+                caching.received().stream().anyMatch(request -> request.line().startsWith("POST")));
     }
 
     /** Waits until one of the engines has received a caller's request; returns its id. */
-    private static String serving(ScriptedBackend first, ScriptedBackend second) {
+    private static String awaitServingEngine(ScriptedBackend first, ScriptedBackend second) {
         while (true) {
             if (!posts(first).isEmpty()) {
                 return "one";
@@ -314,22 +321,22 @@
                 .toList();
     }
 
-    private static Reply streamOrCache(ReceivedRequest request, String kept) {
+    private static Reply streamOrCache(ReceivedRequest request, String cached) {
         if (request.line().startsWith("POST")) {
-            return streams(request);
+            return streamOfOneEvent(request);
         }
-        return Reply.of(HttpText.head("HTTP/1.1 200 OK", "Content-Length: " + kept.length()) + kept);
+        return Reply.of(HttpText.head("HTTP/1.1 200 OK", "Content-Length: " + cached.length()) + cached);
     }
 
-    private static Reply computes(ReceivedRequest request) {
+    private static Reply prefillAnswer(ReceivedRequest request) {
         return Reply.of("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh1");
     }
 
-    private static Reply streams(ReceivedRequest request) {
-        return Reply.of(HEAD + event(1) + HttpText.END_OF_CHUNKS);
+    private static Reply streamOfOneEvent(ReceivedRequest request) {
+        return Reply.of(HEAD + eventChunk(1) + HttpText.END_OF_CHUNKS);
     }
 
-    private static String generation() {
+    private static String generationRequest() {
         return HttpText.head(
                 "POST /once/a HTTP/1.1",
                 "Host: house.example",
@@ -342,19 +349,21 @@
         return gateway.backend(id, SERVICE, role, TestGateway.HERE, script);
     }
 
-    private static String stream(String path) {
+    private static String streamRequest(String path) {
         return "POST " + path + "a HTTP/1.1\r\nHost: house.example\r\nTest-Id: r1\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String text(int number) {
+    private static String eventText(int number) {
         return "id: " + number + "\ndata: token " + number + "\n\n";
     }
 
-    private static String events(int from) {
-        return IntStream.rangeClosed(from, EVENTS).mapToObj(StreamTest::event).collect(Collectors.joining());
+    private static String eventsFrom(int first) {
+        return IntStream.rangeClosed(first, EVENTS)
+                .mapToObj(StreamTest::eventChunk)
+                .collect(Collectors.joining());
     }
 
-    private static String event(int number) {
-        return HttpText.chunk(text(number));
+    private static String eventChunk(int number) {
+        return HttpText.chunk(eventText(number));
     }
 }
