--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -11,7 +11,7 @@
 /**
  * Writes decisions as JSON lines, asynchronously in a separate thread.
  *
- * <p>The logging thread never waits for the output: a line is dropped and counted if the queue is full or the rate
+ * <p>Logging never blocks on the output: a line is dropped and counted if the queue is full or the rate
  * limit is exceeded, and the count is added to the next line. Notable lines, such as failures, have a separate rate
  * limit, so that many routine lines do not displace them.
  */
@@ -83,9 +83,9 @@
                 .with("time", time.timeOfDay().toString())
                 .with("process", process)
                 .with("event", event);
-        long droppedNow = dropped.get();
-        if (droppedNow != reportedDropped.getAndSet(droppedNow)) {
-            line.with("leftOut", droppedNow);
+        long droppedSoFar = dropped.get();
+        if (droppedSoFar != reportedDropped.getAndSet(droppedSoFar)) {
+            line.with("leftOut", droppedSoFar);
         }
         return line;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DependencyLog.java
@@ -14,7 +14,7 @@
     /**
      * Creates a log.
      *
-     * @param name the data that this process reads from the dependency
+     * @param dependency the data that this process reads from the dependency
      */
     public DependencyLog(DecisionLog log, String dependency) {
         this.log = log;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
@@ -6,10 +6,7 @@
 import org.aspenmoor.internal.serving.Placer;
 import org.aspenmoor.internal.serving.Prompt;
 
-/**
- * Reports the progress of one request's answer to the placement policy, which estimates engine and service load from
- * it.
- */
+/** Reports the progress of one request's answer to the placement policy, which estimates the load from it. */
 final class AnswerProgress {
     private final Placer placementPolicy;
     private final String service;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -28,7 +28,7 @@
 
     /** Returns the message that asks an engine for prefill only. */
     FullHttpRequest prefillRequest(Placement.Staged staged, Optional<String> lastEventId, long now) {
-        return message(new Delivery(
+        return buildMessage(new Delivery(
                 staged.prefill().id(),
                 remaining(now),
                 staged.promptRank(route.priority()),
@@ -51,11 +51,11 @@
             Optional<BackendServer> holder,
             Optional<String> lastEventId,
             long now) {
-        return message(new Delivery(
+        return buildMessage(new Delivery(
                 server.id(), remaining(now), route.priority(), WantedWork.ANSWER, source, holder, lastEventId));
     }
 
-    private FullHttpRequest message(Delivery delivery) {
+    private FullHttpRequest buildMessage(Delivery delivery) {
         return OutgoingMessage.request(incoming, protocol, delivery);
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
@@ -74,10 +74,10 @@
                 .help("Connections to backend servers that were opened.")
                 .callback(callback -> callback.call((double) connectionsOpened.getAsLong()))
                 .register(registry);
-        registerServers(registry, servers);
+        registerServerMetrics(registry, servers);
     }
 
-    private static void registerServers(PrometheusRegistry registry, Supplier<List<ServerSummary>> servers) {
+    private static void registerServerMetrics(PrometheusRegistry registry, Supplier<List<ServerSummary>> servers) {
         GaugeWithCallback.builder()
                 .name("aspenmoor_server_requests")
                 .help("Requests at a backend server, of all entries, by server and role.")
@@ -120,7 +120,7 @@
         quarantinedArrivals.labelValues(service).inc();
     }
 
-    void firstByte(String service, double seconds) {
+    void answerBegan(String service, double seconds) {
         firstByteSeconds.labelValues(service).observe(seconds);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -55,7 +55,7 @@
         this.deadline = deadline;
     }
 
-    void placed(String newPlacementType, double seconds) {
+    void placementChosen(String newPlacementType, double seconds) {
         placementType = newPlacementType;
         expectedSeconds = seconds;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -94,8 +94,8 @@
     void start() {
         dependencies.state().requestArrived(service);
         answerProgress.expectWithin(route.timeout(), now());
-        long left = Math.max(0, times.deadline() - now());
-        deadlineTimer = dependencies.eventLoop().schedule(this::deadlineReached, left, TimeUnit.NANOSECONDS);
+        long remaining = Math.max(0, times.deadline() - now());
+        deadlineTimer = dependencies.eventLoop().schedule(this::deadlineReached, remaining, TimeUnit.NANOSECONDS);
         assignServer();
     }
 
@@ -131,13 +131,13 @@
         assignServer(placementRequests.create(dependencies.waitQueues().anyWaiting(service), now()));
     }
 
-    private void assignServer(PlacementRequest wanted) {
+    private void assignServer(PlacementRequest placementRequest) {
         if (refusedByQuarantine()) {
             return;
         }
-        switch (dependencies.state().placementPolicy().choose(wanted, now())) {
+        switch (dependencies.state().placementPolicy().choose(placementRequest, now())) {
             case Placement.Whole whole -> {
-                trace.placed("whole", whole.expectedSeconds());
+                trace.placementChosen("whole", whole.expectedSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
                     queueTracker.dispatched();
@@ -145,7 +145,7 @@
                 send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.holder());
             }
             case Placement.Staged staged -> {
-                trace.placed("staged", staged.expectedSeconds());
+                trace.placementChosen("staged", staged.expectedSeconds());
                 prefill(staged);
             }
             case Placement.Held held -> queueTracker.enqueue(held, times.wantedBy(trace.lastEventTime()));
@@ -237,30 +237,30 @@
         }
         attemptTracker.promptComputed();
         trace.prefillCompleted(placement.prefill(), now());
-        PrefilledPrompt computed = new PrefilledPrompt(placement.prefill(), source);
-        pendingHandoff.begin(computed);
+        PrefilledPrompt prefilledPrompt = new PrefilledPrompt(placement.prefill(), source);
+        pendingHandoff.begin(prefilledPrompt);
         dependencies.metrics().attemptEnded(service, "prefilled");
         if (!repeatPermit.tryAcquire()) {
             conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        handOff(computed);
+        handOff(prefilledPrompt);
     }
 
-    private void handOff(PrefilledPrompt computed) {
+    private void handOff(PrefilledPrompt prefilledPrompt) {
         if (refusedByQuarantine()) {
             return;
         }
         Optional<BackendServer> decoder = dependencies
                 .state()
                 .placementPolicy()
-                .chooseDecoder(placementRequests.create(false, now()), computed.engine(), now());
+                .chooseDecoder(placementRequests.create(false, now()), prefilledPrompt.engine(), now());
         if (decoder.isEmpty()) {
             trace.setReason("no engine is available to generate the answer");
             conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(computed.source()), Optional.empty());
+        send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(prefilledPrompt.source()), Optional.empty());
     }
 
     /**
@@ -291,7 +291,7 @@
         if (!stream.begun()) {
             trace.firstByteReceived(now());
             queueTracker.answerBegan();
-            dependencies.metrics().firstByte(service, (now() - incoming.arrivedAt()) / 1e9);
+            dependencies.metrics().answerBegan(service, (now() - incoming.arrivedAt()) / 1e9);
         }
     }
 
@@ -409,7 +409,7 @@
             return;
         }
         if (end instanceof AttemptEnd.NotExecuted) {
-            pendingHandoff.prompt().ifPresent(computed -> triedServers.add(computed.engine()));
+            pendingHandoff.prompt().ifPresent(prefilledPrompt -> triedServers.add(prefilledPrompt.engine()));
         }
         pendingHandoff.release();
         assignServer();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -63,25 +63,25 @@
     public ServingState(
             TimeSource time,
             RandomGenerator random,
-            RepeatSettings repeats,
+            RepeatSettings repeatSettings,
             DecisionLog log,
-            PlacementSettings placement) {
+            PlacementSettings placementSettings) {
         this.time = time;
         this.random = random;
-        this.repeatSettings = repeats;
+        this.repeatSettings = repeatSettings;
         this.lastRequestAt = time.monotonicNanoseconds() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
-        this.placementPolicy = new Placer(placement, peers, random);
+        this.placementPolicy = new Placer(placementSettings, peers, random);
     }
 
     /** Applies changed settings. */
-    public void reload(RepeatSettings newRepeats, PlacementSettings placement) {
-        if (!newRepeats.equals(repeatSettings)) {
-            repeatSettings = newRepeats;
+    public void reload(RepeatSettings newRepeatSettings, PlacementSettings placementSettings) {
+        if (!newRepeatSettings.equals(repeatSettings)) {
+            repeatSettings = newRepeatSettings;
             repeatAllowances.clear();
         }
-        placementPolicy.reload(placement);
+        placementPolicy.reload(placementSettings);
     }
 
     /** Applies a configuration and returns whether it was newer than the one in force; others are ignored. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
@@ -97,8 +97,7 @@
             return;
         }
         if (!dependencies.state().placementPolicy().silentSince(attempt.work())) {
-            // The server answers other requests, so this one waits in its queue, and would wait at another server
-            // too.
+            // The server answers other requests, so this one is queued there, and would be queued elsewhere too.
             watch(attempt, limit);
             return;
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitQueues.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitQueues.java
@@ -9,10 +9,7 @@
 import org.aspenmoor.internal.serving.WaitingLine;
 import org.aspenmoor.internal.time.TimeSource;
 
-/**
- * The wait queues of this entry, one per service, for requests that no engine has capacity for. Confined to the event
- * loop.
- */
+/** Per service, the queue of requests that wait at this entry for an engine. Confined to the event loop. */
 public final class WaitQueues {
     /** Interval at which queues are checked even if no request ends: a fraction of the time that a prefill takes. */
     private static final long POLL_MILLISECONDS = 10;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -33,7 +33,7 @@
     private static final int MAX_TERMINATIONS = 3;
 
     /** Maximum number of further runs until all entries have received the report of the last termination. */
-    private static final int MAX_RUNS_AFTER = 3;
+    private static final int MAX_FURTHER_RUNS = 3;
 
     private final List<ScriptedBackend> servers = new ArrayList<>();
     private final List<TestGateway> otherEntries = new ArrayList<>();
@@ -92,7 +92,8 @@
         }
 
         assertTrue(
-                terminatedServers() <= MAX_TERMINATIONS + MAX_RUNS_AFTER, "terminated servers: " + terminatedServers());
+                terminatedServers() <= MAX_TERMINATIONS + MAX_FURTHER_RUNS,
+                "terminated servers: " + terminatedServers());
     }
 
     // Guards against entries that lose the list of fatal requests when all of them are restarted.
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
@@ -41,7 +41,7 @@
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
             caller.answer();
         }
 
@@ -54,7 +54,7 @@
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
             caller.answer();
         }
 
@@ -80,9 +80,9 @@
         gateway.publish();
         try (TestCaller first = gateway.caller();
                 TestCaller second = gateway.caller()) {
-            first.send(book("r1"));
+            first.send(bookingRequest("r1"));
             backend.awaitRequest();
-            second.send(book("r2"));
+            second.send(bookingRequest("r2"));
 
             ReceivedRequest refusal = second.answer();
             assertEquals(refusal.line(), "HTTP/1.1 503 Service Unavailable");
@@ -106,11 +106,11 @@
                 + body);
     }
 
-    private static String book(String id) {
+    private static String bookingRequest(String id) {
         return "POST /book/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String read(String id) {
+    private static String readRequest(String id) {
         return "GET /read/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\n\r\n";
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -70,7 +70,7 @@
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1") + read("r2") + read("r3"));
+            caller.send(readRequest("r1") + readRequest("r2") + readRequest("r3"));
 
             assertEquals(caller.answer().body(), "answer to r1");
             assertEquals(caller.answer().body(), "answer to r2");
@@ -86,7 +86,7 @@
         ScriptedBackend second = backend("two", request -> Reply.thenClose(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -110,7 +110,7 @@
         backend("two", losesTheFirst);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             assertEquals(caller.answer().body(), "answer to r1");
         }
@@ -134,7 +134,7 @@
         backend("two", refusesTheFirst);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().body(), "answer to r1");
         }
@@ -148,7 +148,7 @@
                         Reply.of("HTTP/1.1 503 Service Unavailable\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             ReceivedRequest answer = caller.answer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
@@ -169,7 +169,7 @@
                         "Content-Length: 0")));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -186,7 +186,7 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 10; request++) {
-                caller.send(book("r" + request));
+                caller.send(bookingRequest("r" + request));
                 assertEquals(caller.answer().body(), "answer to r" + request);
             }
         }
@@ -203,7 +203,7 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 20; request++) {
-                caller.send(read("r" + request));
+                caller.send(readRequest("r" + request));
                 assertEquals(caller.answer().body(), "answer to r" + request);
             }
         }
@@ -217,7 +217,7 @@
                         "HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Signed: by one\r\nContent-Length: 100\r\n\r\nhalf"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -230,7 +230,7 @@
                 request -> Reply.thenClose("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Signed: by one\r\n\r\nall of it"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().body(), "all of it");
         }
@@ -241,7 +241,7 @@
         backend("one", request -> Reply.of("this is no HTTP\r\n\r\n"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -252,7 +252,7 @@
         backend("one", request -> Reply.of("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nContent-Length: 2\r\n\r\nno"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.answer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -264,7 +264,7 @@
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
             backend.awaitRequest();
         }
         backend.awaitClose();
@@ -280,12 +280,12 @@
         gateway.publish();
         try (TestCaller busy = gateway.caller()) {
             TestCaller leaving = gateway.caller();
-            leaving.send(read("r1"));
+            leaving.send(readRequest("r1"));
             leaving.answer();
             busy.send(HttpText.head(
                     "GET /read/a HTTP/1.1", "Host: house.example", "Test-Id: r2", TestProtocols.BUSY + ": yes"));
             gateway.protocols().awaitBusy();
-            leaving.send(read("r3"));
+            leaving.send(readRequest("r3"));
             leaving.close();
             gateway.protocols().release();
 
@@ -334,7 +334,7 @@
     @Test
     public void should_refuse_with_retry_after_when_configuration_is_not_known_yet() throws Exception {
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             ReceivedRequest answer = caller.answer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
@@ -383,7 +383,7 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             gateway.gateway().stop();
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             ReceivedRequest answer = caller.answer();
             assertEquals(answer.body(), "answer to r1");
@@ -406,11 +406,11 @@
                 + body);
     }
 
-    private static String book(String id) {
+    private static String bookingRequest(String id) {
         return "POST /book/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String read(String id) {
+    private static String readRequest(String id) {
         return "GET /read/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\n\r\n";
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -97,8 +97,8 @@
 
             assertEquals(caller.answer().body(), eventText(1) + eventText(2) + eventText(3));
         }
-        List<ReceivedRequest> all = new ArrayList<>(posts(first));
-        all.addAll(posts(second));
+        List<ReceivedRequest> all = new ArrayList<>(callerRequests(first));
+        all.addAll(callerRequests(second));
         assertEquals(all.size(), 2);
         assertTrue(all.stream()
                 .anyMatch(request ->
@@ -128,7 +128,7 @@
                             .mapToObj(StreamTest::eventText)
                             .collect(Collectors.joining()));
         }
-        assertEquals(posts(first).size() + posts(second).size(), 2);
+        assertEquals(callerRequests(first).size() + callerRequests(second).size(), 2);
     }
 
     // Guards against callers that leave in the middle of an answer because its engine has become unresponsive.
@@ -180,8 +180,10 @@
 
             assertEquals(caller.answer().body(), eventText(1));
         }
-        assertEquals(posts(prefill).getFirst().header(TestProtocols.WORK).orElse(""), "prompt");
-        assertEquals(posts(decode).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
+        assertEquals(
+                callerRequests(prefill).getFirst().header(TestProtocols.WORK).orElse(""), "prompt");
+        assertEquals(
+                callerRequests(decode).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
     }
 
     // A decode engine has terminated and another server, which rejects misdirected requests, now has its address.
@@ -199,17 +201,21 @@
         try (TestCaller caller = gateway.caller()) {
             caller.send(generationRequest());
             assertEquals(caller.answer().body(), eventText(1));
-            assertEquals(posts(prefill).size(), 1);
+            assertEquals(callerRequests(prefill).size(), 1);
             assertEquals(
-                    posts(available).getFirst().header(TestProtocols.SOURCE).orElse(""), "h1");
+                    callerRequests(available)
+                            .getFirst()
+                            .header(TestProtocols.SOURCE)
+                            .orElse(""),
+                    "h1");
 
             for (int request = 1; request < REQUESTS; request++) {
                 caller.send(generationRequest());
                 assertEquals(caller.answer().body(), eventText(1));
             }
         }
-        assertEquals(posts(available).size(), REQUESTS);
-        assertEquals(posts(terminated).size(), 1);
+        assertEquals(callerRequests(available).size(), REQUESTS);
+        assertEquals(callerRequests(terminated).size(), 1);
     }
 
     // A prefill engine becomes unresponsive: it accepts requests and sends nothing. Its callers would wait until
@@ -232,7 +238,7 @@
         } finally {
             released.countDown();
         }
-        assertEquals(posts(unresponsive).size() + posts(other).size(), 2);
+        assertEquals(callerRequests(unresponsive).size() + callerRequests(other).size(), 2);
     }
 
     // A decode engine rejects a request because it is out of memory. The prefill is repeated, which loads an engine
@@ -279,7 +285,8 @@
 
             assertEquals(caller.answer().body(), eventText(1));
         }
-        assertTrue(posts(decode).getFirst().header(TestProtocols.SOURCE).isEmpty());
+        assertTrue(
+                callerRequests(decode).getFirst().header(TestProtocols.SOURCE).isEmpty());
     }
 
     // All entries have been restarted and have lost their state, while the engines still have prompts cached.
@@ -304,10 +311,10 @@
     /** Waits until one of the engines has received a caller's request; returns its id. */
     private static String awaitServingEngine(ScriptedBackend first, ScriptedBackend second) {
         while (true) {
-            if (!posts(first).isEmpty()) {
+            if (!callerRequests(first).isEmpty()) {
                 return "one";
             }
-            if (!posts(second).isEmpty()) {
+            if (!callerRequests(second).isEmpty()) {
                 return "two";
             }
             Thread.onSpinWait();
@@ -315,7 +322,7 @@
     }
 
     /** Returns the callers' requests that a backend has received; an entry's cache queries are not POST requests. */
-    private static List<ReceivedRequest> posts(ScriptedBackend backend) {
+    private static List<ReceivedRequest> callerRequests(ScriptedBackend backend) {
         return backend.received().stream()
                 .filter(request -> request.line().startsWith("POST"))
                 .toList();
