--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -42,8 +42,8 @@
 import org.aspenmoor.internal.gateway.quarantine.FatalRequestKeeper;
 import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
 import org.aspenmoor.internal.gateway.request.GatewayMetrics;
-import org.aspenmoor.internal.gateway.request.RequestDependencies;
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
+import org.aspenmoor.internal.gateway.request.ServingContext;
 import org.aspenmoor.internal.gateway.request.ServingState;
 import org.aspenmoor.internal.gateway.request.WaitQueues;
 import org.aspenmoor.internal.gateway.roles.FleetSnapshot;
@@ -105,7 +105,7 @@
         this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
         this.lines = new WaitQueues(time, eventLoop);
         this.fatalRequests = new FatalRequests(time, log);
-        RequestDependencies tools = new RequestDependencies(
+        ServingContext tools = new ServingContext(
                 state,
                 connections,
                 backendProtocol,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -88,7 +88,7 @@
     @Override
     public void broken(String reason) {
         if (!finished) {
-            request.fatalRequestCheck().connectionBroken(server, work, sinceAnswerBegan());
+            request.fatalCheck().connectionBroken(server, work, sinceAnswerBegan());
         }
         endAttempt(new AttemptEnd.Lost(), reason);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -8,22 +8,22 @@
 
 /** The open attempt of a request; there is at most one at a time. Confined to the event loop. */
 final class CurrentAttempt {
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final String service;
     private final Duration objective;
     private PlacedWork work;
     private Exchange exchange;
 
-    CurrentAttempt(RequestDependencies dependencies, String service, Duration objective) {
-        this.dependencies = dependencies;
+    CurrentAttempt(ServingContext context, String service, Duration objective) {
+        this.context = context;
         this.service = service;
         this.objective = objective;
     }
 
     /** Begins an attempt and records it with the placement policy. */
     PlacedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
-        long now = dependencies.state().time().monotonicNanoseconds();
-        work = dependencies.state().placementPolicy().placed(server, kind, promptSeconds, objective, now);
+        long now = context.state().time().monotonicNanoseconds();
+        work = context.state().placement().placed(server, kind, promptSeconds, objective, now);
         return work;
     }
 
@@ -41,12 +41,12 @@
 
     /** Ends an attempt and dispatches waiting requests, since its server can accept another one. */
     void end(PlacedWork endedWork) {
-        dependencies.state().placementPolicy().ended(endedWork);
+        context.state().placement().ended(endedWork);
         if (endedWork.equals(work)) {
             work = null;
             exchange = null;
         }
-        dependencies.waitQueues().dispatchWaiting(service);
+        context.waitQueues().dispatchWaiting(service);
     }
 
     /** Cancels the exchange; the caller of this method has to end the attempt. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/FatalRequestCheck.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/FatalRequestCheck.java
@@ -19,7 +19,7 @@
     /** If a server terminates later than this after an answer began, the request is not considered the cause. */
     private static final Duration MAX_FATAL_RUN = Duration.ofSeconds(1);
 
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final FatalRequests fatalRequests;
     private final String requestId;
     private final String service;
@@ -29,13 +29,9 @@
     private int unconfirmedTerminations;
 
     FatalRequestCheck(
-            RequestDependencies dependencies,
-            String requestId,
-            String service,
-            IncomingRequest incoming,
-            RequestTrace trace) {
-        this.dependencies = dependencies;
-        this.fatalRequests = dependencies.fatalRequests();
+            ServingContext context, String requestId, String service, IncomingRequest incoming, RequestTrace trace) {
+        this.context = context;
+        this.fatalRequests = context.fatalRequests();
         this.requestId = requestId;
         this.service = service;
         this.incoming = incoming;
@@ -48,7 +44,7 @@
             case Verdict.Clear clear -> Optional.empty();
             case Verdict.Suspected suspected -> Optional.empty();
             case Verdict.Quarantined quarantined -> {
-                dependencies.metrics().quarantined(service);
+                context.metrics().quarantined(service);
                 trace.setReason("running it has terminated backend servers, " + quarantined.ends() + " so far; digest "
                         + digest().text());
                 yield Optional.of(quarantined.left());
@@ -84,11 +80,10 @@
      * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
      */
     void connectionBroken(BackendServer server, PlacedWork work, Duration sinceAnswerBegan) {
-        Duration sinceSent =
-                Duration.ofNanos(dependencies.state().time().monotonicNanoseconds() - work.atNanoseconds());
+        Duration sinceSent = Duration.ofNanos(context.state().time().monotonicNanoseconds() - work.atNanoseconds());
         InterruptedAttempt attempt = new InterruptedAttempt(requestId, digest(), server, sinceSent, sinceAnswerBegan);
         unconfirmedTerminations++;
-        dependencies.connections().probe(server, terminated -> probed(attempt, terminated));
+        context.connections().probe(server, terminated -> probed(attempt, terminated));
     }
 
     private Verdict decision() {
@@ -101,8 +96,8 @@
             return;
         }
         BackendServer server = attempt.server();
-        boolean planned = !dependencies.state().acceptsWork(server);
-        dependencies.metrics().serverTerminated(server.service(), planned);
+        boolean planned = !context.state().acceptsWork(server);
+        context.metrics().serverTerminated(server.service(), planned);
         logTermination(attempt, planned);
         if (!planned && attempt.sinceAnswerBegan().compareTo(MAX_FATAL_RUN) <= 0) {
             fatalRequests.serverEnded(attempt.digest(), ServerStart.of(server));
@@ -111,11 +106,10 @@
 
     private void logTermination(InterruptedAttempt attempt, boolean planned) {
         BackendServer server = attempt.server();
-        long now = dependencies.state().time().monotonicNanoseconds();
-        long requests = Math.round(
-                dependencies.state().placementPolicy().load(server.id(), now).requests());
-        dependencies
-                .state()
+        long now = context.state().time().monotonicNanoseconds();
+        long requests =
+                Math.round(context.state().placement().load(server.id(), now).requests());
+        context.state()
                 .log()
                 .notable("server-ended")
                 .with("request", attempt.requestId())
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PendingHandoff.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PendingHandoff.java
@@ -4,12 +4,12 @@
 
 /** The prefill cache of a request that no decode engine has transferred yet, if there is one. */
 final class PendingHandoff {
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final String requestId;
     private Optional<PrefilledPrompt> prompt = Optional.empty();
 
-    PendingHandoff(RequestDependencies dependencies, String requestId) {
-        this.dependencies = dependencies;
+    PendingHandoff(ServingContext context, String requestId) {
+        this.context = context;
         this.requestId = requestId;
     }
 
@@ -27,7 +27,7 @@
 
     /** Releases the cache at its engine; otherwise it would occupy the engine's memory until its handle expires. */
     void release() {
-        prompt.ifPresent(prefilled -> prefilled.release(dependencies, requestId));
+        prompt.ifPresent(prefilled -> prefilled.release(context, requestId));
         prompt = Optional.empty();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -84,7 +84,7 @@
 
     @Override
     public void broken(String reason) {
-        request.fatalRequestCheck().connectionBroken(placement.prefill(), work, Duration.ZERO);
+        request.fatalCheck().connectionBroken(placement.prefill(), work, Duration.ZERO);
         request.prefillFailed(placement, work, new AttemptEnd.Lost(), reason);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefilledPrompt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefilledPrompt.java
@@ -11,16 +11,13 @@
  */
 record PrefilledPrompt(BackendServer engine, CacheSource source) {
     /** Tells the engine that the cache will not be transferred, so that it can free the memory. */
-    void release(RequestDependencies dependencies, String requestId) {
-        dependencies
-                .state()
+    void release(ServingContext context, String requestId) {
+        context.state()
                 .log()
                 .routine("prompt-freed")
                 .with("request", requestId)
                 .with("server", engine.id())
                 .write();
-        dependencies
-                .connections()
-                .send(engine, "", dependencies.protocol().release(source), new IgnoringExchangeListener());
+        context.connections().send(engine, "", context.protocol().release(source), new IgnoringExchangeListener());
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
@@ -6,14 +6,14 @@
 
 /** Records the steps of one request in the wait queue of its service: queued, dispatched to an engine, answered. */
 final class QueueTracker {
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final ServedRequest request;
     private final RequestTimes times;
     private final RequestTrace trace;
     private long dispatchedAt;
 
-    QueueTracker(RequestDependencies dependencies, ServedRequest request, RequestTimes times, RequestTrace trace) {
-        this.dependencies = dependencies;
+    QueueTracker(ServingContext context, ServedRequest request, RequestTimes times, RequestTrace trace) {
+        this.context = context;
         this.request = request;
         this.times = times;
         this.trace = trace;
@@ -26,8 +26,7 @@
      */
     void enqueue(Placement.Held held, long wantedBy) {
         trace.queued(now());
-        dependencies
-                .waitQueues()
+        context.waitQueues()
                 .add(new WaitingLine.Waiting<>(
                         request, held.promptSeconds(), times.arrivedAt(), times.aimAt(), wantedBy));
     }
@@ -36,15 +35,15 @@
     void dispatched() {
         dispatchedAt = now();
         trace.dispatched(dispatchedAt);
-        dependencies.waitQueues().dispatched(request.service(), times.aimAt(), dispatchedAt);
+        context.waitQueues().dispatched(request.service(), times.aimAt(), dispatchedAt);
     }
 
     /** Records the first byte of the answer. */
     void answerBegan() {
-        dependencies.waitQueues().answerBegan(request.service(), dispatchedAt, now());
+        context.waitQueues().answerBegan(request.service(), dispatchedAt, now());
     }
 
     private long now() {
-        return dependencies.state().time().monotonicNanoseconds();
+        return context.state().time().monotonicNanoseconds();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -35,7 +35,7 @@
     /** Interval at which requests that wait for the process to become ready are checked. */
     private static final long START_POLL_MILLISECONDS = 20;
 
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final CallerProtocol callerProtocol;
     private final long maxBodyBytes;
     private final List<DeferredRequest> deferredRequests = new ArrayList<>();
@@ -48,8 +48,8 @@
      *
      * @param maxBodyBytes maximum total size of the request bodies held at once
      */
-    public RequestDispatcher(RequestDependencies dependencies, CallerProtocol callerProtocol, long maxBodyBytes) {
-        this.dependencies = dependencies;
+    public RequestDispatcher(ServingContext context, CallerProtocol callerProtocol, long maxBodyBytes) {
+        this.context = context;
         this.callerProtocol = callerProtocol;
         this.maxBodyBytes = maxBodyBytes;
     }
@@ -66,8 +66,7 @@
     }
 
     private boolean ready() {
-        return dependencies.state().ready()
-                && dependencies.state().configuration().isPresent();
+        return context.state().ready() && context.state().configuration().isPresent();
     }
 
     private ActiveRequest deferUntilReady(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
@@ -84,12 +83,11 @@
                         RequestOutcome.NOT_RUN,
                         LocalAnswers.notRun(
                                 "this entry has just started and has not read its configuration yet",
-                                dependencies.state().withJitter(START_RETRY_DELAY))),
+                                context.state().withJitter(START_RETRY_DELAY))),
                 () -> incoming.body().release());
         deferredRequests.add(deferred);
         if (startPoll == null) {
-            startPoll = dependencies
-                    .eventLoop()
+            startPoll = context.eventLoop()
                     .scheduleWithFixedDelay(
                             this::pollDeferred,
                             START_POLL_MILLISECONDS,
@@ -100,7 +98,7 @@
     }
 
     private void pollDeferred() {
-        long now = dependencies.state().time().monotonicNanoseconds();
+        long now = context.state().time().monotonicNanoseconds();
         boolean ready = ready();
         deferredRequests.removeIf(each -> each.settle(ready, now));
         if (deferredRequests.isEmpty()) {
@@ -110,7 +108,7 @@
     }
 
     private ActiveRequest serveNow(IncomingRequest incoming, CallerRequest caller, CallerLink link) {
-        Optional<ServingConfiguration> configuration = dependencies.state().configuration();
+        Optional<ServingConfiguration> configuration = context.state().configuration();
         Optional<Route> route = configuration.get().match(incoming.host(), incoming.path());
         if (route.isEmpty()) {
             return refuse(
@@ -120,9 +118,9 @@
                     RequestOutcome.NO_ROUTE,
                     LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route matches this host and path."));
         }
-        String service = route.get().serviceFor(dependencies.state().random().nextDouble());
+        String service = route.get().serviceFor(context.state().random().nextDouble());
         ServedRequest request = new ServedRequest(
-                dependencies,
+                context,
                 incoming,
                 caller,
                 link,
@@ -140,11 +138,7 @@
 
     @Override
     public ConnectionLimits limits() {
-        return dependencies
-                .state()
-                .configuration()
-                .map(ServingConfiguration::limits)
-                .orElse(ConnectionLimits.usual());
+        return context.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.usual());
     }
 
     @Override
@@ -180,9 +174,8 @@
     /** Ends a request that was not sent to any backend server. */
     private void endUnserved(IncomingRequest incoming, CallerRequest caller, RequestOutcome outcome) {
         incoming.body().release();
-        dependencies.metrics().requestEnded("", outcome);
-        dependencies
-                .state()
+        context.metrics().requestEnded("", outcome);
+        context.state()
                 .log()
                 .notable("request-ended")
                 .with("request", caller.id())
@@ -191,8 +184,7 @@
                 .with("path", incoming.path())
                 .with(
                         "configuration",
-                        dependencies
-                                .state()
+                        context.state()
                                 .configuration()
                                 .map(ServingConfiguration::version)
                                 .orElse(-1L))
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -25,7 +25,7 @@
     private final long arrivedAt;
     private final long deadline;
     private String placementType = "none";
-    private String serverId = "";
+    private String server = "";
     private String reason = "";
     private double expectedSeconds;
     private String prefillServerId = "";
@@ -61,7 +61,7 @@
     }
 
     void sentTo(BackendServer target) {
-        serverId = target.id();
+        server = target.id();
     }
 
     void queued(long now) {
@@ -120,8 +120,8 @@
         return events;
     }
 
-    String serverId() {
-        return serverId;
+    String server() {
+        return server;
     }
 
     String reason() {
@@ -141,7 +141,7 @@
     void logAttemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
                 .with("request", caller.id())
-                .with("server", serverId)
+                .with("server", server)
                 .with("end", end.getClass().getSimpleName())
                 .with("reason", reason)
                 .with("next", next.name())
@@ -155,7 +155,7 @@
                 .with("route", route.name())
                 .with("configuration", configurationVersion)
                 .with("service", service)
-                .with("server", serverId)
+                .with("server", server)
                 .with("attempts", attempts)
                 .with("way", placementType)
                 .with("promptTokens", caller.prompt().map(Prompt::promptTokens).orElse(0))
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -27,15 +27,12 @@
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/**
- * Serves one request of a caller: assigns it to a server, sends it, repeats it where that is allowed, and answers it
- * exactly once. Confined to the event loop.
- */
+/** Serves one caller's request: placement, attempts, repeats, exactly one answer. Confined to the event loop. */
 final class ServedRequest implements ActiveRequest {
     /** Minimum retry delay of a refused caller; after a shorter delay the cause of the refusal usually still exists. */
     private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(200);
 
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final IncomingRequest incoming;
     private final CallerRequest caller;
     private final CallerLink link;
@@ -46,68 +43,66 @@
     private final RequestTrace trace;
     private final AttemptMessages messages;
     private final AnswerProgress answerProgress;
-    private final QueueTracker queueTracker;
-    private final AttemptAccount attemptTracker;
+    private final QueueTracker queue;
+    private final AttemptAccount attempts;
     private final CurrentAttempt currentAttempt;
-    private final RepeatPermit repeatPermit;
+    private final RepeatPermit permit;
     private final StallDetector stallDetector;
-    private final FatalRequestCheck fatalRequestCheck;
+    private final FatalRequestCheck fatalCheck;
     private final PendingHandoff pendingHandoff;
     private final TriedServers triedServers = new TriedServers();
-    private final PlacementRequestFactory placementRequests;
+    private final PlacementRequestFactory placements;
     private AnswerAttempt answerAttempt;
     private Future<?> deadlineTimer;
     private boolean finished;
 
     ServedRequest(
-            RequestDependencies dependencies,
+            ServingContext context,
             IncomingRequest incoming,
             CallerRequest caller,
             CallerLink link,
             Route route,
             String service,
             long configurationVersion) {
-        this.dependencies = dependencies;
+        this.context = context;
         this.incoming = incoming;
         this.caller = caller;
         this.link = link;
         this.stream = new CallerStream(link);
         this.route = route;
         this.service = service;
-        this.attemptTracker = new AttemptAccount(route.repeatRule(), route.mostBackends());
-        this.currentAttempt = new CurrentAttempt(dependencies, service, route.objective());
-        this.stallDetector = new StallDetector(dependencies, route, link::writable, this::stalled);
+        this.attempts = new AttemptAccount(route.repeatRule(), route.mostBackends());
+        this.currentAttempt = new CurrentAttempt(context, service, route.objective());
+        this.stallDetector = new StallDetector(context, route, link::writable, this::stalled);
         this.times = new RequestTimes(incoming.arrivedAt(), caller.patience(), route);
         this.trace =
                 new RequestTrace(caller, route, service, configurationVersion, incoming.arrivedAt(), times.deadline());
-        this.messages = new AttemptMessages(incoming, dependencies.protocol(), route, times.deadline());
-        this.answerProgress =
-                new AnswerProgress(dependencies.state().placementPolicy(), service, caller.prompt(), trace);
-        this.queueTracker = new QueueTracker(dependencies, this, times, trace);
-        this.placementRequests =
-                new PlacementRequestFactory(service, caller, route, times, trace, stream, triedServers);
-        this.repeatPermit = new RepeatPermit(dependencies, service, attemptTracker, trace);
-        this.pendingHandoff = new PendingHandoff(dependencies, caller.id());
-        this.fatalRequestCheck = new FatalRequestCheck(dependencies, caller.id(), service, incoming, trace);
+        this.messages = new AttemptMessages(incoming, context.protocol(), route, times.deadline());
+        this.answerProgress = new AnswerProgress(context.state().placement(), service, caller.prompt(), trace);
+        this.queue = new QueueTracker(context, this, times, trace);
+        this.placements = new PlacementRequestFactory(service, caller, route, times, trace, stream, triedServers);
+        this.permit = new RepeatPermit(context, service, attempts, trace);
+        this.pendingHandoff = new PendingHandoff(context, caller.id());
+        this.fatalCheck = new FatalRequestCheck(context, caller.id(), service, incoming, trace);
     }
 
     void start() {
-        dependencies.state().requestArrived(service);
+        context.state().requestArrived(service);
         answerProgress.expectWithin(route.timeout(), now());
         long remaining = Math.max(0, times.deadline() - now());
-        deadlineTimer = dependencies.eventLoop().schedule(this::deadlineReached, remaining, TimeUnit.NANOSECONDS);
+        deadlineTimer = context.eventLoop().schedule(this::deadlineReached, remaining, TimeUnit.NANOSECONDS);
         assignServer();
     }
 
     /** Continues when the request leaves the wait queue because an engine may have capacity. */
     void continueFromQueue() {
-        assignServer(placementRequests.create(false, now()));
+        assignServer(placements.create(false, now()));
     }
 
     /** Ends the request without having run it: it cannot leave the wait queue before its deadline. */
     void refuseFromQueue(Duration retryDelay) {
         trace.setReason("no engine has capacity before the deadline");
-        conclude(attemptTracker.conclusion(), retryDelay);
+        conclude(attempts.conclusion(), retryDelay);
     }
 
     String service() {
@@ -128,19 +123,19 @@
     }
 
     private void assignServer() {
-        assignServer(placementRequests.create(dependencies.waitQueues().anyWaiting(service), now()));
+        assignServer(placements.create(context.waitQueues().anyWaiting(service), now()));
     }
 
     private void assignServer(PlacementRequest placementRequest) {
         if (refusedByQuarantine()) {
             return;
         }
-        switch (dependencies.state().placementPolicy().choose(placementRequest, now())) {
+        switch (context.state().placement().choose(placementRequest, now())) {
             case Placement.Whole whole -> {
                 trace.placementChosen("whole", whole.expectedSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
-                    queueTracker.dispatched();
+                    queue.dispatched();
                 }
                 send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.holder());
             }
@@ -148,33 +143,30 @@
                 trace.placementChosen("staged", staged.expectedSeconds());
                 prefill(staged);
             }
-            case Placement.Held held -> queueTracker.enqueue(held, times.wantedBy(trace.lastEventTime()));
+            case Placement.Held held -> queue.enqueue(held, times.wantedBy(trace.lastEventTime()));
             case Placement.Refused refused -> {
                 trace.setReason(refused.reason());
-                conclude(attemptTracker.conclusion(), refused.comeBackAfter());
+                conclude(attempts.conclusion(), refused.comeBackAfter());
             }
         }
     }
 
     /** Refuses the request if it is in quarantine; returns whether it is. */
     private boolean refusedByQuarantine() {
-        Optional<Duration> remaining = fatalRequestCheck.checkQuarantine();
-        remaining.ifPresent(retryDelay -> conclude(attemptTracker.conclusion(), retryDelay));
+        Optional<Duration> remaining = fatalCheck.checkQuarantine();
+        remaining.ifPresent(retryDelay -> conclude(attempts.conclusion(), retryDelay));
         return remaining.isPresent();
     }
 
     private void prefill(Placement.Staged staged) {
-        queueTracker.dispatched();
+        queue.dispatched();
         trace.sentTo(staged.prefill());
         PlacedWork work = currentAttempt.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
-        caller.prompt()
-                .ifPresent(
-                        prompt -> dependencies.state().placementPolicy().promptPlaced(staged.prefill(), prompt, now()));
+        caller.prompt().ifPresent(prompt -> context.state().placement().promptPlaced(staged.prefill(), prompt, now()));
         FullHttpRequest message = messages.prefillRequest(staged, stream.lastEventId(), now());
-        PrefillAttempt prefill = new PrefillAttempt(this, dependencies.protocol(), staged, work);
+        PrefillAttempt prefill = new PrefillAttempt(this, context.protocol(), staged, work);
         stallDetector.watch(prefill);
-        currentAttempt.setExchange(
-                work, dependencies.connections().send(staged.prefill(), caller.id(), message, prefill));
+        currentAttempt.setExchange(work, context.connections().send(staged.prefill(), caller.id(), message, prefill));
     }
 
     private void send(
@@ -183,13 +175,12 @@
             double promptSeconds,
             Optional<CacheSource> source,
             Optional<BackendServer> holder) {
-        attemptTracker.began();
-        trace.answerRequested(dependencies.state().placementPolicy().load(server.id(), now()), now());
+        attempts.began();
+        trace.answerRequested(context.state().placement().load(server.id(), now()), now());
         triedServers.add(server);
         trace.sentTo(server);
         PlacedWork work = currentAttempt.begin(server, kind, promptSeconds);
-        caller.prompt()
-                .ifPresent(prompt -> dependencies.state().placementPolicy().promptPlaced(server, prompt, now()));
+        caller.prompt().ifPresent(prompt -> context.state().placement().promptPlaced(server, prompt, now()));
         answerAttempt = new AnswerAttempt(this, server, work, route.streamed());
         FullHttpRequest message = messages.answerRequest(server, source, holder, stream.lastEventId(), now());
         if (route.repeatRule() == RepeatRule.AT_MOST_ONCE || route.mostBackends() == 1) {
@@ -197,11 +188,11 @@
         } else {
             stallDetector.watch(answerAttempt);
         }
-        currentAttempt.setExchange(work, dependencies.connections().send(server, caller.id(), message, answerAttempt));
+        currentAttempt.setExchange(work, context.connections().send(server, caller.id(), message, answerAttempt));
     }
 
-    FatalRequestCheck fatalRequestCheck() {
-        return fatalRequestCheck;
+    FatalRequestCheck fatalCheck() {
+        return fatalCheck;
     }
 
     private void stalled(WatchedAttempt watched) {
@@ -210,11 +201,10 @@
         }
         switch (watched) {
             case AnswerAttempt answer
-            when attemptTracker.attempts() < route.mostBackends() -> {
+            when attempts.attempts() < route.mostBackends() -> {
                 answer.release();
                 currentAttempt.cancel();
-                String reason =
-                        answer.begun() ? "the answer of the server stalled" : "no answer began within the stall limit";
+                String reason = answer.begun() ? "the answer stalled" : "no answer began within the stall limit";
                 attemptEnded(answer.work(), new AttemptEnd.Lost(), reason);
             }
             case AnswerAttempt last -> trace.setReason("the server is unresponsive, and no further attempt is allowed");
@@ -226,72 +216,68 @@
     }
 
     void loadReported(PlacedWork work, AnswerFacts facts) {
-        facts.load().ifPresent(load -> dependencies.state().placementPolicy().reported(work, load, now()));
+        facts.load().ifPresent(load -> context.state().placement().reported(work, load, now()));
     }
 
     void prefilled(Placement.Staged placement, PlacedWork work, CacheSource source) {
-        dependencies.state().placementPolicy().answerBegan(work, now());
+        context.state().placement().answerBegan(work, now());
         currentAttempt.end(work);
         if (finished) {
             return;
         }
-        attemptTracker.promptComputed();
+        attempts.promptComputed();
         trace.prefillCompleted(placement.prefill(), now());
-        PrefilledPrompt prefilledPrompt = new PrefilledPrompt(placement.prefill(), source);
-        pendingHandoff.begin(prefilledPrompt);
-        dependencies.metrics().attemptEnded(service, "prefilled");
-        if (!repeatPermit.tryAcquire()) {
-            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
+        PrefilledPrompt prefilled = new PrefilledPrompt(placement.prefill(), source);
+        pendingHandoff.begin(prefilled);
+        context.metrics().attemptEnded(service, "prefilled");
+        if (!permit.tryAcquire()) {
+            conclude(attempts.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        handOff(prefilledPrompt);
+        handOff(prefilled);
     }
 
-    private void handOff(PrefilledPrompt prefilledPrompt) {
+    private void handOff(PrefilledPrompt prefilled) {
         if (refusedByQuarantine()) {
             return;
         }
-        Optional<BackendServer> decoder = dependencies
-                .state()
-                .placementPolicy()
-                .chooseDecoder(placementRequests.create(false, now()), prefilledPrompt.engine(), now());
+        Optional<BackendServer> decoder =
+                context.state().placement().chooseDecoder(placements.create(false, now()), prefilled.engine(), now());
         if (decoder.isEmpty()) {
             trace.setReason("no engine is available to generate the answer");
-            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
+            conclude(attempts.conclusion(), MIN_RETRY_DELAY);
             return;
         }
-        send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(prefilledPrompt.source()), Optional.empty());
+        send(decoder.get(), WorkKind.HAND_OVER, 0, Optional.of(prefilled.source()), Optional.empty());
     }
 
-    /**
-     * Handles a failed prefill. A separate prefill is optional: without one, a single engine does prefill and decode.
-     */
+    /** Handles a failed prefill, which is optional: without it, a single engine does both prefill and decode. */
     void prefillFailed(Placement.Staged placement, PlacedWork work, AttemptEnd end, String reason) {
-        dependencies.state().attemptEnded(work, end);
+        context.state().attemptEnded(work, end);
         currentAttempt.end(work);
         if (finished) {
             return;
         }
-        attemptTracker.promptFailed(end);
-        dependencies.metrics().attemptEnded(service, "prefill-failed");
+        attempts.promptFailed(end);
+        context.metrics().attemptEnded(service, "prefill-failed");
         trace.setReason("prefill at " + placement.prefill().id() + ": " + reason);
-        trace.logPrefillFailed(dependencies.state().log(), placement.prefill(), reason);
+        trace.logPrefillFailed(context.state().log(), placement.prefill(), reason);
         triedServers.prefillFailed(placement.prefill());
-        if (!repeatPermit.tryAcquire()) {
-            conclude(attemptTracker.conclusion(), MIN_RETRY_DELAY);
+        if (!permit.tryAcquire()) {
+            conclude(attempts.conclusion(), MIN_RETRY_DELAY);
             return;
         }
         assignServer();
     }
 
     void answerBegan(PlacedWork work) {
-        dependencies.state().placementPolicy().answerBegan(work, now());
+        context.state().placement().answerBegan(work, now());
         pendingHandoff.completed();
         stallDetector.answerBegan(answerAttempt);
         if (!stream.begun()) {
             trace.firstByteReceived(now());
-            queueTracker.answerBegan();
-            dependencies.metrics().answerBegan(service, (now() - incoming.arrivedAt()) / 1e9);
+            queue.answerBegan();
+            context.metrics().answerBegan(service, (now() - incoming.arrivedAt()) / 1e9);
         }
     }
 
@@ -301,25 +287,22 @@
         if (!link.writable()) {
             currentAttempt.setReading(false);
         }
-        if (dependencies.state().placementPolicy().answerLeaves(answerAttempt.work(), now())) {
+        if (context.state().placement().answerLeaves(answerAttempt.work(), now())) {
             continueElsewhere();
         }
     }
 
-    /**
-     * Continues at another engine after the last event if that is allowed; otherwise the current one completes the
-     * answer.
-     */
+    /** Continues after the last event at another engine if that is allowed; otherwise the current engine goes on. */
     private void continueElsewhere() {
-        if (!attemptTracker.mayGoOnElsewhere() || !dependencies.state().tryTakeRepeat(service)) {
+        if (!attempts.mayGoOnElsewhere() || !context.state().tryTakeRepeat(service)) {
             return;
         }
         PlacedWork interrupted = answerAttempt.work();
         answerAttempt.release();
         currentAttempt.cancel();
         currentAttempt.end(interrupted);
-        attemptTracker.ended(new AttemptEnd.Lost());
-        dependencies.metrics().attemptEnded(service, "moved");
+        attempts.ended(new AttemptEnd.Lost());
+        context.metrics().attemptEnded(service, "moved");
         trace.setReason("the engine changes its role, so its answer continues elsewhere");
         assignServer();
     }
@@ -327,8 +310,7 @@
     void streamComplete(PlacedWork work, boolean begun) {
         currentAttempt.end(work);
         if (!stream.begun()) {
-            handleAttemptEnd(
-                    new AttemptEnd.Lost(), begun ? "the stream ended without an event" : "the stream was empty");
+            handleAttemptEnd(new AttemptEnd.Lost(), begun ? "the stream had no event" : "the stream was empty");
             return;
         }
         answerProgress.completed();
@@ -339,11 +321,10 @@
     void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
         currentAttempt.end(work);
         if (stream.begun()) {
-            // The continuation of a stream was expected, but the answer is not a stream; if forwarded, it would
-            // appear in the middle of the caller's stream.
+            // The answer to the continuation is not a stream; if forwarded, it would appear in the middle of the
+            // stream.
             body.release();
-            trace.setReason("the continuation of the stream was answered with status "
-                    + head.status().code());
+            trace.setReason("the continuation got status " + head.status().code());
             conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
@@ -354,12 +335,12 @@
     /** Handles an error answer of a server: retries elsewhere if the request may be repeated, otherwise forwards it. */
     void failureReceived(PlacedWork work, HttpResponse head, ByteBuf body, AnswerFacts facts) {
         AttemptEnd end = new AttemptEnd.Failed();
-        dependencies.state().attemptEnded(work, end);
+        context.state().attemptEnded(work, end);
         currentAttempt.end(work);
-        NextStep next = attemptTracker.ended(end);
+        NextStep next = attempts.ended(end);
         trace.setReason("the server failed with status " + head.status().code());
-        dependencies.metrics().attemptEnded(service, "failed");
-        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && repeatPermit.tryAcquire()) {
+        context.metrics().attemptEnded(service, "failed");
+        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.tryAcquire()) {
             body.release();
             assignServer();
             return;
@@ -374,7 +355,7 @@
     }
 
     void attemptEnded(PlacedWork work, AttemptEnd end, String reason) {
-        dependencies.state().attemptEnded(work, end);
+        context.state().attemptEnded(work, end);
         currentAttempt.end(work);
         handleAttemptEnd(end, reason);
     }
@@ -384,23 +365,19 @@
             return;
         }
         trace.setReason(reason);
-        dependencies.metrics().attemptEnded(service, end.getClass().getSimpleName());
-        NextStep next = attemptTracker.ended(end);
-        trace.logAttemptEnded(dependencies.state().log(), end, next);
-        if (next == NextStep.REPEAT
-                && times.deadline() > now()
-                && fatalRequestCheck.mayRepeat()
-                && repeatPermit.tryAcquire()) {
+        context.metrics().attemptEnded(service, end.getClass().getSimpleName());
+        NextStep next = attempts.ended(end);
+        trace.logAttemptEnded(context.state().log(), end, next);
+        if (next == NextStep.REPEAT && times.deadline() > now() && fatalCheck.mayRepeat() && permit.tryAcquire()) {
             retryElsewhere(end);
         } else {
-            conclude(next == NextStep.REPEAT ? attemptTracker.conclusion() : next, MIN_RETRY_DELAY);
+            conclude(next == NextStep.REPEAT ? attempts.conclusion() : next, MIN_RETRY_DELAY);
         }
     }
 
     /**
-     * Retries at another server. If the decode engine was not reached, the prefill cache is unchanged and another
-     * engine can transfer it. If the decode engine rejected the request, the cache may have expired, so the prefill
-     * is repeated at another engine.
+     * Retries elsewhere. If the decode engine was not reached, another one can transfer the prefill cache. If it
+     * rejected the request, the cache may have expired, so the prefill is repeated at another engine.
      */
     private void retryElsewhere(AttemptEnd end) {
         boolean untouched = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
@@ -409,7 +386,7 @@
             return;
         }
         if (end instanceof AttemptEnd.NotExecuted) {
-            pendingHandoff.prompt().ifPresent(prefilledPrompt -> triedServers.add(prefilledPrompt.engine()));
+            pendingHandoff.prompt().ifPresent(prefilled -> triedServers.add(prefilled.engine()));
         }
         pendingHandoff.release();
         assignServer();
@@ -420,7 +397,7 @@
             return;
         }
         trace.setReason("the deadline was reached; " + trace.reason());
-        conclude(attemptTracker.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, MIN_RETRY_DELAY);
+        conclude(attempts.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, MIN_RETRY_DELAY);
     }
 
     private void conclude(NextStep step, Duration retryDelay) {
@@ -435,23 +412,20 @@
         if (step == NextStep.REFUSE) {
             finish(RequestOutcome.NOT_RUN);
             Duration effectiveDelay = retryDelay.compareTo(MIN_RETRY_DELAY) < 0 ? MIN_RETRY_DELAY : retryDelay;
-            link.answer(LocalAnswers.notRun(trace.reason(), dependencies.state().withJitter(effectiveDelay)));
+            link.answer(LocalAnswers.notRun(trace.reason(), context.state().withJitter(effectiveDelay)));
             return;
         }
         finish(RequestOutcome.UNKNOWN);
         link.answer(LocalAnswers.unknown(trace.reason(), times.deadline() <= now()));
     }
 
-    /**
-     * Releases all resources of the request and logs its outcome; the caller of this method then sends the answer, if
-     * any.
-     */
+    /** Releases all resources of the request and logs its outcome; the answer, if any, is to be sent afterwards. */
     private void finish(RequestOutcome outcome) {
         finished = true;
         if (outcome == RequestOutcome.ANSWERED) {
-            fatalRequestCheck.answered();
+            fatalCheck.answered();
         }
-        dependencies.waitQueues().remove(this);
+        context.waitQueues().remove(this);
         deadlineTimer.cancel(false);
         stallDetector.cancel();
         currentAttempt.abandon();
@@ -460,19 +434,15 @@
         }
         pendingHandoff.release();
         incoming.body().release();
-        dependencies.metrics().requestEnded(service, outcome);
+        context.metrics().requestEnded(service, outcome);
         LogLine line = outcome == RequestOutcome.ANSWERED
-                ? dependencies.state().log().routine("request-ended")
-                : dependencies.state().log().notable("request-ended");
+                ? context.state().log().routine("request-ended")
+                : context.state().log().notable("request-ended");
         trace.write(
-                line,
-                outcome,
-                attemptTracker.attempts(),
-                dependencies.state().placementPolicy().load(trace.serverId(), now()),
-                now());
+                line, outcome, attempts.attempts(), context.state().placement().load(trace.server(), now()), now());
     }
 
     long now() {
-        return dependencies.state().time().monotonicNanoseconds();
+        return context.state().time().monotonicNanoseconds();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDependencies.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingContext.java
@@ -16,7 +16,7 @@
  * @param waitQueues the requests that wait for capacity at an engine
  * @param fatalRequests the requests that terminate the servers that run them
  */
-public record RequestDependencies(
+public record ServingContext(
         ServingState state,
         BackendConnections connections,
         BackendProtocol protocol,
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -268,7 +268,7 @@
         return configuration;
     }
 
-    Placer placementPolicy() {
+    Placer placement() {
         return placementPolicy;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
@@ -31,7 +31,7 @@
 
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
-    private final RequestDependencies dependencies;
+    private final ServingContext context;
     private final Duration objective;
     private final Duration maxEventGap;
     private final BooleanSupplier reading;
@@ -46,11 +46,8 @@
      * @param stallListener receives an attempt whose server has stalled
      */
     StallDetector(
-            RequestDependencies dependencies,
-            Route route,
-            BooleanSupplier reading,
-            Consumer<WatchedAttempt> stallListener) {
-        this.dependencies = dependencies;
+            ServingContext context, Route route, BooleanSupplier reading, Consumer<WatchedAttempt> stallListener) {
+        this.context = context;
         this.reading = reading;
         this.objective = route.objective();
         this.maxEventGap = route.longestSilence().multipliedBy(MAX_GAP_PERCENT).dividedBy(100);
@@ -69,7 +66,7 @@
 
     private void watch(WatchedAttempt attempt, Duration limit) {
         cancel();
-        timer = dependencies.eventLoop().schedule(() -> check(attempt, limit), limit.toNanos(), TimeUnit.NANOSECONDS);
+        timer = context.eventLoop().schedule(() -> check(attempt, limit), limit.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -96,7 +93,7 @@
         if (attempt.begun()) {
             return;
         }
-        if (!dependencies.state().placementPolicy().silentSince(attempt.work())) {
+        if (!context.state().placement().silentSince(attempt.work())) {
             // The server answers other requests, so this one is queued there, and would be queued elsewhere too.
             watch(attempt, limit);
             return;
@@ -110,7 +107,7 @@
      * because the caller accepts no data, does not count.
      */
     private void checkStream(AnswerAttempt answer) {
-        long now = dependencies.state().time().monotonicNanoseconds();
+        long now = context.state().time().monotonicNanoseconds();
         lastUnreadAt = reading.getAsBoolean() ? lastUnreadAt : now;
         long lastActivityAt = Math.max(answer.lastEventAt(), lastUnreadAt);
         long windowStart = now - maxEventGap.toNanos();
@@ -118,7 +115,7 @@
             watch(answer, Duration.ofNanos(lastActivityAt - windowStart));
             return;
         }
-        if (dependencies.state().placementPolicy().nothingHeardSince(answer.work(), windowStart)) {
+        if (context.state().placement().nothingHeardSince(answer.work(), windowStart)) {
             stallListener.accept(answer);
             return;
         }
