--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -16,11 +16,11 @@
 /**
  * One attempt to get the answer to a request from one backend server.
  *
- * <p>An answer that is not an event stream is buffered until it is complete, so that a truncated answer never reaches
- * the caller. Events of a stream are forwarded as they arrive.
+ * <p>An answer that is not an event stream is buffered until it is complete, so that nothing of it reaches the
+ * caller if its connection breaks. Events of a stream are forwarded as they arrive.
  */
 final class AnswerAttempt implements ExchangeListener, WatchedAttempt {
-    /** Maximum size of a buffered answer; answers of plain services have some kilobytes. */
+    /** Data beyond this size of a buffered answer is dropped; answers of plain services have some kilobytes. */
     private static final int MAX_BUFFERED_BYTES = 8 * 1024 * 1024;
 
     private final ServedRequest request;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/DeferredRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/DeferredRequest.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
-/** A request that arrived before this process was ready; it is served once the process is ready, or refused in time. */
+/** A request that arrived before this process was ready; it is served when the process is, or refused after a limit. */
 final class DeferredRequest implements ActiveRequest {
     private final long waitsUntil;
     private final Supplier<ActiveRequest> serve;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -148,7 +148,7 @@
                 .write();
     }
 
-    /** Logs the whole trace, with the current load of the last server. */
+    /** Logs the complete trace, with the current load of the last server. */
     void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad currentLoad, long now) {
         line.with("request", caller.id())
                 .with("outcome", outcome.name())
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -321,8 +321,7 @@
     void answerComplete(PlacedWork work, HttpResponse head, ByteBuf body) {
         currentAttempt.end(work);
         if (stream.begun()) {
-            // The answer to the continuation is not a stream; if forwarded, it would appear in the middle of the
-            // stream.
+            // The answer to the continuation is not a stream; if forwarded, it would corrupt the caller's stream.
             body.release();
             trace.setReason("the continuation got status " + head.status().code());
             conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Records that a registration is missing; returns whether the server is removed or else only suspect. */
+    /** Records that a registration is missing; returns true if the server was removed, false if it is only suspect. */
     public boolean registrationMissing(String id, long now) {
         boolean removed = directory.removed(id, now);
         log.notable(removed ? "server-gone" : "server-doubtful")
