--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/EndNews.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/EndNews.java
@@ -7,31 +7,33 @@
 import java.util.Map;
 
 /**
- * The requests whose ends the next reports to the other entries tell of. Confined to one thread.
+ * Selects the server terminations that are included in the next reports to the other entries. Confined to one
+ * thread.
  *
- * <p>Reports are datagrams and get lost, so each piece of news rides on several of them. Requests under which more than one
- * server has ended are told again for good, a few with each report, to entries that have heard nothing for a while.
+ * <p>Reports are datagrams and can be lost, so each termination is included in several of them. Requests with
+ * terminations on more than one server are repeated indefinitely, a few with each report, for entries that have
+ * received no reports for a while.
  */
 final class EndNews {
-    /** Reports that one piece of news rides on. */
+    /** Number of reports that include the terminations of a newly added request. */
     private static final int TIMES = 5;
 
-    /** Requests that one report tells news of; with three ends each, some kilobytes. */
+    /** Maximum number of newly added requests in one report; with three terminations each, a few kilobytes. */
     private static final int MOST_TOLD = 32;
 
-    /** Requests that one report tells again. */
+    /** Maximum number of requests with several terminations that one report repeats. */
     private static final int MOST_REPEATED = 4;
 
     private final Map<RequestDigest, Integer> timesLeft = new LinkedHashMap<>();
     private int repeatedFrom;
 
-    /** Notes that there is news of a request. */
+    /** Schedules the terminations of a request for the next reports. */
     void add(RequestDigest request) {
         timesLeft.remove(request);
         timesLeft.put(request, TIMES);
     }
 
-    /** Returns the ends that the next report tells of. */
+    /** Returns the terminations to include in the next report. */
     List<ServerEnd> take(Quarantine quarantine, long now) {
         List<ServerEnd> told = new ArrayList<>();
         Iterator<Map.Entry<RequestDigest, Integer>> news = timesLeft.entrySet().iterator();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
@@ -12,19 +12,22 @@
 import java.util.Set;
 
 /**
- * Which requests are kept from servers because those that ran them have ended. Confined to one thread.
+ * Decides which requests are withheld from servers because servers that processed them terminated. Confined to one
+ * thread.
  *
- * <p>A request that crashes whatever runs it is sent again by its caller, at any entry, and ends server after server until
- * nobody is served. So ends count over all arrivals and entries. A server that ends takes its other requests with it; what
- * tells them from the one that ended it is that they are answered, elsewhere or a moment before, which excuses them.
+ * <p>A request that crashes every server that processes it is retried by its caller, at any entry, and can take
+ * down server after server until no request is served. Terminations are therefore counted across all arrivals and
+ * entries. A server that terminates also fails the other requests it was processing. These are told apart by their
+ * answers: a request that is answered, elsewhere or shortly before, is cleared.
  */
 public final class Quarantine {
-    /** So many ends without an answer between them are hardly chance any more. */
+    /** Minimum number of terminations without an answer between them that is unlikely to be a coincidence. */
     public static final int LEAST_ENDS = 2;
 
     /**
-     * How long a request is kept from servers, by how many have ended under it beyond the first. The first terms are short
-     * for those that were there by chance; after each, one more server tells.
+     * Quarantine periods by the number of terminations beyond the first. The first periods are short for requests
+     * that were on a terminating server by coincidence; after each period, one more server run shows whether the
+     * request is fatal.
      */
     static final List<Duration> TERMS = List.of(
             Duration.ofSeconds(10),
@@ -33,26 +36,32 @@
             Duration.ofMinutes(100),
             Duration.ofDays(1));
 
-    /** How long an end counts. */
+    /** How long a termination counts. */
     public static final Duration RETENTION = Duration.ofDays(1);
 
-    /** A few megabytes at most; an end of a server makes suspects of the requests that it had, some dozens. */
+    /**
+     * Limits memory to a few megabytes. Each terminated server makes suspects of the requests that it was
+     * processing, some dozens.
+     */
     static final int MOST_SUSPECTS = 2000;
 
     private final Map<RequestDigest, SuspectRequest> suspects = new HashMap<>();
-    /** Those under which more than one server has ended; the others are mostly there by chance. */
+    /** Requests with terminations on more than one server; most other suspects are coincidental. */
     private final Set<RequestDigest> repeated = new LinkedHashSet<>();
 
     private final Set<RequestDigest> quarantined = new HashSet<>();
     private final RecentAnswers recentAnswers = new RecentAnswers();
     private final EndNews news = new EndNews();
 
-    /** Returns whether no request is known to have been at a server that ended. */
+    /** Returns whether no request is known to have been on a server when it terminated. */
     public boolean empty() {
         return suspects.isEmpty();
     }
 
-    /** Notes that a server ended while this entry had a request there; returns whether that is news. */
+    /**
+     * Records that a server terminated while it processed a request of this entry; returns whether this is new
+     * information.
+     */
     public boolean serverEnded(RequestDigest request, ServerStart server, long now) {
         boolean isNew = add(new ServerEnd(request, server, Duration.ZERO, recentAnswers.contains(request, now)), now);
         if (isNew) {
@@ -61,7 +70,10 @@
         return isNew;
     }
 
-    /** Takes in what another entry, or the store, tells; returns whether that is news. */
+    /**
+     * Records a termination reported by another entry or read from the store; returns whether this is new
+     * information.
+     */
     public boolean heard(ServerEnd told, long now) {
         if (told.age().compareTo(RETENTION) > 0) {
             return false;
@@ -75,7 +87,7 @@
         return isNew;
     }
 
-    /** Notes that a request was answered; returns whether that excuses an end. */
+    /** Records that a request was answered; returns whether this clears a termination. */
     public boolean answered(RequestDigest request, long now) {
         recentAnswers.add(request, now);
         SuspectRequest suspect = suspects.get(request);
@@ -86,12 +98,12 @@
         return excuses;
     }
 
-    /** Returns what the next report to the other entries tells. */
+    /** Returns the terminations to include in the next report to the other entries. */
     public List<ServerEnd> takeNews(long now) {
         return empty() ? List.of() : news.take(this, now);
     }
 
-    /** Returns what is to be done with a request. */
+    /** Decides whether a request may be sent to a server; {@code now} is monotonic time in nanoseconds. */
     public Verdict verdict(RequestDigest request, long now) {
         SuspectRequest suspect = suspects.get(request);
         int ends = suspect == null ? 0 : suspect.count();
@@ -105,29 +117,29 @@
         return left > 0 ? new Verdict.Quarantined(ends, Duration.ofNanos(left)) : new Verdict.Suspected(ends);
     }
 
-    /** Returns the ends of servers under a request. */
+    /** Returns the known server terminations of a request. */
     public List<ServerEnd> ends(RequestDigest request, long now) {
         SuspectRequest suspect = suspects.get(request);
         return suspect == null ? List.of() : suspect.told(now);
     }
 
-    /** Returns the requests under which more than one server has ended, excused or not. */
+    /** Returns the requests with terminations on more than one server, cleared or not. */
     public List<RequestDigest> repeated() {
         return List.copyOf(repeated);
     }
 
-    /** Returns how many requests are in quarantine, as of the last review. */
+    /** Returns the number of requests in quarantine as of the last call of {@link #review}. */
     public int size() {
         return quarantined.size();
     }
 
-    /** Forgets what is too old. */
+    /** Removes suspects whose latest termination is older than {@link #RETENTION}. */
     public void expire(long now) {
         suspects.values().removeIf(suspect -> now - suspect.newestAt() > RETENTION.toNanos());
         repeated.retainAll(suspects.keySet());
     }
 
-    /** Returns which requests have come into quarantine or left it since the last call. */
+    /** Returns the requests that entered or left quarantine since the last call. */
     public List<QuarantineChange> review(long now) {
         List<QuarantineChange> changes = new ArrayList<>();
         for (RequestDigest request : repeated) {
@@ -163,7 +175,10 @@
         return isNew;
     }
 
-    /** Those with the most ends stay, so that a caller who keeps sending new ones pushes none of them out. */
+    /**
+     * Evicts the suspect with the fewest terminations, so that a caller who keeps sending new requests cannot
+     * displace requests with more terminations.
+     */
     private void makeRoom() {
         if (suspects.size() < MOST_SUSPECTS) {
             return;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/QuarantineChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/QuarantineChange.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A request has come into quarantine or left it.
+ * A request entered or left quarantine.
  *
  * @param request the request
- * @param verdict what it came in by; empty where it has left
+ * @param verdict the decision that put it into quarantine; empty if it left
  */
 public record QuarantineChange(RequestDigest request, Optional<Verdict.Quarantined> verdict) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
@@ -4,12 +4,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which requests were answered lately. Confined to one thread. */
+/** Requests that were answered recently. Confined to one thread. */
 final class RecentAnswers {
-    /** A request that was answered so lately does not end each server that runs it. */
+    /** A request that was answered within this time does not terminate every server that processes it. */
     static final Duration TIME = Duration.ofMinutes(1);
 
-    /** More than an entry answers within that time; some hundred kilobytes. */
+    /** More than an entry answers within {@link #TIME}; a few hundred kilobytes. */
     static final int MOST_KEPT = 4096;
 
     private final Map<RequestDigest, Long> answeredAt = new LinkedHashMap<>() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RequestDigest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RequestDigest.java
@@ -5,23 +5,23 @@
 import java.util.Optional;
 
 /**
- * A cryptographic digest of what makes two arrivals the same request. Nobody can write a request that has the digest of
- * somebody else's.
+ * A cryptographic digest of the content by which two arrivals count as the same request. It is infeasible to
+ * construct a request with the digest of another caller's request.
  *
- * @param high its first half
- * @param low its second half
+ * @param high the first half
+ * @param low the second half
  */
 public record RequestDigest(long high, long low) {
-    /** The length of a digest in bytes. */
+    /** Length of a digest in bytes. */
     public static final int BYTES = 2 * Long.BYTES;
 
-    /** Makes a digest of the first bytes, of which there are {@link #BYTES} at least. */
+    /** Returns the digest made of the first {@link #BYTES} bytes; the array must have at least that many. */
     public static RequestDigest of(byte[] bytes) {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         return new RequestDigest(buffer.getLong(), buffer.getLong());
     }
 
-    /** Reads what {@link #text()} wrote; empty where the text is none. */
+    /** Parses the output of {@link #text()}; empty if the text is not a digest. */
     public static Optional<RequestDigest> parse(String text) {
         if (text.length() != 2 * BYTES) {
             return Optional.empty();
@@ -33,12 +33,12 @@
         }
     }
 
-    /** Returns the digest's bytes. */
+    /** Returns the digest as bytes. */
     public byte[] bytes() {
         return ByteBuffer.allocate(BYTES).putLong(high).putLong(low).array();
     }
 
-    /** Returns the digest in hexadecimal digits. */
+    /** Returns the digest as hexadecimal digits. */
     public String text() {
         return HexFormat.of().formatHex(bytes());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerStart.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerStart.java
@@ -3,13 +3,13 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * One start of a backend server. A server that starts again under its identity can be ended again.
+ * One incarnation of a backend server. A server that restarts under the same ID can terminate again.
  *
- * @param server the server's identity
- * @param startedAt when it started, in milliseconds since 1970
+ * @param server the server's ID
+ * @param startedAt start time in milliseconds since 1970
  */
 public record ServerStart(String server, long startedAt) {
-    /** Returns the start that a registration tells of. */
+    /** Returns the incarnation that a registration describes. */
     public static ServerStart of(BackendServer server) {
         return new ServerStart(server.id(), server.startedAt());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/SuspectRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/SuspectRequest.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The servers that have ended under one request. Confined to one thread. */
+/** The server terminations of one request. Confined to one thread. */
 final class SuspectRequest {
-    /** Far more than are needed to judge; the oldest go first. */
+    /** Far more than a decision needs; the oldest are evicted first. */
     private static final int MOST_KEPT = 12;
 
     private final RequestDigest digest;
@@ -20,8 +20,9 @@
     }
 
     /**
-     * Takes an end in; returns whether that is news. What has once been excused stays so, whoever tells of it later. Of two
-     * times the earlier one stands, so that an end does not grow younger on its way from entry to entry.
+     * Adds a termination; returns whether this is new information. A cleared termination stays cleared, whatever is
+     * reported later. Of two times the earlier is kept, so that a termination does not become more recent as it
+     * passes from entry to entry.
      */
     boolean add(ServerStart server, long at, boolean excused) {
         KnownEnd known = ends.get(server);
@@ -34,24 +35,24 @@
         return excused && !known.excused();
     }
 
-    /** Notes that the request was answered; returns whether that excuses anything. */
+    /** Records that the request was answered; returns whether this clears a termination. */
     boolean answered() {
         boolean news = count() > 0;
         ends.replaceAll((server, end) -> new KnownEnd(end.at(), true));
         return news;
     }
 
-    /** Returns how many ends are known, excused or not. */
+    /** Returns the number of known terminations, cleared or not. */
     int known() {
         return ends.size();
     }
 
-    /** Returns how many ends speak against the request. */
+    /** Returns the number of terminations that count against the request. */
     int count() {
         return (int) ends.values().stream().filter(end -> !end.excused()).count();
     }
 
-    /** Returns when the last end that speaks against the request came. */
+    /** Returns the time of the latest termination that counts against the request, in nanoseconds. */
     long lastAt() {
         return ends.values().stream()
                 .filter(end -> !end.excused())
@@ -60,7 +61,7 @@
                 .orElse(Long.MIN_VALUE);
     }
 
-    /** Returns when the newest end came, excused or not. */
+    /** Returns the time of the latest termination, cleared or not, in nanoseconds. */
     long newestAt() {
         return ends.values().stream().mapToLong(KnownEnd::at).max().orElse(Long.MIN_VALUE);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Verdict.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Verdict.java
@@ -2,23 +2,23 @@
 
 import java.time.Duration;
 
-/** What the ends of servers say of a request. */
+/** Whether a request may be sent to a server, based on known server terminations. */
 public sealed interface Verdict {
-    /** No server is known to have ended under it since it was last answered. */
+    /** No server is known to have terminated while processing the request since its last answer. */
     record Clear() implements Verdict {}
 
     /**
-     * Servers have ended under it, and it may run.
+     * Servers terminated while processing the request; it may still be sent.
      *
-     * @param ends how many
+     * @param ends the number of terminations
      */
     record Suspected(int ends) implements Verdict {}
 
     /**
-     * It is kept from all servers.
+     * The request must not be sent to any server.
      *
-     * @param ends how many servers have ended under it
-     * @param left for how long
+     * @param ends the number of server terminations
+     * @param left the remaining quarantine time
      */
     record Quarantined(int ends, Duration left) implements Verdict {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests end the servers that run them, and how they are kept from further servers. */
+/** Detects requests that terminate the servers that process them, and withholds them from further servers. */
 package org.aspenmoor.internal.serving.quarantine;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/EndNewsTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/EndNewsTest.java
@@ -21,7 +21,7 @@
         news = new EndNews();
     }
 
-    // Guards against an end that the other entries never hear of because one datagram was lost.
+    // Guards against a termination that other entries never learn of because one datagram was lost.
     @Test
     public void should_tell_news_in_several_reports() {
         end(ONCE, "server");
@@ -42,7 +42,8 @@
         assertEquals(news.take(quarantine, 0).size(), 0);
     }
 
-    // Guards against an entry that starts later, or was cut off, and never hears which requests end servers.
+    // Guards against an entry that starts later, or was disconnected, and never learns which requests terminate
+    // servers.
     @Test
     public void should_go_on_telling_of_requests_that_were_at_several() {
         end(TWICE, "first");
@@ -54,7 +55,7 @@
         assertEquals(news.take(quarantine, 0).size(), 2);
     }
 
-    // Guards against reports that outgrow a datagram when a server with many requests ends.
+    // Guards against reports that exceed a datagram when a server with many requests terminates.
     @Test
     public void should_bound_what_one_report_tells_and_come_to_everything() {
         int requests = 100;
@@ -66,7 +67,7 @@
         int told = 0;
         for (int report = 0; report < requests; report++) {
             int size = news.take(quarantine, 0).size();
-            assertTrue(size <= 32, "told: " + size);
+            assertTrue(size <= 32, "terminations in one report: " + size);
             told += size;
         }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FatalRun.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FatalRun.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The runs of one fatal request in a replay; each ended a server. */
+/** The server terminations caused by one fatal request in a simulation. */
 final class FatalRun {
     private static final int THIRD = 2;
 
@@ -17,7 +17,7 @@
         return endedAt.size();
     }
 
-    /** Returns how many runs ended a server later than so long after the third end. */
+    /** Returns how many terminations happened more than the given time after the third. */
     int runsLaterThan(long milliseconds) {
         if (endedAt.size() <= THIRD) {
             return 0;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FleetReplay.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FleetReplay.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A fleet in steps of ten milliseconds: entries with a quarantine each, servers that come back some seconds after they
- * have ended, ordinary requests of which some are the same again and again, and fatal ones that end each server.
+ * Simulates a fleet in steps of ten milliseconds: entries with one quarantine each, servers that restart some
+ * seconds after they terminate, ordinary requests of which some are repeated, and fatal requests that terminate
+ * every server that processes them.
  */
 final class FleetReplay {
     private static final int ENTRIES = 8;
@@ -21,7 +22,7 @@
     private static final int ANSWER_TAKES = 600;
     private static final int FATAL_TAKES = 60;
     private static final int FATAL_REQUESTS = 3;
-    /** 1.2 a second. */
+    /** 1.2 arrivals per second. */
     private static final double FATAL_ARRIVALS_PER_STEP = 0.012;
 
     private static final int FATAL_FROM = 5000;
@@ -47,9 +48,9 @@
     private int othersRefused;
 
     /**
-     * Makes a replay.
+     * Creates a simulation.
      *
-     * @param remembering whether entries go by their quarantines at all
+     * @param remembering whether entries apply their quarantine at all
      */
     FleetReplay(FleetTroubles troubles, long seed, boolean remembering) {
         this.troubles = troubles;
@@ -86,17 +87,17 @@
         return fatal.values().stream().mapToInt(FatalRun::ends).sum();
     }
 
-    /** Returns how often requests were refused that come again and again and are mostly answered. */
+    /** Returns how many repeated requests, which are mostly answered, were refused. */
     int pollsRefused() {
         return pollsRefused;
     }
 
-    /** Returns the share of the ordinary requests that were refused though they end no server. */
+    /** Returns the fraction of ordinary requests that were refused although they terminate no server. */
     double refusedShare() {
         return (double) (pollsRefused + othersRefused) / sent;
     }
 
-    /** Returns the share of the ordinary requests that were answered. */
+    /** Returns the fraction of ordinary requests that were answered. */
     double servedShare() {
         return (double) served / sent;
     }
@@ -160,7 +161,7 @@
         }
     }
 
-    /** All that runs there is lost with the server, and each of these requests may have ended it. */
+    /** Every request on the server is lost with it, and each of them may have caused the termination. */
     private void end(Server server) {
         ServerStart start = new ServerStart(server.name, server.startedAt);
         server.runs.forEach(run -> run.entry.ended(run.request, start));
@@ -170,7 +171,7 @@
         server.startedAt = server.upFrom;
     }
 
-    /** Callers of ordinary requests return a few times, at any entry; those of fatal ones do so on their own. */
+    /** Callers retry ordinary requests a limited number of times, at any entry; fatal requests arrive independently. */
     private void comeBack(Run lost) {
         if (!fatal.containsKey(lost.request) && lost.tries < MOST_TRIES) {
             returning.add(new Return(lost.request, lost.tries + 1, now + 1 + random.nextInt(RETURNS_WITHIN)));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FleetTroubles.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FleetTroubles.java
@@ -1,12 +1,12 @@
 package org.aspenmoor.internal.serving.quarantine;
 
 /**
- * What goes wrong in a replay beside fatal requests.
+ * Faults injected into a simulation besides fatal requests.
  *
- * @param lostShare the share of reports among entries that get lost
- * @param restartOneMilliseconds the pause between restarts of one entry; 0 for none
- * @param restartAllMilliseconds the pause between restarts of all entries at once; 0 for none
- * @param endServerMilliseconds the pause between ends of servers for other reasons; 0 for none
+ * @param lostShare the fraction of reports between entries that are lost
+ * @param restartOneMilliseconds interval between restarts of one entry; 0 for none
+ * @param restartAllMilliseconds interval between restarts of all entries at once; 0 for none
+ * @param endServerMilliseconds interval between server terminations for other reasons; 0 for none
  */
 record FleetTroubles(
         double lostShare, int restartOneMilliseconds, int restartAllMilliseconds, int endServerMilliseconds) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineReplayTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineReplayTest.java
@@ -6,11 +6,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Plays fatal requests among others, by seeds, through the quarantines of several entries. */
+/** Simulates fatal requests among ordinary ones, with several seeds, against the quarantines of several entries. */
 public class QuarantineReplayTest {
     private static final int SEEDS = 20;
 
-    /** Within it every entry that is in touch with the others or the store must know of a third end. */
+    /**
+     * Time within which every entry that is connected to the others or to the store must know of a third
+     * termination.
+     */
     private static final long KNOWN_WITHIN_MILLISECONDS = 3000;
 
     private static final int MOST_RUNS_LATER = 3;
@@ -30,7 +33,7 @@
         return new Object[][] {{restarts}, {restarts.losing(0.3).endingServersEvery(1500)}};
     }
 
-    // Guards against a fatal request that goes on reaching servers after all entries should know it.
+    // Guards against a fatal request that keeps reaching servers after all entries should know of it.
     @Test(dataProvider = "troubles")
     public void should_hardly_run_a_fatal_request_once_all_may_know_it(FleetTroubles troubles) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -38,7 +41,7 @@
         }
     }
 
-    // Guards against a fatal request that is run anew after each restart of all entries.
+    // Guards against a fatal request that is sent to servers again after each restart of all entries.
     @Test(dataProvider = "restartsOfAll")
     public void should_remember_fatal_requests_when_all_entries_restart(FleetTroubles troubles) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -46,7 +49,8 @@
         }
     }
 
-    // Guards against a question that is refused though it is answered again and again, since servers ended under it.
+    // Guards against refusing a repeated request that is regularly answered, because servers terminated while
+    // processing it.
     @Test(dataProvider = "troubles")
     public void should_never_refuse_what_is_answered_again_and_again(FleetTroubles troubles) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -54,7 +58,7 @@
         }
     }
 
-    // Guards against requests that are refused because they were beside a fatal one.
+    // Guards against refusing requests that were on the same server as a fatal one.
     @Test(dataProvider = "troubles")
     public void should_refuse_few_requests_that_were_there_by_chance(FleetTroubles troubles) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -63,7 +67,7 @@
         }
     }
 
-    // Guards against a quarantine that costs callers more than the servers that it saves.
+    // Guards against a quarantine that refuses more requests than the saved servers answer.
     @Test(dataProvider = "troubles")
     public void should_serve_more_than_without_a_quarantine(FleetTroubles troubles) {
         for (int seed = 1; seed <= SEEDS; seed++) {
@@ -83,7 +87,9 @@
     private static void assertFewRunsLater(FleetReplay replay, FleetTroubles troubles, int seed) {
         for (FatalRun fatal : replay.fatalRuns()) {
             int later = fatal.runsLaterThan(KNOWN_WITHIN_MILLISECONDS);
-            assertTrue(later <= MOST_RUNS_LATER, troubles + ", seed " + seed + ": " + later + " runs later");
+            assertTrue(
+                    later <= MOST_RUNS_LATER,
+                    troubles + ", seed " + seed + ": " + later + " runs after the time limit");
         }
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineTest.java
@@ -40,7 +40,8 @@
         assertEquals(quarantine.verdict(REQUEST, 0), new Verdict.Quarantined(2, Quarantine.TERMS.get(0)));
     }
 
-    // Guards against one end that is told by several entries, or in several reports, and is taken for several.
+    // Guards against counting one termination several times when it is reported by several entries or in several
+    // reports.
     @Test
     public void should_count_an_end_once_however_often_it_is_told() {
         ended("one", "one", "one", "one");
@@ -57,7 +58,7 @@
         assertTrue(quarantine.verdict(REQUEST, 0) instanceof Verdict.Quarantined);
     }
 
-    // Guards against a request that is refused though servers answer it, since it was at several that ended.
+    // Guards against refusing a request that servers answer because it was on several servers that terminated.
     @Test
     public void should_excuse_a_request_that_is_answered() {
         ended("one", "two");
@@ -67,7 +68,7 @@
         assertEquals(quarantine.verdict(REQUEST, 0), new Verdict.Clear());
     }
 
-    // Guards against a question asked again and again that is refused, since it was always at some server that ended.
+    // Guards against refusing a frequently repeated request because it is always on some server that terminates.
     @Test
     public void should_not_suspect_a_request_that_was_answered_a_moment_before() {
         quarantine.answered(REQUEST, 0);
@@ -77,7 +78,7 @@
         assertEquals(quarantine.verdict(REQUEST, 0), new Verdict.Clear());
     }
 
-    // Guards against a request that is never kept from servers because it was answered once, long ago.
+    // Guards against a request that is never withheld from servers because it was answered once, long ago.
     @Test
     public void should_suspect_a_request_whose_last_answer_is_long_past() {
         quarantine.answered(REQUEST, 0);
@@ -89,7 +90,7 @@
         assertTrue(quarantine.verdict(REQUEST, later) instanceof Verdict.Quarantined);
     }
 
-    // Guards against entries that suspect a request because only another entry knows that it is answered.
+    // Guards against entries that suspect a request because only another entry knows that it was answered.
     @Test
     public void should_tell_the_others_that_a_request_is_excused() {
         quarantine.answered(REQUEST, 0);
@@ -98,7 +99,7 @@
         assertTrue(quarantine.takeNews(0).getFirst().excused());
     }
 
-    // Guards against an end that counts again because an entry which has not heard of the answer tells of it late.
+    // Guards against counting a termination again when an entry that does not know of the answer reports it late.
     @Test
     public void should_not_count_an_excused_end_again() {
         ended("one");
@@ -127,7 +128,8 @@
         assertEquals(quarantine.verdict(REQUEST, later), new Verdict.Quarantined(3, Quarantine.TERMS.get(1)));
     }
 
-    // Guards against a request that is run too often in the hours after its third end, once a term.
+    // Guards against sending a fatal request too often in the hours after its third termination, once per
+    // quarantine period.
     @Test
     public void should_run_a_fatal_request_three_times_at_most_in_the_day_after_its_third_end() {
         ended("one", "two", "three");
@@ -142,7 +144,7 @@
         assertTrue(runs <= 3, "runs: " + runs);
     }
 
-    // Guards against an end that never grows old because entries keep telling it each other.
+    // Guards against a termination that never expires because entries keep reporting it to each other.
     @Test
     public void should_not_let_an_end_grow_younger_when_it_is_told_again() {
         quarantine.heard(new ServerEnd(REQUEST, new ServerStart("one", 1), Duration.ofMinutes(50), false), 0);
@@ -174,7 +176,7 @@
         assertEquals(quarantine.size(), 0);
     }
 
-    // Guards against a caller who sends ever new fatal requests until those that are kept from servers are forgotten.
+    // Guards against a caller who sends new fatal requests until the quarantined ones are evicted.
     @Test
     public void should_keep_those_with_the_most_ends_where_there_are_too_many() {
         ended("one", "two", "three");
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/EndUnion.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/EndUnion.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.serving.quarantine.ServerEnd;
 import org.aspenmoor.internal.serving.quarantine.ServerStart;
 
-/** What the store and this entry together know of the ends of servers under one request. */
+/** Merges the server terminations of one request known to the store with those known to this entry. */
 final class EndUnion {
     private final Map<ServerStart, ServerEnd> ends = new LinkedHashMap<>();
     private final boolean stored;
@@ -25,7 +25,10 @@
         lacking = anyLacking;
     }
 
-    /** Returns whether the store lacks something; ends that have all been excused don't begin an object. */
+    /**
+     * Returns whether the store lacks information. A new object is not created for terminations that are all
+     * cleared.
+     */
     boolean worthWriting() {
         return lacking && (stored || ends.values().stream().anyMatch(end -> !end.excused()));
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.store.StoredFields;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Turns the ends of servers under one request into an object of the store, which bears the request's digest, and back. */
+/** Converts the server terminations of one request to a stored object, named by the request's digest, and back. */
 final class FatalRequestCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String ENDS = "ends";
@@ -30,7 +30,7 @@
         return new ObjectKey(ObjectKind.FATAL_REQUEST, ObjectKey.PLATFORM_NAMESPACE, request.text());
     }
 
-    /** Writes ends, with times of day in milliseconds since 1970. */
+    /** Serialises terminations; times are in milliseconds since 1970. */
     static String write(List<ServerEnd> ends, long timeOfDay) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode array = root.putArray(ENDS);
@@ -48,11 +48,13 @@
         String name = object.key().name();
         RequestDigest request = RequestDigest.parse(name)
                 .orElseThrow(() -> new StoreMalformedException(
-                        "The name is no digest of a request.", object.key().toString(), "Delete the object."));
+                        "The object's name is not a request digest.",
+                        object.key().toString(),
+                        "Delete the object."));
         List<ServerEnd> ends = new ArrayList<>();
         for (StoredFields end : StoredFields.of(object).objects(ENDS)) {
             ServerStart server = new ServerStart(end.text(SERVER), end.number(STARTED_AT));
-            // Clocks differ by seconds; an end that seems to lie ahead was just now.
+            // Clocks differ by seconds; a termination in the future counts as just now.
             Duration age = Duration.ofMillis(Math.max(0, timeOfDay - end.number(ENDED_AT)));
             ends.add(new ServerEnd(request, server, age, end.truth(EXCUSED)));
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
@@ -23,25 +23,28 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Keeps the requests under which more than one server has ended in the store, one object each, and takes in what is there;
- * a duty of its own thread.
+ * Keeps the requests with terminations on more than one server in sync with the store, one object per request. Runs
+ * on its own thread.
  *
- * <p>Entries that all lose power at once would forget them, and those that start hear them from nobody. Whatever an entry
- * knows and the store does not is written again, also after the store has come back from an older copy. All entries know
- * nearly the same, so each waits a random while first and mostly finds that another has written; who has
- * seen a server end doesn't wait.
+ * <p>Without the store, entries that all lose power at once would forget these requests, and newly started entries would
+ * not know them. What an entry knows and the store lacks is written again, also after the store was restored from
+ * an older copy. As all entries know nearly the same, each waits for a random time before it writes and mostly
+ * finds that another entry has already written. An entry that observed a termination itself does not wait.
  */
 public final class FatalRequestKeeper implements CollectionListener {
-    /** Within it one of the entries writes; the others hear of it from the store. */
+    /**
+     * Maximum random delay before a write. Within it one of the entries writes; the others receive the update from
+     * the store.
+     */
     private static final Duration LONGEST_WAIT = Duration.ofSeconds(1);
 
-    /** After a write, so that a store that is away is not pressed. */
+    /** Delay after a failed attempt, so that an unavailable store is not overloaded with retries. */
     private static final Duration PAUSE = Duration.ofMillis(500);
 
-    /** A caller who keeps sending new fatal requests must not fill the store. */
+    /** Prevents a caller who keeps sending new fatal requests from filling the store. */
     private static final int MOST_STORED = 500;
 
-    /** Above the differences between clocks, so that no entry writes again what another has just deleted. */
+    /** Exceeds the clock differences between entries, so that no entry rewrites what another has just deleted. */
     private static final Duration DELETED_AFTER = Quarantine.RETENTION.plusMinutes(1);
 
     private final ObjectStore store;
@@ -57,9 +60,9 @@
     private final Semaphore ownEnds = new Semaphore(0);
 
     /**
-     * Makes a keeper.
+     * Creates a synchroniser.
      *
-     * @param known runs, on the event loop, once all that the store holds has been taken in
+     * @param known runs on the event loop after everything in the store has been read
      */
     public FatalRequestKeeper(
             ObjectStore store,
@@ -79,7 +82,7 @@
         this.dependency = new DependencyLog(log, "fatal requests");
     }
 
-    /** Starts the duty. */
+    /** Starts the worker thread. */
     public void start() {
         requests.onChange(this::changedHere);
         Thread.ofPlatform().daemon().name("fatal-requests").start(this::run);
@@ -94,7 +97,7 @@
                 eventLoop.execute(() -> requests.heard(ends, "the store"));
             }
         } catch (StoreMalformedException malformed) {
-            // Anybody may write there. What this entry knows goes on.
+            // Other processes may write such objects. What this entry knows stays valid.
             log.notable("fatal-request-unreadable")
                     .with("object", object.key().toString())
                     .with("reason", malformed.problem())
@@ -142,7 +145,7 @@
         }
     }
 
-    /** Whoever saw a server end writes at once: the next moment may be its last. */
+    /** An entry that observed a termination itself writes at once, since it may fail at any moment. */
     private void awaitTurn() throws InterruptedException {
         long wait = (long) (random.nextDouble() * LONGEST_WAIT.toNanos());
         if (ownEnds.tryAcquire(wait, TimeUnit.NANOSECONDS)) {
@@ -151,7 +154,7 @@
         changes.drainPermits();
     }
 
-    /** Writes what the store lacks and deletes what is too old there; returns whether that is done. */
+    /** Writes what the store lacks and deletes what has expired there; returns whether this succeeded. */
     boolean step() {
         Map<RequestDigest, List<ServerEnd>> repeated =
                 CompletableFuture.supplyAsync(requests::repeated, eventLoop).join();
@@ -164,7 +167,7 @@
             }
             return true;
         } catch (StoreConflictException other) {
-            // Another entry has just written; what it wrote is told by the watch, and is compared again.
+            // Another entry has just written. The watch delivers its update, which is then compared again.
             return false;
         } catch (StoreException failure) {
             log.notable("fatal-request-not-stored")
@@ -193,7 +196,7 @@
         if (stored.size() >= MOST_STORED) {
             log.notable("fatal-request-not-stored")
                     .with("digest", request.text())
-                    .with("reason", MOST_STORED + " are stored, which is the most")
+                    .with("reason", MOST_STORED + " requests are stored, which is the maximum")
                     .write();
             return;
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequests.java
@@ -14,7 +14,10 @@
 import org.aspenmoor.internal.serving.quarantine.Verdict;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** What this entry knows of requests that end servers, from its own runs and from others. Confined to the event loop. */
+/**
+ * Tracks requests that terminate servers, from this entry's own requests and from the reports of others. Confined
+ * to the event loop.
+ */
 public final class FatalRequests {
     private static final Duration EXPIRY_PAUSE = Duration.ofSeconds(10);
 
@@ -30,36 +33,36 @@
         this.expiredAt = time.monotonicNanoseconds();
     }
 
-    /** Sets what runs when something has changed that belongs into the store. */
+    /** Sets the listener for changes that have to be stored. */
     void onChange(ChangeListener listener) {
         storeListener = listener;
     }
 
-    /** Returns whether no request is known to have been at a server that ended. */
+    /** Returns whether no request is known to have been on a server when it terminated. */
     public boolean empty() {
         return quarantine.empty();
     }
 
-    /** Returns what is to be done with a request. */
+    /** Decides whether a request may be sent to a server. */
     public Verdict verdict(RequestDigest request) {
         return quarantine.verdict(request, now());
     }
 
-    /** Notes that a server ended while this entry had a request there. */
+    /** Records that a server terminated while it processed a request of this entry. */
     public void serverEnded(RequestDigest request, ServerStart server) {
         if (quarantine.serverEnded(request, server, now())) {
-            changed("own runs", true);
+            changed("own requests", true);
         }
     }
 
-    /** Notes that a request was answered, which excuses the ends of servers under it. */
+    /** Records that a request was answered, which clears its server terminations. */
     public void answered(RequestDigest request) {
         if (quarantine.answered(request, now())) {
-            changed("an answer", false);
+            changed("request was answered", false);
         }
     }
 
-    /** Takes in what another entry, or the store, tells. */
+    /** Records terminations reported by another entry or read from the store. */
     public void heard(List<ServerEnd> ends, String from) {
         boolean anyNews = false;
         for (ServerEnd end : ends) {
@@ -70,24 +73,24 @@
         }
     }
 
-    /** Returns what the next report to the other entries tells. */
+    /** Returns the terminations to include in the next report to the other entries. */
     public List<ServerEnd> takeNews() {
         return quarantine.takeNews(now());
     }
 
-    /** Returns what belongs into the store: the requests under which more than one server has ended. */
+    /** Returns the terminations that have to be stored: those of requests with terminations on more than one server. */
     public Map<RequestDigest, List<ServerEnd>> repeated() {
         Map<RequestDigest, List<ServerEnd>> repeated = new LinkedHashMap<>();
         quarantine.repeated().forEach(request -> repeated.put(request, quarantine.ends(request, now())));
         return repeated;
     }
 
-    /** Returns how many requests are kept from servers. */
+    /** Returns the number of requests in quarantine. */
     public int quarantined() {
         return quarantine.size();
     }
 
-    /** Lets terms and memories end; to be called several times a second. */
+    /** Ends expired quarantine periods and removes expired suspects; has to be called several times per second. */
     public void check() {
         if (quarantine.empty()) {
             return;
@@ -96,7 +99,7 @@
             expiredAt = now();
             quarantine.expire(now());
         }
-        review("its term is over");
+        review("quarantine period expired");
     }
 
     private void changed(String from, boolean ownRun) {
@@ -134,7 +137,10 @@
         return time.monotonicNanoseconds();
     }
 
-    /** Hears that something has changed that belongs into the store; whether this entry saw a server end itself. */
+    /**
+     * Notified of changes that have to be stored; the argument says whether this entry observed a termination
+     * itself.
+     */
     @FunctionalInterface
     interface ChangeListener {
         void changed(boolean ownRun);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/package-info.java
@@ -1,2 +1,5 @@
-/** How entries share which requests end servers: with each other, and in the store for those that start. */
+/**
+ * Shares knowledge of requests that terminate servers: between entries, and in the store for entries that start
+ * later.
+ */
 package org.aspenmoor.internal.gateway.quarantine;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeperTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeperTest.java
@@ -52,7 +52,7 @@
         assertEquals(ends(stored().getFirst()).size(), 2);
     }
 
-    // Guards against a store that fills with the requests which every server that ends takes with it.
+    // Guards against filling the store with the coincidental requests of each server that terminates.
     @Test
     public void should_not_keep_a_request_that_was_at_one_such_server() throws Exception {
         ended("one");
@@ -73,7 +73,7 @@
         assertEquals(stored().getFirst(), written);
     }
 
-    // Guards against an entry that starts and knows nothing of what others have learnt before.
+    // Guards against an entry that starts without knowing what others have learnt.
     @Test
     public void should_take_in_what_another_entry_kept() throws Exception {
         ended("one", "two");
@@ -88,7 +88,7 @@
         assertTrue(started.verdict(REQUEST) instanceof Verdict.Quarantined);
     }
 
-    // Guards against a request that is forgotten because the store came back from an older copy.
+    // Guards against forgetting a request because the store was restored from an older copy.
     @Test
     public void should_write_again_what_the_store_has_lost() throws Exception {
         ended("one", "two");
@@ -102,7 +102,7 @@
         assertEquals(stored().size(), 1);
     }
 
-    // Guards against two entries of which one overwrites what the other has seen.
+    // Guards against one entry overwriting what another has observed.
     @Test
     public void should_add_to_what_another_entry_has_written() throws Exception {
         ended("one", "two");
@@ -111,7 +111,7 @@
         FatalRequestKeeper other = keeper(others);
         others.serverEnded(REQUEST, new ServerStart("three", 1));
         others.serverEnded(REQUEST, new ServerStart("four", 1));
-        assertFalse(other.step(), "it has not heard of the object yet");
+        assertFalse(other.step(), "it has not yet received the object from the watch");
         stored().forEach(other::changed);
 
         assertTrue(other.step());
@@ -142,7 +142,7 @@
         assertEquals(stored(), List.of());
     }
 
-    // Guards against an entry that stops at an object which somebody else wrote.
+    // Guards against an entry that stops at an object written by another process.
     @Test
     public void should_go_on_after_an_object_that_makes_no_sense() throws Exception {
         StoredObject strange =
