--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderRight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderRight.java
@@ -14,30 +14,35 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * The right to give orders to engines: held by one process at a time, for a short while, under a number that grows.
+ * The lease under which one process at a time may give orders to engines, for a short time and with an increasing
+ * fencing number.
  *
- * <p>Some engines do not check the number, so two processes that both believe to hold the right could give an engine
- * conflicting orders; one would notice an engine that changes to and fro. The holder therefore uses the right only
- * within a short window after it wrote the record, and whoever takes it over must have seen the record unchanged for
- * longer than that window and the engines' own pause between holders together. No clock is compared with another's.
+ * <p>Some engines do not check the fencing number, so two processes that both assume they hold the lease could give
+ * an engine conflicting orders, and its role would change back and forth. The holder therefore uses the lease only
+ * within a short window after it wrote the record. Another process may acquire it only after it has seen the record
+ * unchanged for longer than this window plus the pause that engines require between holders. No clock is compared
+ * with the clock of another process.
  *
- * <p>A store that comes back from an older copy may have lost the record of a holder that still gives orders. So a record
- * that is missing settles like one that was just written, a right from an earlier generation of the store's history is
- * void, and numbers begin higher in each generation, whoever remembers the last.
+ * <p>A store that was restored from an older copy may have lost the record of a holder that still gives orders. A
+ * missing record therefore has to stay unchanged for as long as one that was just written, a lease from an earlier
+ * generation of the store's history is void, and fencing numbers start higher in each generation, regardless of which process remembers the last one.
  *
  * <p>Used by one thread only; its calls block.
  */
 public final class OrderRight {
-    /** How long after its write a holder gives orders; some take a few milliseconds each. */
+    /** How long after its write a holder may give orders; an order takes a few milliseconds. */
     static final Duration WINDOW = Duration.ofSeconds(2);
 
     /**
-     * How long the record must have stood unchanged before another takes it: the window, the three seconds that engines
-     * need between two holders, and one for the way of the last order.
+     * How long the record must be unchanged before another process may acquire the lease: the window, the three
+     * seconds that engines require between two holders, and one second for the delivery of the last order.
      */
     static final Duration SETTLED = Duration.ofSeconds(6);
 
-    /** Where the time of day has run so much further than the steady clock, the process has been suspended. */
+    /**
+     * Difference between the elapsed times of the wall clock and the monotonic clock above which the process is
+     * assumed to have been suspended.
+     */
     private static final Duration SUSPENDED = Duration.ofMillis(200);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,7 +50,7 @@
     private static final String TERM = "term";
     private static final String MISSING = "missing in generation ";
 
-    /** More than are given out in years, one every few seconds; still whole numbers in any JSON. */
+    /** More than are issued in years at one every few seconds; the numbers remain exact integers in any JSON parser. */
     private static final long TERMS_OF_A_GENERATION = 1L << 32;
 
     private final ObjectStore store;
@@ -69,14 +74,15 @@
     }
 
     /**
-     * Notes who has the right, so that it is known to be settled when an order becomes due. Looked at only then, an engine
-     * for answers that was lost stayed unreplaced for six seconds more, in which one engine answered everybody.
+     * Reads the record so that the time since its last change is known when an order becomes due. If it were read
+     * only then, the replacement of a lost decode engine would be delayed by six more seconds, during which one
+     * engine would decode all answers.
      */
     public void observe() throws StoreException {
         settled(versionOf(store.read(key)), time.monotonicNanoseconds());
     }
 
-    /** Tries to get the right; returns the number to give orders under. */
+    /** Tries to acquire the lease; returns the fencing number for orders. */
     public Optional<Long> acquire() throws StoreException {
         granted = false;
         long asked = time.monotonicNanoseconds();
@@ -95,7 +101,7 @@
             StoredObject written = record.isPresent() ? store.update(record.get(), value) : store.create(key, value);
             ownVersion = written.version();
         } catch (StoreConflictException taken) {
-            // Another process has just written; its window comes first.
+            // Another process has just written the record and holds the lease.
             return Optional.empty();
         }
         if (store.generation() != generation) {
@@ -109,7 +115,7 @@
         return Optional.of(term);
     }
 
-    /** Returns whether an order may still be given; to be asked right before each. */
+    /** Returns whether an order may still be given; has to be checked immediately before each order. */
     public boolean holds() {
         long elapsed = time.monotonicNanoseconds() - grantedAt;
         long elapsedByDay = Duration.ofMillis(time.timeOfDay().toEpochMilli() - grantedAtTimeOfDay)
@@ -119,14 +125,17 @@
         return granted && sameGeneration && elapsed < WINDOW.toNanos() && !suspended;
     }
 
-    /** Numbers of a later generation lie above all those of earlier ones, which the store may have forgotten. */
+    /** Fencing numbers of a later generation exceed all those of earlier ones, which the store may have lost. */
     private long nextTerm(Optional<StoredObject> record, long generation) throws StoreMalformedException {
         long recorded = record.isPresent() ? termOf(record.get()) : 0;
         highestTerm = Math.max(Math.max(highestTerm, recorded), generation * TERMS_OF_A_GENERATION);
         return highestTerm + 1;
     }
 
-    /** Returns a record's version; a missing one has a version too, since it has to settle like another. */
+    /**
+     * Returns a record's version. A missing record has a version too, since it has to stay unchanged like any
+     * other.
+     */
     private String versionOf(Optional<StoredObject> record) {
         return record.map(StoredObject::version).orElse(MISSING + store.generation());
     }
@@ -150,11 +159,11 @@
                 return root.path(TERM).asLong();
             }
         } catch (JsonProcessingException malformed) {
-            // Reported below, like a record without a number.
+            // Reported below, like a record without a fencing number.
         }
         throw new StoreMalformedException(
-                "The record of who may give orders has no number.",
+                "The order lease record has no fencing number.",
                 record.key().toString(),
-                "Delete the object; the next process that needs it writes it anew.");
+                "Delete the object; the next process that needs the lease creates it again.");
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleBalance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleBalance.java
@@ -8,31 +8,36 @@
 import org.aspenmoor.internal.serving.BackendState;
 
 /**
- * Decides how many engines of one service compute prompts and how many generate answers.
+ * Decides how many engines of one service run prefill and how many run decode.
  *
- * <p>The load it answers: prompts of thousands of tokens with answers of tens. Computing prompts takes nearly all of the
- * engines' time, and an engine for answers does it at under half the speed and between the tokens of its streams, which
- * then take seconds instead of tenths. A few engines generate all answers; the others compute prompts.
+ * <p>The load it is made for: prompts of thousands of tokens with answers of tens. Prefill takes nearly all of the
+ * engines' time. A decode engine runs prefill at less than half the speed and between the tokens of its streams,
+ * which then take seconds instead of tenths of a second. A few engines therefore decode all answers, and the others
+ * run prefill.
  *
- * <p>A change of role takes an engine away for seconds. So while there is traffic a small deviation stays, and one engine
- * changes at a time.
+ * <p>A role change makes an engine unavailable for seconds. While there is traffic, a small deviation is therefore
+ * tolerated, and only one engine changes at a time.
  */
 public final class RoleBalance {
     /**
-     * Part of the engines that generate answers. Two of eight generate far more tokens than are asked for; what binds is
-     * their link, over which every computed prompt is fetched. With one left, fetching took seconds.
+     * Fraction of the engines that run decode. Two of eight generate far more tokens than are requested; the
+     * bottleneck is their network link, over which the cache of every computed prompt is transferred. With one
+     * decode engine, cache transfers took seconds.
      */
     private static final double DECODE_SHARE = 0.375;
 
-    /** With fewer engines for answers than this, their links bind; the loss is mended also while there is traffic. */
+    /**
+     * With fewer decode engines than this, their network links are the bottleneck, so the shortage is corrected
+     * even while there is traffic.
+     */
     private static final int LEAST_DECODERS = 2;
 
-    /** Up to this many engines one is enough for answers; two would leave too little for prompts. */
+    /** Up to this number of engines one decode engine is enough; two would leave too few for prefill. */
     private static final int FEW_ENGINES = 3;
 
     /**
-     * While there is traffic, engines change their role only where so many too many or too few have one; up to half of them
-     * may be lent to long answers.
+     * Deviation from the target up to which engines keep their roles while there is traffic. Up to half of the
+     * engines may in addition be temporarily reassigned to decoding long answers.
      */
     private static final int TOLERATED_DEVIATION = 1;
 
@@ -57,7 +62,7 @@
         return idle ? moves : moves.subList(0, 1);
     }
 
-    /** Returns how many of so many engines generate answers where nothing is known of the load. */
+    /** Returns how many of the given number of engines run decode if nothing is known about the load. */
     static int wantedDecoders(int total) {
         if (total <= FEW_ENGINES) {
             return 1;
@@ -65,7 +70,10 @@
         return Math.max(2, (int) Math.round(total * DECODE_SHARE));
     }
 
-    /** Takes engines where the role they leave is most common among the decoders' data centres, or the new one least. */
+    /**
+     * Selects engines for a change to prefill from the data centres with the most decode engines, and for a change
+     * to decode from those with the fewest.
+     */
     private static List<RoleMove> moved(
             List<BackendServer> from, List<BackendServer> decoders, int count, EngineRole role) {
         List<BackendServer> left = new ArrayList<>(from);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleMove.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleMove.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.serving.BackendServer;
 
 /**
- * One engine that should change its role.
+ * A role change that one engine should make.
  *
  * @param server the engine
  * @param role its new role
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/package-info.java
@@ -1,2 +1,2 @@
-/** Which engines compute prompts and which generate answers, and who may tell them so. */
+/** Decides which engines run prefill and which run decode, and which process may order role changes. */
 package org.aspenmoor.internal.serving.roles;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LateLearningStore.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LateLearningStore.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.store.StoreWatchListener;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** A store as one process sees it, which learns only from answers that the store has come back from an older copy. */
+/** A store as seen by one process that learns of a restore from an older copy only from responses to its calls. */
 final class LateLearningStore implements ObjectStore {
     private final ObjectStore store;
     private long generation;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadFollowerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadFollowerTest.java
@@ -25,7 +25,7 @@
         follower = new LoadFollower();
     }
 
-    // Guards against long answers cut at their deadline while engines for prompts stand idle.
+    // Guards against long answers that are cut off at their deadline while prefill engines are idle.
     @Test
     public void should_give_the_quickest_engine_to_answers_that_are_told_too_slowly() {
         ServiceLoad load =
@@ -35,7 +35,8 @@
                 follower.move(load), Optional.of(new RoleMove(server("d", EngineRole.PREFILL), EngineRole.DECODE)));
     }
 
-    // Guards against prompts that are refused because an engine left them in a burst of both.
+    // Guards against prompts that are refused because an engine was reassigned during a burst of prompts and
+    // answers.
     @Test
     public void should_leave_the_engines_with_prompts_that_need_them() {
         ServiceLoad load =
@@ -61,7 +62,8 @@
         assertEquals(follower.move(unknown), Optional.empty());
     }
 
-    // Guards against a slow engine that keeps the answers: the one that was lent is quick, so the slow one goes back.
+    // Guards against a slow engine that keeps decoding: the reassigned engine is fast, so the slow one returns to
+    // prefill.
     @Test
     public void should_return_the_slowest_engine_once_prompts_press() {
         ServiceLoad load = load(
@@ -77,7 +79,7 @@
                 follower.move(load), Optional.of(new RoleMove(server("b", EngineRole.DECODE), EngineRole.PREFILL)));
     }
 
-    // Guards against prompts that wait for an engine which goes back only once they do.
+    // Guards against prompts that have to wait because an engine returns to prefill only after they queue.
     @Test
     public void should_return_an_engine_before_prompts_wait_where_the_others_bear_the_answers() {
         assertEquals(
@@ -90,7 +92,8 @@
         assertEquals(follower.move(lent(PromptLoad.USUAL, 0.07)), Optional.empty());
     }
 
-    // Guards against an engine that is away from the prompts longer than it takes to exchange a slow one.
+    // Guards against exchanging a slow engine only when prompts need it, which would keep an engine from prefill
+    // longer than the exchange takes.
     @Test
     public void should_exchange_a_slow_engine_while_prompts_leave_others_idle() {
         ServiceLoad load = load(
@@ -111,7 +114,7 @@
         assertEquals(follower.move(lent(PromptLoad.EASY, 0.03)), Optional.empty());
     }
 
-    // Guards against engines that change to and fro: each change takes one away for seconds.
+    // Guards against engines that change back and forth: each change makes one unavailable for seconds.
     @Test
     public void should_wait_after_a_change_before_the_next() {
         ServiceLoad load = load(
@@ -130,7 +133,7 @@
         assertEquals(follower.move(load).isPresent(), true);
     }
 
-    // Guards against seconds lost where the order could not be given at once.
+    // Guards against losing seconds if the order could not be given at once.
     @Test
     public void should_ask_again_for_a_change_that_did_not_come_about() {
         ServiceLoad load = load(
@@ -145,7 +148,8 @@
         assertEquals(follower.move(load), follower.move(load));
     }
 
-    // Guards against the longest answers of one slow engine being cut while the mean of all is good enough.
+    // Guards against cutting off the longest answers of one slow engine while the mean of all engines is good
+    // enough.
     @Test
     public void should_give_an_engine_where_one_of_those_that_answer_is_slow() {
         ServiceLoad load = load(
@@ -171,7 +175,10 @@
         assertEquals(follower.move(load), Optional.empty());
     }
 
-    /** Returns three engines for answers at one pace, where two are usual, and three for prompts. */
+    /**
+     * Returns three decode engines with the same event interval, where the target is two, and three prefill
+     * engines.
+     */
     private static ServiceLoad lent(PromptLoad prompts, double pace) {
         return load(
                 prompts,
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
@@ -33,7 +33,8 @@
         time = new ManualTimeSource();
     }
 
-    // Guards against two that give orders at once, since the store has lost the record of one of them.
+    // Guards against two processes that give orders at the same time because the store has lost the record of one
+    // of them.
     @Test
     public void should_grant_the_right_where_no_record_has_been_for_as_long_as_one_must_stand() throws StoreException {
         OrderRight right = right("one");
@@ -61,9 +62,8 @@
         assertFalse(right.holds());
     }
 
-    // The entry that gave the last order is gone, and an engine for answers is lost. Whoever comes next and has not
-    // looked at
-    // the record before must wait six seconds, in which one engine answers everybody.
+    // The entry that gave the last order has terminated, and a decode engine is lost. A successor that has not
+    // observed the record before must wait six seconds, during which one engine decodes all answers.
     @Test
     public void should_pass_on_at_once_to_one_that_has_seen_the_record_stand() throws StoreException {
         granted("one");
@@ -97,9 +97,8 @@
         assertEquals(other.acquire(), Optional.of(2L));
     }
 
-    // The holder's host is suspended just before it gives an order, and its steady clock stands still meanwhile. When
-    // it
-    // wakes, another process may hold the right; only the time of day tells.
+    // The holder's host is suspended just before an order, and its monotonic clock stops meanwhile. After it
+    // resumes, another process may hold the lease; only the wall clock shows this.
     @Test
     public void should_not_hold_after_a_suspension_that_the_steady_clock_did_not_count() throws StoreException {
         SuspendedTimeSource suspended = new SuspendedTimeSource();
@@ -113,8 +112,8 @@
         assertFalse(right.holds());
     }
 
-    // Several entries see the same deviation and all want to mend it. Whatever the schedule, orders of two of them are
-    // never closer than the pause that engines need between two holders, and numbers only grow.
+    // Several entries see the same deviation and all try to correct it. Under any schedule, orders of two holders
+    // are never closer than the pause that engines require between holders, and fencing numbers only increase.
     @Test
     public void should_keep_holders_apart_under_any_schedule() throws StoreException {
         Random random = new Random(11);
@@ -142,10 +141,10 @@
                 lastOrderAt = now;
             }
         }
-        assertTrue(lastNumber > 100, "the right was passed on: " + lastNumber);
+        assertTrue(lastNumber > 100, "last fencing number: " + lastNumber);
     }
 
-    // Guards against a holder who goes on giving orders under a right that the store no longer knows of.
+    // Guards against a holder that continues to give orders under a lease that the store has lost.
     @Test
     public void should_not_hold_once_the_store_has_come_back_older() throws StoreException {
         List<StoredObject> copy = store.copy();
@@ -153,10 +152,10 @@
         store.comeBackFrom(copy);
 
         assertFalse(right.holds());
-        assertEquals(right.acquire(), Optional.empty(), "the record is missing, and settles first");
+        assertEquals(right.acquire(), Optional.empty(), "a missing record has to stay unchanged first");
     }
 
-    // Guards against an engine that refuses the orders of a new holder, since it has seen higher numbers.
+    // Guards against engines that refuse the orders of a new holder because they have seen higher fencing numbers.
     @Test
     public void should_number_orders_above_those_that_the_store_has_forgotten() throws StoreException {
         List<StoredObject> copy = store.copy();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
@@ -17,7 +17,7 @@
 import org.aspenmoor.internal.time.ManualTimeSource;
 import org.testng.annotations.Test;
 
-/** Plays the right to give orders, by seeds, on a store that comes back from older copies. */
+/** Simulates the order lease, with several seeds, on a store that is restored from older copies. */
 public class RewoundOrderRightTest {
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
     private static final Duration ENGINES_PAUSE = Duration.ofSeconds(3);
@@ -25,14 +25,15 @@
     private static final int STEPS = 5_000;
     private static final int COPIES = 40;
 
-    // Guards against two holders that give an engine conflicting orders after the store has forgotten one of them.
+    // Guards against two holders that give an engine conflicting orders after the store has lost the record of one
+    // of them.
     @Test
     public void should_keep_holders_apart_and_numbers_growing_on_a_store_that_comes_back_older() throws StoreException {
         int grants = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             grants += play(seed);
         }
-        assertTrue(grants > SEEDS, "rights granted: " + grants);
+        assertTrue(grants > SEEDS, "leases granted: " + grants);
     }
 
     private static int play(int seed) throws StoreException {
@@ -73,7 +74,7 @@
                 long now = time.monotonicNanoseconds();
                 boolean apart = right == lastHolder || now - lastOrderAt >= ENGINES_PAUSE.toNanos();
                 assertTrue(apart, "seed " + seed + ": two holders at step " + step);
-                assertTrue(numbers[index] >= lastNumber, "seed " + seed + ": a lower number at step " + step);
+                assertTrue(numbers[index] >= lastNumber, "seed " + seed + ": a lower fencing number at step " + step);
                 lastHolder = right;
                 lastOrderAt = now;
                 lastNumber = numbers[index];
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RoleBalanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RoleBalanceTest.java
@@ -42,29 +42,33 @@
         assertEquals(balance.moves(engines(0, 1), true), List.of());
     }
 
-    // An engine crashes and returns within seconds. Were another moved in its place, two engines would be away at once.
+    // An engine crashes and returns within seconds. If another changed its role to replace it, two engines would be
+    // unavailable at once.
     @Test
     public void should_let_a_small_deviation_be_while_there_is_traffic() {
         assertEquals(balance.moves(engines(5, 2), false), List.of());
         assertEquals(balance.moves(engines(4, 4), false), List.of());
     }
 
-    // Guards against an engine that is lent to long answers being ordered back at once.
+    // Guards against ordering an engine back at once that is temporarily reassigned to long answers.
     @Test
     public void should_let_engines_be_that_are_lent_to_answers_while_there_is_traffic() {
         assertEquals(balance.moves(engines(6, 6), false), List.of());
         assertEquals(balance.moves(engines(5, 7), false).size(), 1);
     }
 
-    // One of two engines for answers leaves under load. All computed prompts then go over the link of the other, which
-    // takes seconds; a planned change of one engine costs less.
+    // One of two decode engines leaves under load. The caches of all computed prompts are then transferred over the
+    // link of the other, which takes seconds; a planned change of one engine costs less.
     @Test
     public void should_replace_an_engine_for_answers_where_one_is_left() {
         assertEquals(balance.moves(engines(6, 1), false).size(), 1);
-        assertEquals(balance.moves(engines(2, 1), false), List.of(), "three engines are too few to take another");
+        assertEquals(
+                balance.moves(engines(2, 1), false),
+                List.of(),
+                "with three engines, another decode engine would leave too few for prefill");
     }
 
-    // All engines for answers are lost at once. Prompts are computed and nobody can answer them.
+    // All decode engines are lost at once. Prompts are computed, but no engine can generate the answers.
     @Test
     public void should_make_one_engine_answer_where_none_does() {
         List<RoleMove> moves = balance.moves(engines(6, 0), false);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/FleetSnapshot.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/FleetSnapshot.java
@@ -4,11 +4,12 @@
 import org.aspenmoor.internal.serving.ServiceLoad;
 
 /**
- * What the role duty needs to know of the event loop's state.
+ * The part of the event loop's state that the role worker needs.
  *
- * @param services what the engines of each service that runs a model do
- * @param idle whether neither this entry nor another it hears has had a request for a while
- * @param first whether this entry's name is the first among those that are heard, so that orders are its task
+ * @param services the load on the engines of each service that runs a model
+ * @param idle whether neither this entry nor any entry it receives reports from has had a request for a while
+ * @param first whether this entry's name sorts first among the entries in contact, which makes it responsible for
+ * orders
  */
 public record FleetSnapshot(List<ServiceLoad> services, boolean idle, boolean first) {
     public FleetSnapshot {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleKeeper.java
@@ -27,21 +27,30 @@
 import org.aspenmoor.internal.serving.roles.RoleMove;
 import org.aspenmoor.internal.store.StoreException;
 
-/** Looks whether engines have the roles that the traffic needs and orders changes; a duty of its own thread. */
+/** Checks whether the engines have the roles that the traffic needs and orders role changes. Runs on its own thread. */
 public final class RoleKeeper {
-    /** Pause between two looks. */
+    /** Interval between two checks. */
     private static final Duration PAUSE = Duration.ofSeconds(2);
 
-    /** A deviation must be seen so often in a row: engines that start register one after the other. */
+    /**
+     * Number of consecutive checks that must find a deviation before this entry acts: engines that start register
+     * one after the other.
+     */
     private static final int LOOKS = 2;
 
-    /** After so many looks an entry acts though another one should have; that one may be cut off from the store. */
+    /**
+     * Number of checks after which an entry acts in place of the responsible one, which may be disconnected from
+     * the store.
+     */
     private static final int LOOKS_IN_ANOTHERS_PLACE = 4;
 
-    /** Looks between two observations of who may give orders: about the time for which its record must stand unchanged. */
+    /**
+     * Number of checks between two reads of the order lease: about the time for which its record must stay
+     * unchanged.
+     */
     private static final int LOOKS_BETWEEN_OBSERVATIONS = 6;
 
-    /** An engine answers such a call within milliseconds. */
+    /** Call timeout; an engine responds to such a call within milliseconds. */
     private static final Duration CALL_TIMEOUT = Duration.ofMillis(400);
 
     private static final int FIRST_REFUSAL = 300;
@@ -79,7 +88,7 @@
         this.log = log;
     }
 
-    /** Starts the duty. */
+    /** Starts the worker thread. */
     public void start() {
         Thread.ofPlatform().daemon().name("role-keeper").start(this::run);
     }
@@ -95,7 +104,7 @@
         }
     }
 
-    /** Looks once and orders what is due. */
+    /** Runs one check and orders the changes that are due. */
     void look() throws InterruptedException {
         FleetSnapshot snapshot = fleet.get();
         observeRight(snapshot.first());
@@ -134,7 +143,7 @@
         }
     }
 
-    /** Only the entry whose turn it would be looks, and seldom: each look is a call to the store. */
+    /** Only the responsible entry reads the lease, and rarely, since each read is a call to the store. */
     private void observeRight(boolean first) throws InterruptedException {
         looksUnobserved++;
         if (!first || looksUnobserved < LOOKS_BETWEEN_OBSERVATIONS) {
@@ -155,7 +164,7 @@
             Optional<Long> number = right.acquire();
             if (number.isEmpty()) {
                 log.notable("roles-not-ordered")
-                        .with("reason", "another entry may still be giving orders")
+                        .with("reason", "another entry may still hold the order lease")
                         .write();
                 return 0;
             }
@@ -180,7 +189,7 @@
             if (!right.holds()) {
                 log.notable("role-not-ordered")
                         .with("server", server.id())
-                        .with("reason", "the right to give orders has run out")
+                        .with("reason", "the order lease has expired")
                         .write();
                 return false;
             }
@@ -200,7 +209,8 @@
                     .write();
             return taken;
         } catch (ExecutionException | TimeoutException lost) {
-            // It may still be carried out; the next look sees the engine's role, and the count keeps a late one out.
+            // The order may still be carried out. The next check sees the engine's role, and the order count makes
+            // the engine reject a late order.
             log.notable("role-order-unanswered")
                     .with("server", server.id())
                     .with("role", move.role().name())
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/package-info.java
@@ -1,2 +1,2 @@
-/** The duty that keeps engines in the roles that the traffic needs. */
+/** The worker that keeps engines in the roles that the traffic needs. */
 package org.aspenmoor.internal.gateway.roles;
