--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerAddress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerAddress.java
@@ -7,7 +7,10 @@
 import java.util.Optional;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** The registration of an entry in the store: where it hears the others. */
+/**
+ * Reads and writes the registration of an entry in the store: the address at which it receives reports from other
+ * entries.
+ */
 final class PeerAddress {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String HOST = "host";
@@ -23,7 +26,7 @@
                 .toString();
     }
 
-    /** Reads a registration; empty where it names no address. */
+    /** Parses a registration; empty if it contains no valid address. */
     static Optional<InetSocketAddress> read(StoredObject object) {
         try {
             JsonNode root = MAPPER.readTree(object.value());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
@@ -22,7 +22,7 @@
 import org.aspenmoor.internal.serving.quarantine.ServerStart;
 import org.aspenmoor.internal.wire.v1.PeerLoad;
 
-/** Turns reports into datagrams and back. */
+/** Converts reports to datagrams and back. */
 final class PeerCodec {
     private static final double MICROSECONDS = 1e6;
 
@@ -144,7 +144,7 @@
         return prompts;
     }
 
-    /** Reads a datagram; empty where it is no report, since anybody may send to the port. */
+    /** Parses a datagram; empty if it is not a report, since any process can send to the port. */
     static Optional<PeerReport> read(byte[] datagram) {
         try {
             PeerLoad message = PeerLoad.parseFrom(datagram);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
@@ -16,17 +16,23 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /**
- * Registers this entry in the store and reads where the others are; a duty of its own thread.
+ * Registers this entry in the store and reads the addresses of the other entries. Runs on its own thread.
  *
- * <p>Registrations say where an entry would be heard, not that it lives: that shows in its reports. So they need no
- * renewal, and one left behind by a host that is gone costs a datagram now and then. The store may lose one with its last
- * seconds; then the list shows that it is missing.
+ * <p>A registration states the address at which an entry receives reports, not that the entry is running; its own
+ * reports show that. Registrations therefore need no renewal, and one left behind by a removed host costs an
+ * occasional datagram. The store may lose a registration together with its latest writes; the next listing shows that it is missing.
  */
 public final class PeerDirectory {
-    /** Entries that start tell the others themselves, so the list only mends what datagrams missed. */
+    /**
+     * Interval between listings. Entries that start notify the others themselves, so the listing only covers lost
+     * datagrams.
+     */
     private static final Duration LISTING_PAUSE = Duration.ofSeconds(10);
 
-    /** After a failed call; entries that do not know each other place worse, which is no reason to press the store. */
+    /**
+     * Delay after a failed call. Entries that do not know each other schedule less well, which does not justify
+     * more load on the store.
+     */
     private static final Duration FAILURE_PAUSE = Duration.ofSeconds(2);
 
     private final ObjectStore store;
@@ -48,7 +54,7 @@
         this.entries = new DependencyLog(log, "entries");
     }
 
-    /** Starts the duty. */
+    /** Starts the worker thread. */
     public void start() {
         Thread.ofPlatform().daemon().name("peer-directory").start(this::run);
     }
@@ -63,7 +69,7 @@
         }
     }
 
-    /** Does what is due and returns the pause after it. */
+    /** Lists the entries, registers this one if it is missing, and returns the delay before the next step. */
     Duration step() {
         try {
             Map<String, InetSocketAddress> addresses = addresses();
@@ -89,7 +95,7 @@
         return addresses;
     }
 
-    // A write whose answer was lost may still be carried out; reading first on the next step settles it.
+    // A write whose response was lost may still be applied; reading first in the next step resolves this.
     private void register() throws StoreException {
         String value = PeerAddress.write(address);
         Optional<StoredObject> before = store.read(key);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -30,15 +30,16 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Tells the other entries this entry's part of the load, and hears theirs. Confined to the event loop.
+ * Reports this entry's part of the load to the other entries and receives their reports. Confined to the event
+ * loop.
  *
- * <p>Datagrams, since a report that was lost or is late is replaced by the next one; nothing waits for it.
+ * <p>Uses datagrams, since a lost or late report is superseded by the next one and nothing waits for it.
  */
 public final class PeerExchange {
-    /** Pause between reports among few entries; an engine takes about as long over one long prompt. */
+    /** Minimum interval between reports, used with few entries; an engine takes about this long for one long prompt. */
     private static final Duration SHORTEST_PAUSE = Duration.ofMillis(100);
 
-    /** Added to the pause for each peer, so that what one entry sends and hears a second stays bounded. */
+    /** Interval added per peer, so that the number of reports an entry sends and receives per second stays bounded. */
     private static final Duration PAUSE_FOR_EACH_PEER = Duration.ofMillis(10);
 
     private final String entry;
@@ -69,25 +70,25 @@
         channel = ListeningPort.open(bootstrap, address, "The port for other entries");
     }
 
-    /** Returns the address that the port got. */
+    /** Returns the local address of the port. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Takes the other entries' addresses in. */
+    /** Replaces the addresses of the other entries. */
     public void know(Map<String, InetSocketAddress> addresses) {
         peers.clear();
         peers.putAll(addresses);
         peers.remove(entry);
     }
 
-    /** Returns how long to wait before the next report. */
+    /** Returns the interval before the next report. */
     public Duration pause() {
         Duration scaled = PAUSE_FOR_EACH_PEER.multipliedBy(peers.size());
         return scaled.compareTo(SHORTEST_PAUSE) > 0 ? scaled : SHORTEST_PAUSE;
     }
 
-    /** Sends a report to all others. */
+    /** Sends a report to all other entries. */
     public void tell(
             Map<String, PeerShare> shares,
             List<PlacedPrompt> prompts,
@@ -118,14 +119,15 @@
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             Optional<PeerReport> report = PeerCodec.read(ByteBufUtil.getBytes(packet.content()));
             if (report.isEmpty()) {
-                took("a datagram from " + packet.sender() + " is no report");
+                took("a datagram from " + packet.sender() + " is not a report");
                 return;
             }
             String sender = report.get().entry();
             if (sender.equals(entry)) {
                 return;
             }
-            // An entry that has just started tells those it found; so they learn of it before they list again.
+            // An entry that has just started reports to the entries it found, so they learn of it before their next
+            // listing.
             peers.putIfAbsent(sender, packet.sender());
             listener.accept(report.get());
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/package-info.java
@@ -1,2 +1,2 @@
-/** How entries find each other and tell each other what they have placed where. */
+/** How entries discover each other and report which requests they have scheduled on which servers. */
 package org.aspenmoor.internal.gateway.peers;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -83,7 +83,8 @@
         assertEquals(PeerCodec.read(new byte[0]), Optional.empty());
     }
 
-    // An entry has just started; the others do not know it yet. It tells them, and they answer to where it spoke from.
+    // An entry that has just started is not yet known to the others. It sends them a report, and they reply to its
+    // sender address.
     @Test
     public void should_hear_of_each_other_from_one_side_alone() throws Exception {
         BlockingQueue<PeerReport> heardByOld = new LinkedBlockingQueue<>();
@@ -137,8 +138,8 @@
         assertEquals(store.list(ObjectKind.ENTRY_REGISTRATION).objects().size(), 2);
     }
 
-    // Guards against an entry that no other ever hears of, since the store has lost its registration with its last
-    // seconds.
+    // Guards against an entry that no other entry discovers because the store has lost its registration with its latest
+    // writes.
     @Test
     public void should_register_itself_again_where_the_store_has_lost_it() throws Exception {
         InMemoryObjectStore store = new InMemoryObjectStore();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
@@ -10,11 +10,11 @@
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Another entry that says one thing. */
+/** Sends a report as if from another entry. */
 public final class ReportSender {
     private ReportSender() {}
 
-    /** Tells the entry with a registration of an order to an engine. */
+    /** Reports a role change that was ordered of an engine to the entry with the given registration. */
     public static void tell(StoredObject registration, RoleChange change) throws IOException {
         InetSocketAddress address = PeerAddress.read(registration).orElseThrow();
         byte[] report = PeerCodec.write(new PeerReport(
