--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.store.client.CollectionListener;
 
-/** Takes each configuration that the store tells of to the event loop. */
+/** Passes each configuration read from the store to the event loop. */
 public final class ConfigurationListener implements CollectionListener {
     private final RegistrationDecoder decoder;
     private final ServingState state;
@@ -32,7 +32,7 @@
             ServingConfiguration read = decoder.readConfiguration(object);
             eventLoop.execute(() -> state.configure(read));
         } catch (StoreMalformedException malformed) {
-            // What is in force goes on: a configuration that cannot be read must not take the routes away.
+            // The current configuration stays in force: an unreadable one must not remove the routes.
             log.notable("configuration-unreadable")
                     .with("object", object.key().toString())
                     .with("revision", object.version())
@@ -45,7 +45,7 @@
     public void deleted(StoredObject object) {
         log.notable("configuration-deleted")
                 .with("object", object.key().toString())
-                .with("outcome", "the one in force goes on")
+                .with("outcome", "the current configuration stays in force")
                 .write();
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/RegistrationDecoder.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/RegistrationDecoder.java
@@ -5,11 +5,11 @@
 import org.aspenmoor.internal.store.StoreMalformedException;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Reads what others wrote into the store; an adapter implements it. */
+/** Decodes stored objects that other processes have written; implemented by an adapter. */
 public interface RegistrationDecoder {
-    /** Reads a configuration. */
+    /** Decodes a configuration. */
     ServingConfiguration readConfiguration(StoredObject object) throws StoreMalformedException;
 
-    /** Reads a backend server's registration. */
+    /** Decodes the registration of a backend server. */
     BackendServer readServer(StoredObject object) throws StoreMalformedException;
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.store.client.CollectionListener;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Takes each registration of a backend server to the event loop. */
+/** Passes each change to the registration of a backend server to the event loop. */
 public final class ServerListener implements CollectionListener {
     private final RegistrationDecoder decoder;
     private final ServingState state;
@@ -27,9 +27,9 @@
     private boolean synchronisedBefore;
 
     /**
-     * Makes a listener.
+     * Creates a listener.
      *
-     * @param generation the generation of the store's history
+     * @param generation supplies the generation of the store's history
      */
     public ServerListener(
             RegistrationDecoder decoder,
@@ -55,7 +55,8 @@
             BackendServer read = decoder.readServer(object);
             eventLoop.execute(() -> state.serverChanged(read));
         } catch (StoreMalformedException malformed) {
-            // Anybody may write a registration that makes no sense. It names no server to use; the others hold.
+            // Any process may write an invalid registration. It describes no usable server; the other registrations
+            // stay valid.
             log.notable("server-unreadable")
                     .with("object", object.key().toString())
                     .with("revision", object.version())
@@ -84,7 +85,10 @@
         eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanoseconds()));
     }
 
-    /** A server may be missing because the store has lost its last seconds, and not because it has left. */
+    /**
+     * Detects a store that was restored from an older copy: a server may then be missing because the store has lost
+     * its latest writes, and not because the server has left.
+     */
     private void noteGeneration() {
         long now = generation.getAsLong();
         boolean rose = synchronisedBefore && now > knownGeneration;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What an entry follows in the store: the configuration, the backend servers, the other entries. */
+/** Listeners for what an entry follows in the store: the configuration and the backend servers. */
 package org.aspenmoor.internal.gateway.membership;
