--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/HostListEntry.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/HostListEntry.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.membership;
 
 /**
- * One line of the platform's host list; it lags.
+ * One entry of the platform's host list, which lags behind the actual state.
  *
  * @param backend the backend server on that host
- * @param leaving whether the platform is about to take the host away
+ * @param leaving whether the platform is about to remove the host
  */
 public record HostListEntry(String backend, boolean leaving) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Member.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Member.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** What one entry has heard of one backend server. */
+/** What one entry knows about one backend server. */
 final class Member {
     private static final int MOST_LEFT_INCARNATIONS = 8;
 
@@ -17,7 +17,7 @@
     private Optional<String> withdrawnIncarnation = Optional.empty();
     private boolean everListed;
 
-    /** Takes a hello; one of an earlier connection is ignored. */
+    /** Records a hello; one from an earlier connection is ignored. */
     void hello(String newIncarnation, long newConnection, long provenAt) {
         if (newConnection < connection) {
             return;
@@ -89,7 +89,7 @@
         return new Standing.Serving();
     }
 
-    /** Says whether the agent on the link is another one than that which the list withdrew. */
+    /** Returns whether the connected agent is another incarnation than the one that the host list withdrew. */
     private boolean startedAfterWithdrawal() {
         return withdrawnIncarnation.isPresent() && !withdrawnIncarnation.equals(incarnation);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
@@ -10,18 +10,21 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * One entry's view of the backend servers, joined from three sources that disagree.
+ * One entry's view of the backend servers, combined from three sources that can disagree.
  *
  * <ol>
- *   <li>An agent's word that it leaves holds at once and for that incarnation for ever, whatever the host list says.
- *   <li>The list says leaving, or names a backend server no more, and the agent does not: it leaves. The platform takes
- *       the host away whether the agent has heard of it or not.
- *   <li>The list says live and the link is cut or silent: no new work until the link is back. An agent that leaves may
- *       have said so into a cut link; without this rule the promised bound would not hold in a partition.
- *   <li>The list does not know the backend server yet, and its agent says hello: it serves. The list lags.
- *   <li>The list still says leaving, and an agent of another incarnation says hello: it serves. The host has returned
- *       under the same address, and the list lags.
- *   <li>A word about an earlier incarnation, or a hello on an earlier connection, arrives late: it changes nothing.
+ * <li>An agent's announcement that it leaves takes effect at once and permanently for that incarnation, whatever
+ * the host list says.
+ * <li>If the host list marks a backend server as leaving or no longer contains it, it is leaving, even if its agent
+ * has not announced this. The platform removes the host whether or not the agent has been notified.
+ * <li>If the host list says live but the link is disconnected or unresponsive, the server gets no new work until
+ * the link is back. A leaving agent may have announced this on a broken link; without this rule the guaranteed
+ * bound would not hold in a network partition.
+ * <li>If the host list does not contain the backend server yet but its agent sends a hello, it is serving. The list
+ * lags.
+ * <li>If the host list still says leaving but an agent of another incarnation sends a hello, it is serving. The
+ * host has returned under the same address, and the list lags.
+ * <li>A late message about an earlier incarnation, or a hello on an earlier connection, changes nothing.
  * </ol>
  *
  * <p>Used by one thread only.
@@ -37,36 +40,36 @@
     }
 
     /**
-     * Takes an agent's hello.
+     * Records an agent's hello.
      *
-     * @param connection counts this process's connections, so that a hello read late from an earlier one is seen
-     * @param connectingSinceNanoseconds when this process began to connect; the hello was sent after it
+     * @param connection sequence number of this process's connections, to detect a late hello from an earlier one
+     * @param connectingSinceNanoseconds when this process began to connect; the hello was sent after this time
      */
     public void hello(String backend, String incarnation, long connection, long connectingSinceNanoseconds) {
         member(backend).hello(incarnation, connection, connectingSinceNanoseconds);
     }
 
     /**
-     * Takes the answer to a probe.
+     * Records the response to a probe.
      *
-     * <p>It proves that the agent was alive, and had not yet said that it leaves, when the probe was sent, and not when
-     * the answer arrived: on a slow link, answers go on arriving long after the agent began to leave.
+     * <p>It proves that the agent was alive, and had not yet announced that it leaves, when the probe was sent, not
+     * when the response arrived: on a slow link, responses keep arriving long after the agent has begun to leave.
      */
     public void probeAnswered(String backend, long connection, long probeSentNanoseconds) {
         find(backend).ifPresent(member -> member.alive(connection, probeSentNanoseconds));
     }
 
-    /** Takes the end of a connection. */
+    /** Records the loss of a connection. */
     public void linkLost(String backend, long connection) {
         find(backend).ifPresent(member -> member.linkLost(connection));
     }
 
-    /** Takes an agent's word that its backend server leaves. */
+    /** Records an agent's announcement that its backend server leaves. */
     public void leaving(String backend, String incarnation) {
         member(backend).leaving(incarnation);
     }
 
-    /** Takes the whole host list as it was read last. */
+    /** Replaces the host list by the one that was read last. */
     public void hostList(List<HostListEntry> entries) {
         Set<String> listed = entries.stream().map(HostListEntry::backend).collect(Collectors.toSet());
         entries.forEach(entry -> member(entry.backend()).listed(entry.leaving()));
@@ -77,26 +80,26 @@
         });
     }
 
-    /** Returns how a backend server stands at this moment. */
+    /** Returns the current state of a backend server. */
     public Standing standing(String backend) {
         long now = time.monotonicNanoseconds();
         long silence = settings.silenceAllowed().toNanos();
         return find(backend).map(member -> member.standing(now, silence)).orElseGet(Standing.Unmet::new);
     }
 
-    /** Says whether new work may be sent to a backend server at this moment. */
+    /** Returns whether new work may currently be sent to a backend server. */
     public boolean takesNewWork(String backend) {
         return standing(backend).takesNewWork();
     }
 
-    /** Returns how all known backend servers stand, for the state dump. */
+    /** Returns the states of all known backend servers, for the state dump. */
     public Map<String, Standing> all() {
         Map<String, Standing> standings = new TreeMap<>();
         members.keySet().forEach(backend -> standings.put(backend, standing(backend)));
         return standings;
     }
 
-    /** Forgets backend servers that no document names any more. */
+    /** Removes backend servers that no document names any more. */
     public void retain(Set<String> backends) {
         members.keySet().retainAll(backends);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Standing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Standing.java
@@ -1,35 +1,38 @@
 package org.aspenmoor.internal.membership;
 
-/** How a backend server stands with one entry. */
+/** State of a backend server as seen by one entry. */
 public sealed interface Standing {
-    /** It takes new work. */
+    /** Accepts new work. */
     record Serving() implements Standing {}
 
     /**
-     * It takes no new work and finishes what runs.
+     * Accepts no new work and finishes its running requests.
      *
-     * @param said who said that it leaves
+     * @param said the source of the information that it leaves
      */
     record Leaving(Witness said) implements Standing {}
 
-    /** Its link is cut or silent; it may be leaving without our hearing so. */
+    /**
+     * Its link is disconnected or unresponsive; it may have announced that it leaves without this entry receiving
+     * it.
+     */
     record Silent() implements Standing {}
 
-    /** No agent of it has ever said hello on a link. */
+    /** No agent of this server has ever sent a hello on a link. */
     record Unmet() implements Standing {}
 
-    /** Says whether new work may be sent. */
+    /** Returns whether new work may be sent. */
     default boolean takesNewWork() {
         return this instanceof Serving;
     }
 
-    /** Who said that a backend server leaves. */
+    /** Source of the information that a backend server leaves. */
     enum Witness {
-        /** The agent beside it. */
+        /** The agent next to the server. */
         AGENT,
-        /** The platform's host list names it as leaving. */
+        /** The platform's host list marks it as leaving. */
         HOST_LIST,
-        /** The platform's host list named it and does so no more. */
+        /** The platform's host list contained it and no longer does. */
         GONE_FROM_HOST_LIST
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Which backend servers may be given new work: host list, agents' own word and connections joined into one view. */
+/**
+ * Determines which backend servers may receive new work, from the host list, the agents' announcements and the
+ * connections.
+ */
 package org.aspenmoor.internal.membership;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
@@ -25,9 +25,8 @@
         view.hello(DESK, "agent#1", 1, time.monotonicNanoseconds());
     }
 
-    // The agent is told to stop and says so; the platform's list will name the host as live for a minute more. Work
-    // sent
-    // by the list would reach a server that is about to go.
+    // The agent is stopped and announces that it leaves, but the platform's list names the host as live for a
+    // minute more. Work sent according to the list would reach a server that is about to terminate.
     @Test
     public void should_take_the_agents_word_over_the_list() {
         view.leaving(DESK, "agent#1");
@@ -36,7 +35,7 @@
         assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.AGENT));
     }
 
-    // The platform withdraws a host and its agent has not heard of it yet.
+    // The platform withdraws a host whose agent has not been notified yet.
     @Test
     public void should_take_the_lists_word_when_the_agent_says_nothing() {
         view.hostList(List.of(new HostListEntry(DESK, true)));
@@ -54,8 +53,8 @@
         assertTrue(view.takesNewWork(DESK));
     }
 
-    // An entry is cut off from an agent at the moment in which the agent says that it leaves. The entry never hears it;
-    // bookings would go on being sent until the list catches up.
+    // An entry is disconnected from an agent at the moment the agent announces that it leaves. The entry never
+    // receives the announcement and would go on sending requests until the list catches up.
     @Test
     public void should_send_nothing_within_the_bound_when_cut_off_from_a_leaving_agent() {
         for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
@@ -71,7 +70,8 @@
         assertTrue(view.takesNewWork(DESK));
     }
 
-    // A link is slow: answers to old probes go on arriving after the agent has said that it leaves, before its word.
+    // On a slow link, responses to old probes keep arriving after the agent has announced that it leaves and before
+    // the announcement arrives.
     @Test
     public void should_not_count_the_late_answer_to_an_old_probe() {
         long probeSent = time.monotonicNanoseconds();
@@ -82,7 +82,8 @@
         assertEquals(view.standing(DESK), new Standing.Silent());
     }
 
-    // The host is replaced and comes back under the same address while the list still says leaving, or has lost it.
+    // The host is replaced and returns under the same address while the list still marks it as leaving or no longer
+    // contains it.
     @Test
     public void should_serve_a_host_that_returned_under_the_same_address() {
         view.leaving(DESK, "agent#1");
@@ -95,7 +96,7 @@
         assertTrue(view.takesNewWork(DESK));
     }
 
-    // The returned host is withdrawn in turn, after the list has named it as live. The first withdrawal must not hide
+    // The returned host is withdrawn again after the list has named it as live. The first withdrawal must not mask
     // the second.
     @Test
     public void should_let_a_returned_host_leave_again() {
@@ -107,8 +108,8 @@
         assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.HOST_LIST));
     }
 
-    // Words from before the return arrive late: the old agent's farewell, a hello read from the old connection, the end
-    // of the old connection. The new agent must go on serving.
+    // Messages from before the return arrive late: the old agent's announcement, a hello from the old connection,
+    // the loss of the old connection. The new agent must stay in service.
     @Test
     public void should_ignore_late_words_about_an_earlier_incarnation() {
         view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
@@ -119,7 +120,8 @@
         assertTrue(view.takesNewWork(DESK));
     }
 
-    // The farewell overtakes the hello of its own incarnation on another connection.
+    // The announcement that an incarnation leaves arrives before the hello of the same incarnation on another
+    // connection.
     @Test
     public void should_not_serve_an_incarnation_that_has_already_left() {
         view.leaving(DESK, "agent#2");
