--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerDecision.java
@@ -2,18 +2,18 @@
 
 import java.time.Duration;
 
-/** Whether a backend server may be given an attempt. */
+/** Whether an attempt may be sent to a backend server. */
 public sealed interface BreakerDecision {
-    /** It works. */
+    /** The attempt is allowed; the server works. */
     record Pass() implements BreakerDecision {}
 
-    /** It failed a while ago; this one attempt finds out whether it works again. */
+    /** The attempt is allowed as a trial that shows whether the server works again after earlier failures. */
     record Trial() implements BreakerDecision {}
 
     /**
-     * It failed a moment ago, or a trial is running.
+     * The attempt is rejected: the server failed recently, or a trial is in progress.
      *
-     * @param comeBackAfter when the next trial is due
+     * @param comeBackAfter time until the next trial is due
      */
     record Open(Duration comeBackAfter) implements BreakerDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerSettings.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * When a backend server is left alone.
+ * When a circuit breaker opens, and for how long.
  *
- * @param failuresInARow how many failures or stalls open the breaker
- * @param firstPause how long it then gets nothing
- * @param longestPause to which the pause doubles with every failed trial
- * @param trialTimeout after which a trial without an end counts as failed
+ * @param failuresInARow number of consecutive failures or stalls that open the breaker
+ * @param firstPause how long the breaker stays open at first
+ * @param longestPause the limit up to which this time doubles with every failed trial
+ * @param trialTimeout time after which a trial without a result counts as failed
  */
 public record BreakerSettings(int failuresInARow, Duration firstPause, Duration longestPause, Duration trialTimeout) {
-    /** Three in a row, pauses of 1 s to 30 s, trials of 10 s. */
+    /** Three consecutive failures, open for 1 s to 30 s, trials of at most 10 s. */
     public static final BreakerSettings DEFAULT =
             new BreakerSettings(3, Duration.ofSeconds(1), Duration.ofSeconds(30), Duration.ofSeconds(10));
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
@@ -5,11 +5,12 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Keeps attempts away from one backend server that fails or stalls.
+ * Withholds attempts from one backend server that fails or stalls.
  *
- * <p>An engine that accepts requests and answers none looks idle, so a router that goes by load alone sends it more and
- * more; callers would see deadlines missed while other engines have room. After some failures in a row the engine gets
- * nothing for a while, then one trial. Pauses vary by a quarter, so that entries do not all try at one moment.
+ * <p>An engine that accepts requests and answers none looks idle, so a router that considers load alone sends it
+ * more and more requests, and deadlines are missed while other engines have capacity. After a number of consecutive
+ * failures the breaker opens for a while, then allows one trial. The time it stays open varies by a quarter in
+ * either direction, so that entries do not all send their trials at the same moment.
  *
  * <p>Used by one thread only.
  */
@@ -28,7 +29,10 @@
         this.random = random;
     }
 
-    /** Asks for an attempt; a {@link BreakerDecision.Trial} has to be followed by its success or failure. */
+    /**
+     * Requests permission for an attempt; a {@link BreakerDecision.Trial} must be followed by its success or
+     * failure.
+     */
     public BreakerDecision ask() {
         return switch (state) {
             case State.Closed closed -> new BreakerDecision.Pass();
@@ -37,12 +41,12 @@
         };
     }
 
-    /** Notes an attempt that was answered. */
+    /** Records an attempt that was answered. */
     public void succeeded() {
         state = new State.Closed(0);
     }
 
-    /** Notes an attempt that failed or stalled. */
+    /** Records an attempt that failed or stalled. */
     public void failed() {
         switch (state) {
             case State.Closed closed
@@ -50,7 +54,7 @@
             case State.Closed closed -> open(settings.firstPause());
             case State.Trying trying -> open(longer(trying.pause()));
             case State.Opened opened -> {
-                // An attempt from before the breaker opened; it says nothing new.
+                // The attempt was sent before the breaker opened and adds no information.
             }
         }
     }
@@ -84,15 +88,15 @@
         return doubled.compareTo(settings.longestPause()) < 0 ? doubled : settings.longestPause();
     }
 
-    /** What the breaker knows. */
+    /** State of the breaker. */
     private sealed interface State {
-        /** Attempts pass; so many failed in a row. */
+        /** Attempts are allowed; counts the consecutive failures. */
         record Closed(int failures) implements State {}
 
-        /** Nothing passes until then. */
+        /** Attempts are rejected until the given time. */
         record Opened(Duration pause, long untilNanoseconds) implements State {}
 
-        /** One attempt is finding out. */
+        /** One trial is in progress. */
         record Trying(Duration pause, long sinceNanoseconds) implements State {}
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
@@ -3,11 +3,11 @@
 import java.time.Duration;
 
 /**
- * Limits the retries of one team to a share of its requests.
+ * Limits the retries of one team to a fraction of its requests.
  *
- * <p>When engines are overloaded, attempts fail, and if each is repeated the load doubles or triples and nothing
- * recovers: one would see attempts grow while answers fall. Each first attempt therefore earns a part of a retry, and a
- * retry takes a whole one. There is no refill by time, so silence earns nothing.
+ * <p>When engines are overloaded, attempts fail. If each is retried, the load doubles or triples and the system
+ * does not recover: attempts increase while answers decrease. Each first attempt therefore earns a fraction of a
+ * retry, and a retry costs a whole one. The budget is not refilled over time, so idle periods earn nothing.
  *
  * <p>Used by one thread only.
  */
@@ -18,11 +18,11 @@
     private double saved;
 
     /**
-     * Makes a budget that starts full.
+     * Creates a budget that starts full.
      *
      * @param earnedByRequest retries earned by each first attempt, for example 0.1
-     * @param mostSaved how many retries may be saved up
-     * @param comeBackAfter what a caller is told when the budget is spent
+     * @param mostSaved the maximum number of retries in the budget
+     * @param comeBackAfter the wait that a caller is told when the budget is exhausted
      */
     public RetryBudget(double earnedByRequest, double mostSaved, Duration comeBackAfter) {
         this.earnedByRequest = earnedByRequest;
@@ -31,12 +31,12 @@
         this.saved = mostSaved;
     }
 
-    /** Notes a first attempt. */
+    /** Records a first attempt. */
     public void firstAttempt() {
         saved = Math.min(mostSaved, saved + earnedByRequest);
     }
 
-    /** Takes a retry if there is one left. */
+    /** Takes a retry from the budget if one is left. */
     public RetryDecision retry() {
         if (saved < 1) {
             return new RetryDecision.Spent(comeBackAfter);
@@ -45,7 +45,7 @@
         return new RetryDecision.Granted();
     }
 
-    /** Returns how many retries are left. */
+    /** Returns the number of retries left. */
     public double saved() {
         return saved;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryDecision.java
@@ -2,15 +2,15 @@
 
 import java.time.Duration;
 
-/** Whether an attempt may be repeated. */
+/** Whether an attempt may be retried. */
 public sealed interface RetryDecision {
-    /** It may, at once. */
+    /** The attempt may be retried at once. */
     record Granted() implements RetryDecision {}
 
     /**
-     * The budget is spent.
+     * The budget is exhausted.
      *
-     * @param comeBackAfter how long the caller should wait
+     * @param comeBackAfter how long the caller should wait before it retries
      */
     record Spent(Duration comeBackAfter) implements RetryDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on repeating: a retry budget for each team and a circuit breaker for each backend server. */
+/** Limits on retries: a retry budget for each team and a circuit breaker for each backend server. */
 package org.aspenmoor.internal.retry;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/CircuitBreakerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/CircuitBreakerTest.java
@@ -19,7 +19,7 @@
         breaker = new CircuitBreaker(BreakerSettings.DEFAULT, time, new Random(3));
     }
 
-    // An engine takes requests and answers none. It looks idle and would be sent ever more.
+    // An engine accepts requests and answers none. It looks idle and would be sent more and more requests.
     @Test
     public void should_leave_an_engine_alone_that_fails_again_and_again() {
         fail(2);
@@ -54,7 +54,8 @@
         assertTrue(comeBackAfter.compareTo(Duration.ofSeconds(38)) < 0);
     }
 
-    // The entry loses sight of a trial: its caller went away. The engine must not stay closed for ever.
+    // The entry never learns the result of a trial because its caller disconnected. The breaker must not stay open
+    // forever.
     @Test
     public void should_try_again_when_a_trial_never_ends() {
         fail(3);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/RetryBudgetTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/RetryBudgetTest.java
@@ -7,8 +7,8 @@
 import org.testng.annotations.Test;
 
 public class RetryBudgetTest {
-    // Every engine fails for a while. Repeating each attempt until it works would multiply the load by the number of
-    // tries just when there is least room.
+    // Every engine fails for a while. Retrying each attempt until it succeeds would multiply the load when capacity
+    // is lowest.
     @Test
     public void should_bound_attempts_by_a_share_of_the_requests() {
         RetryBudget budget = new RetryBudget(0.1, 10, Duration.ofSeconds(1));
@@ -21,7 +21,7 @@
             }
         }
 
-        assertTrue(attempts <= 1000 + 10 + 100, "attempts " + attempts);
+        assertTrue(attempts <= 1000 + 10 + 100, "attempts: " + attempts);
     }
 
     @Test
