--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
 
 /**
  * The backend servers that are registered, as far as this process knows. Confined to one thread.
@@ -30,7 +30,7 @@
     private static final int MOST_LEAVING = 512;
 
     private final Map<String, BackendServer> servers = new LinkedHashMap<>();
-    private final Set<ServerStart> leaving = new LinkedHashSet<>();
+    private final Set<ServerIncarnation> leaving = new LinkedHashSet<>();
     private final Map<String, Long> doubtfulUntil = new LinkedHashMap<>();
     private long interruptedAt = Long.MIN_VALUE;
     private boolean interrupted;
@@ -41,9 +41,9 @@
      * stay after all; a registration that calls it ready again is older, as a store that came back from a copy tells it.
      */
     public BackendServer changed(BackendServer server) {
-        BackendServer believed = leaving.contains(ServerStart.of(server)) ? server.leaving() : server;
+        BackendServer believed = leaving.contains(ServerIncarnation.of(server)) ? server.leaving() : server;
         if (believed.state() == BackendState.DRAINING) {
-            noteLeaving(ServerStart.of(server));
+            noteLeaving(ServerIncarnation.of(server));
         }
         servers.put(server.id(), believed);
         doubtfulUntil.remove(server.id());
@@ -98,7 +98,7 @@
         return gone;
     }
 
-    private void noteLeaving(ServerStart start) {
+    private void noteLeaving(ServerIncarnation start) {
         leaving.add(start);
         if (leaving.size() > MOST_LEAVING) {
             leaving.remove(leaving.iterator().next());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 
 /**
  * What another entry said of its own part of the load.
@@ -27,7 +27,7 @@
         List<LearntSpeed> speeds,
         List<EventLength> lengths,
         List<RoleChange> changes,
-        List<ServerEnd> ends,
+        List<ServerTermination> ends,
         boolean leaving) {
     public PeerReport {
         shares = Map.copyOf(shares);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
@@ -15,21 +15,21 @@
  * Decides which requests are withheld from servers because servers that processed them terminated. Confined to one
  * thread.
  *
- * <p>A request that crashes every server that processes it is retried by its caller, at any entry, and can take
+ * <p>A request that crashes every server that processes it is sent again by its caller, at any entry, and can take
  * down server after server until no request is served. Terminations are therefore counted across all arrivals and
  * entries. A server that terminates also fails the other requests it was processing. These are told apart by their
  * answers: a request that is answered, elsewhere or shortly before, is cleared.
  */
 public final class Quarantine {
     /** Minimum number of terminations without an answer between them that is unlikely to be a coincidence. */
-    public static final int LEAST_ENDS = 2;
+    public static final int MIN_TERMINATIONS = 2;
 
     /**
      * Quarantine periods by the number of terminations beyond the first. The first periods are short for requests
      * that were on a terminating server by coincidence; after each period, one more server run shows whether the
      * request is fatal.
      */
-    static final List<Duration> TERMS = List.of(
+    static final List<Duration> QUARANTINE_PERIODS = List.of(
             Duration.ofSeconds(10),
             Duration.ofMinutes(1),
             Duration.ofMinutes(10),
@@ -43,18 +43,18 @@
      * Limits memory to a few megabytes. Each terminated server makes suspects of the requests that it was
      * processing, some dozens.
      */
-    static final int MOST_SUSPECTS = 2000;
+    static final int MAX_SUSPECTS = 2000;
 
     private final Map<RequestDigest, SuspectRequest> suspects = new HashMap<>();
     /** Requests with terminations on more than one server; most other suspects are coincidental. */
-    private final Set<RequestDigest> repeated = new LinkedHashSet<>();
+    private final Set<RequestDigest> multipleTerminations = new LinkedHashSet<>();
 
     private final Set<RequestDigest> quarantined = new HashSet<>();
     private final RecentAnswers recentAnswers = new RecentAnswers();
-    private final EndNews news = new EndNews();
+    private final TerminationReportQueue reportQueue = new TerminationReportQueue();
 
     /** Returns whether no request is known to have been on a server when it terminated. */
-    public boolean empty() {
+    public boolean isEmpty() {
         return suspects.isEmpty();
     }
 
@@ -62,10 +62,12 @@
      * Records that a server terminated while it processed a request of this entry; returns whether this is new
      * information.
      */
-    public boolean serverEnded(RequestDigest request, ServerStart server, long now) {
-        boolean isNew = add(new ServerEnd(request, server, Duration.ZERO, recentAnswers.contains(request, now)), now);
+    public boolean serverTerminated(RequestDigest request, ServerIncarnation incarnation, long nowNanos) {
+        boolean isNew = add(
+                new ServerTermination(request, incarnation, Duration.ZERO, recentAnswers.contains(request, nowNanos)),
+                nowNanos);
         if (isNew) {
-            news.add(request);
+            reportQueue.add(request);
         }
         return isNew;
     }
@@ -74,81 +76,86 @@
      * Records a termination reported by another entry or read from the store; returns whether this is new
      * information.
      */
-    public boolean heard(ServerEnd told, long now) {
-        if (told.age().compareTo(RETENTION) > 0) {
+    public boolean terminationReported(ServerTermination reported, long nowNanos) {
+        if (reported.age().compareTo(RETENTION) > 0) {
             return false;
         }
-        boolean excusedHere = !told.excused() && recentAnswers.contains(told.request(), now);
-        ServerEnd end = new ServerEnd(told.request(), told.server(), told.age(), told.excused() || excusedHere);
-        boolean isNew = add(end, now);
-        if (isNew && excusedHere) {
-            news.add(told.request());
+        boolean clearedHere = !reported.cleared() && recentAnswers.contains(reported.request(), nowNanos);
+        ServerTermination termination = new ServerTermination(
+                reported.request(), reported.incarnation(), reported.age(), reported.cleared() || clearedHere);
+        boolean isNew = add(termination, nowNanos);
+        if (isNew && clearedHere) {
+            reportQueue.add(reported.request());
         }
         return isNew;
     }
 
     /** Records that a request was answered; returns whether this clears a termination. */
-    public boolean answered(RequestDigest request, long now) {
-        recentAnswers.add(request, now);
+    public boolean requestAnswered(RequestDigest request, long nowNanos) {
+        recentAnswers.add(request, nowNanos);
         SuspectRequest suspect = suspects.get(request);
-        boolean excuses = suspect != null && suspect.answered();
-        if (excuses) {
-            news.add(request);
+        boolean clears = suspect != null && suspect.clear();
+        if (clears) {
+            reportQueue.add(request);
         }
-        return excuses;
+        return clears;
     }
 
     /** Returns the terminations to include in the next report to the other entries. */
-    public List<ServerEnd> takeNews(long now) {
-        return empty() ? List.of() : news.take(this, now);
+    public List<ServerTermination> takeNextReport(long nowNanos) {
+        return isEmpty() ? List.of() : reportQueue.takeNextReport(this, nowNanos);
     }
 
-    /** Decides whether a request may be sent to a server; {@code now} is monotonic time in nanoseconds. */
-    public Verdict verdict(RequestDigest request, long now) {
+    /** Decides whether a request may be sent to a server; {@code nowNanos} is monotonic time in nanoseconds. */
+    public QuarantineDecision decide(RequestDigest request, long nowNanos) {
         SuspectRequest suspect = suspects.get(request);
-        int ends = suspect == null ? 0 : suspect.count();
-        if (ends == 0) {
-            return new Verdict.Clear();
+        int terminations = suspect == null ? 0 : suspect.countedTerminations();
+        if (terminations == 0) {
+            return new QuarantineDecision.Clear();
         }
-        if (ends < LEAST_ENDS) {
-            return new Verdict.Suspected(ends);
+        if (terminations < MIN_TERMINATIONS) {
+            return new QuarantineDecision.Suspected(terminations);
         }
-        long left = suspect.lastAt() + term(ends).toNanos() - now;
-        return left > 0 ? new Verdict.Quarantined(ends, Duration.ofNanos(left)) : new Verdict.Suspected(ends);
+        long remainingNanos =
+                suspect.lastCountedAt() + quarantinePeriod(terminations).toNanos() - nowNanos;
+        return remainingNanos > 0
+                ? new QuarantineDecision.Quarantined(terminations, Duration.ofNanos(remainingNanos))
+                : new QuarantineDecision.Suspected(terminations);
     }
 
     /** Returns the known server terminations of a request. */
-    public List<ServerEnd> ends(RequestDigest request, long now) {
+    public List<ServerTermination> terminations(RequestDigest request, long nowNanos) {
         SuspectRequest suspect = suspects.get(request);
-        return suspect == null ? List.of() : suspect.told(now);
+        return suspect == null ? List.of() : suspect.terminations(nowNanos);
     }
 
     /** Returns the requests with terminations on more than one server, cleared or not. */
-    public List<RequestDigest> repeated() {
-        return List.copyOf(repeated);
+    public List<RequestDigest> requestsWithMultipleTerminations() {
+        return List.copyOf(multipleTerminations);
     }
 
-    /** Returns the number of requests in quarantine as of the last call of {@link #review}. */
-    public int size() {
+    /** Returns the number of requests in quarantine as of the last call of {@link #collectChanges}. */
+    public int quarantinedCount() {
         return quarantined.size();
     }
 
     /** Removes suspects whose latest termination is older than {@link #RETENTION}. */
-    public void expire(long now) {
-        suspects.values().removeIf(suspect -> now - suspect.newestAt() > RETENTION.toNanos());
-        repeated.retainAll(suspects.keySet());
+    public void expire(long nowNanos) {
+        suspects.values().removeIf(suspect -> nowNanos - suspect.lastKnownAt() > RETENTION.toNanos());
+        multipleTerminations.retainAll(suspects.keySet());
     }
 
     /** Returns the requests that entered or left quarantine since the last call. */
-    public List<QuarantineChange> review(long now) {
+    public List<QuarantineChange> collectChanges(long nowNanos) {
         List<QuarantineChange> changes = new ArrayList<>();
-        for (RequestDigest request : repeated) {
-            if (verdict(request, now) instanceof Verdict.Quarantined verdict && quarantined.add(request)) {
-                changes.add(new QuarantineChange(request, Optional.of(verdict)));
+        for (RequestDigest request : multipleTerminations) {
+            if (decide(request, nowNanos) instanceof QuarantineDecision.Quarantined decision
+                    && quarantined.add(request)) {
+                changes.add(new QuarantineChange(request, Optional.of(decision)));
             }
         }
         quarantined.removeIf(request -> {
-            boolean released = !(verdict(request, now) instanceof Verdict.Quarantined);
+            boolean released = !(decide(request, nowNanos) instanceof QuarantineDecision.Quarantined);
             if (released) {
                 changes.add(new QuarantineChange(request, Optional.empty()));
             }
@@ -157,20 +164,21 @@
         return changes;
     }
 
-    private static Duration term(int ends) {
-        return TERMS.get(Math.min(ends - LEAST_ENDS, TERMS.size() - 1));
+    private static Duration quarantinePeriod(int terminations) {
+        return QUARANTINE_PERIODS.get(Math.min(terminations - MIN_TERMINATIONS, QUARANTINE_PERIODS.size() - 1));
     }
 
-    private boolean add(ServerEnd end, long now) {
-        SuspectRequest suspect = suspects.get(end.request());
+    private boolean add(ServerTermination termination, long nowNanos) {
+        SuspectRequest suspect = suspects.get(termination.request());
         if (suspect == null) {
-            makeRoom();
-            suspect = new SuspectRequest(end.request());
-            suspects.put(end.request(), suspect);
+            evictIfFull();
+            suspect = new SuspectRequest(termination.request());
+            suspects.put(termination.request(), suspect);
         }
-        boolean isNew = suspect.add(end.server(), now - end.age().toNanos(), end.excused());
-        if (suspect.known() > 1) {
-            repeated.add(end.request());
+        boolean isNew = suspect.add(
+                termination.incarnation(), nowNanos - termination.age().toNanos(), termination.cleared());
+        if (suspect.knownTerminations() > 1) {
+            multipleTerminations.add(termination.request());
         }
         return isNew;
     }
@@ -179,20 +187,20 @@
      * Evicts the suspect with the fewest terminations, so that a caller who keeps sending new requests cannot
      * displace requests with more terminations.
      */
-    private void makeRoom() {
-        if (suspects.size() < MOST_SUSPECTS) {
+    private void evictIfFull() {
+        if (suspects.size() < MAX_SUSPECTS) {
             return;
         }
         suspects.entrySet().stream()
                 .min(Comparator.comparingInt((Map.Entry<RequestDigest, SuspectRequest> entry) ->
-                                entry.getValue().count())
-                        .thenComparingLong(entry -> entry.getValue().newestAt()))
+                                entry.getValue().countedTerminations())
+                        .thenComparingLong(entry -> entry.getValue().lastKnownAt()))
                 .map(Map.Entry::getKey)
                 .ifPresent(this::remove);
     }
 
     private void remove(RequestDigest request) {
         suspects.remove(request);
-        repeated.remove(request);
+        multipleTerminations.remove(request);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/QuarantineChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/QuarantineChange.java
@@ -6,6 +6,6 @@
  * A request entered or left quarantine.
  *
  * @param request the request
- * @param verdict the decision that put it into quarantine; empty if it left
+ * @param decision the decision that put it into quarantine; empty if it left
  */
-public record QuarantineChange(RequestDigest request, Optional<Verdict.Quarantined> verdict) {}
+public record QuarantineChange(RequestDigest request, Optional<QuarantineDecision.Quarantined> decision) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Verdict.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/QuarantineDecision.java
@@ -3,22 +3,22 @@
 import java.time.Duration;
 
 /** Whether a request may be sent to a server, based on known server terminations. */
-public sealed interface Verdict {
+public sealed interface QuarantineDecision {
     /** No server is known to have terminated while processing the request since its last answer. */
-    record Clear() implements Verdict {}
+    record Clear() implements QuarantineDecision {}
 
     /**
      * Servers terminated while processing the request; it may still be sent.
      *
-     * @param ends the number of terminations
+     * @param terminations the number of terminations
      */
-    record Suspected(int ends) implements Verdict {}
+    record Suspected(int terminations) implements QuarantineDecision {}
 
     /**
      * The request must not be sent to any server.
      *
-     * @param ends the number of server terminations
-     * @param left the remaining quarantine time
+     * @param terminations the number of server terminations
+     * @param remaining the remaining quarantine time
      */
-    record Quarantined(int ends, Duration left) implements Verdict {}
+    record Quarantined(int terminations, Duration remaining) implements QuarantineDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
@@ -7,27 +7,27 @@
 /** Requests that were answered recently. Confined to one thread. */
 final class RecentAnswers {
     /** A request that was answered within this time does not terminate every server that processes it. */
-    static final Duration TIME = Duration.ofMinutes(1);
+    static final Duration RETENTION = Duration.ofMinutes(1);
 
-    /** More than an entry answers within {@link #TIME}; a few hundred kilobytes. */
-    static final int MOST_KEPT = 4096;
+    /** More than an entry answers within {@link #RETENTION}; a few hundred kilobytes. */
+    static final int MAX_ANSWERS = 4096;
 
-    private final Map<RequestDigest, Long> answeredAt = new LinkedHashMap<>() {
+    private final Map<RequestDigest, Long> answeredAtNanos = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<RequestDigest, Long> eldest) {
-            return size() > MOST_KEPT;
+            return size() > MAX_ANSWERS;
         }
     };
 
-    void add(RequestDigest request, long now) {
-        answeredAt.remove(request);
-        answeredAt.put(request, now);
+    void add(RequestDigest request, long nowNanos) {
+        answeredAtNanos.remove(request);
+        answeredAtNanos.put(request, nowNanos);
     }
 
-    boolean contains(RequestDigest request, long now) {
-        Long at = answeredAt.get(request);
-        return at != null && now - at <= TIME.toNanos();
+    boolean contains(RequestDigest request, long nowNanos) {
+        Long lastAnsweredAt = answeredAtNanos.get(request);
+        return lastAnsweredAt != null && nowNanos - lastAnsweredAt <= RETENTION.toNanos();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RequestDigest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RequestDigest.java
@@ -21,14 +21,14 @@
         return new RequestDigest(buffer.getLong(), buffer.getLong());
     }
 
-    /** Parses the output of {@link #text()}; empty if the text is not a digest. */
+    /** Parses the output of {@link #hex()}; empty if the text is not a digest. */
     public static Optional<RequestDigest> parse(String text) {
         if (text.length() != 2 * BYTES) {
             return Optional.empty();
         }
         try {
             return Optional.of(of(HexFormat.of().parseHex(text)));
-        } catch (IllegalArgumentException noHexadecimalDigits) {
+        } catch (IllegalArgumentException notHexadecimal) {
             return Optional.empty();
         }
     }
@@ -39,7 +39,7 @@
     }
 
     /** Returns the digest as hexadecimal digits. */
-    public String text() {
+    public String hex() {
         return HexFormat.of().formatHex(bytes());
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerStart.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerIncarnation.java
@@ -5,12 +5,12 @@
 /**
  * One incarnation of a backend server. A server that restarts under the same ID can terminate again.
  *
- * @param server the server's ID
+ * @param serverId the server's ID
  * @param startedAt start time in milliseconds since 1970
  */
-public record ServerStart(String server, long startedAt) {
+public record ServerIncarnation(String serverId, long startedAt) {
     /** Returns the incarnation that a registration describes. */
-    public static ServerStart of(BackendServer server) {
-        return new ServerStart(server.id(), server.startedAt());
+    public static ServerIncarnation of(BackendServer server) {
+        return new ServerIncarnation(server.id(), server.startedAt());
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerEnd.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/ServerTermination.java
@@ -6,8 +6,8 @@
  * The termination of a server while it had a request, as entries report it to each other.
  *
  * @param request the request
- * @param server the incarnation of the server that terminated
+ * @param incarnation the incarnation of the server that terminated
  * @param age time since the termination
- * @param excused whether the request has been answered since, so that the termination no longer counts against it
+ * @param cleared whether the request has been answered since, so that the termination no longer counts against it
  */
-public record ServerEnd(RequestDigest request, ServerStart server, Duration age, boolean excused) {}
+public record ServerTermination(RequestDigest request, ServerIncarnation incarnation, Duration age, boolean cleared) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/SuspectRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/SuspectRequest.java
@@ -10,10 +10,10 @@
 /** The server terminations of one request. Confined to one thread. */
 final class SuspectRequest {
     /** Far more than a decision needs; the oldest are evicted first. */
-    private static final int MOST_KEPT = 12;
+    private static final int MAX_TERMINATIONS = 12;
 
     private final RequestDigest digest;
-    private final Map<ServerStart, KnownEnd> ends = new LinkedHashMap<>();
+    private final Map<ServerIncarnation, KnownTermination> terminations = new LinkedHashMap<>();
 
     SuspectRequest(RequestDigest digest) {
         this.digest = digest;
@@ -24,63 +24,72 @@
      * reported later. Of two times the earlier is kept, so that a termination does not become more recent as it
      * passes from entry to entry.
      */
-    boolean add(ServerStart server, long at, boolean excused) {
-        KnownEnd known = ends.get(server);
+    boolean add(ServerIncarnation incarnation, long atNanos, boolean cleared) {
+        KnownTermination known = terminations.get(incarnation);
         if (known == null) {
-            ends.put(server, new KnownEnd(at, excused));
-            dropOldest();
+            terminations.put(incarnation, new KnownTermination(atNanos, cleared));
+            evictOldest();
             return true;
         }
-        ends.put(server, new KnownEnd(Math.min(known.at(), at), known.excused() || excused));
-        return excused && !known.excused();
+        terminations.put(
+                incarnation, new KnownTermination(Math.min(known.atNanos(), atNanos), known.cleared() || cleared));
+        return cleared && !known.cleared();
     }
 
     /** Records that the request was answered; returns whether this clears a termination. */
-    boolean answered() {
-        boolean news = count() > 0;
-        ends.replaceAll((server, end) -> new KnownEnd(end.at(), true));
-        return news;
+    boolean clear() {
+        boolean clears = countedTerminations() > 0;
+        terminations.replaceAll((incarnation, termination) -> new KnownTermination(termination.atNanos(), true));
+        return clears;
     }
 
     /** Returns the number of known terminations, cleared or not. */
-    int known() {
-        return ends.size();
+    int knownTerminations() {
+        return terminations.size();
     }
 
     /** Returns the number of terminations that count against the request. */
-    int count() {
-        return (int) ends.values().stream().filter(end -> !end.excused()).count();
+    int countedTerminations() {
+        return (int) terminations.values().stream()
+                .filter(termination -> !termination.cleared())
+                .count();
     }
 
     /** Returns the time of the latest termination that counts against the request, in nanoseconds. */
-    long lastAt() {
-        return ends.values().stream()
-                .filter(end -> !end.excused())
-                .mapToLong(KnownEnd::at)
+    long lastCountedAt() {
+        return terminations.values().stream()
+                .filter(termination -> !termination.cleared())
+                .mapToLong(KnownTermination::atNanos)
                 .max()
                 .orElse(Long.MIN_VALUE);
     }
 
     /** Returns the time of the latest termination, cleared or not, in nanoseconds. */
-    long newestAt() {
-        return ends.values().stream().mapToLong(KnownEnd::at).max().orElse(Long.MIN_VALUE);
+    long lastKnownAt() {
+        return terminations.values().stream()
+                .mapToLong(KnownTermination::atNanos)
+                .max()
+                .orElse(Long.MIN_VALUE);
     }
 
-    List<ServerEnd> told(long now) {
-        List<ServerEnd> told = new ArrayList<>();
-        ends.forEach((server, end) ->
-                told.add(new ServerEnd(digest, server, Duration.ofNanos(Math.max(0, now - end.at())), end.excused())));
-        return told;
+    List<ServerTermination> terminations(long nowNanos) {
+        List<ServerTermination> copies = new ArrayList<>();
+        terminations.forEach((incarnation, termination) -> copies.add(new ServerTermination(
+                digest,
+                incarnation,
+                Duration.ofNanos(Math.max(0, nowNanos - termination.atNanos())),
+                termination.cleared())));
+        return copies;
     }
 
-    private void dropOldest() {
-        if (ends.size() > MOST_KEPT) {
-            ends.entrySet().stream()
-                    .min(Comparator.comparingLong(entry -> entry.getValue().at()))
+    private void evictOldest() {
+        if (terminations.size() > MAX_TERMINATIONS) {
+            terminations.entrySet().stream()
+                    .min(Comparator.comparingLong(entry -> entry.getValue().atNanos()))
                     .map(Map.Entry::getKey)
-                    .ifPresent(ends::remove);
+                    .ifPresent(terminations::remove);
         }
     }
 
-    private record KnownEnd(long at, boolean excused) {}
+    private record KnownTermination(long atNanos, boolean cleared) {}
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/RequestDigestTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/RequestDigestTest.java
@@ -7,15 +7,15 @@
 
 public class RequestDigestTest {
     @Test
-    public void should_read_what_it_writes() {
+    public void should_restore_a_digest_when_parsing_its_own_output() {
         RequestDigest digest = new RequestDigest(-17, 4_711);
 
-        assertEquals(RequestDigest.parse(digest.text()), Optional.of(digest));
+        assertEquals(RequestDigest.parse(digest.hex()), Optional.of(digest));
         assertEquals(RequestDigest.of(digest.bytes()), digest);
     }
 
     @Test
-    public void should_take_no_other_text_for_a_digest() {
+    public void should_return_empty_when_the_text_is_not_a_digest() {
         assertEquals(RequestDigest.parse(""), Optional.empty());
         assertEquals(RequestDigest.parse("0123"), Optional.empty());
         assertEquals(RequestDigest.parse("zz".repeat(RequestDigest.BYTES)), Optional.empty());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -39,8 +39,8 @@
 import org.aspenmoor.internal.gateway.peers.PeerExchange;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CallerProtocol;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequestKeeper;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestSynchroniser;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 import org.aspenmoor.internal.gateway.request.GatewayMetrics;
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
 import org.aspenmoor.internal.gateway.request.RequestTools;
@@ -77,7 +77,7 @@
     private final ServingState state;
     private final BackendConnections connections;
     private final WaitingRequests lines;
-    private final FatalRequests fatalRequests;
+    private final FatalRequestTracker fatalRequests;
     private final RequestDispatcher dispatcher;
     private final CallerServer callers;
     private final GracefulStop stop;
@@ -104,13 +104,13 @@
         this.state = new ServingState(time, random, settings.repeats(), log, settings.placement());
         this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
         this.lines = new WaitingRequests(time, eventLoop);
-        this.fatalRequests = new FatalRequests(time, log);
+        this.fatalRequests = new FatalRequestTracker(time, log);
         RequestTools tools = new RequestTools(
                 state,
                 connections,
                 backendProtocol,
                 eventLoop,
-                new GatewayMetrics(registry, connections::opened, state::servers, fatalRequests::quarantined),
+                new GatewayMetrics(registry, connections::opened, state::servers, fatalRequests::quarantinedCount),
                 lines,
                 fatalRequests);
         this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.mostBodyBytes());
@@ -133,8 +133,8 @@
                 storeSettings,
                 ObjectKind.BACKEND_SERVER,
                 new ServerListener(decoder, state, connections, eventLoop, time, log, store::generation));
-        FatalRequestKeeper keeper =
-                new FatalRequestKeeper(store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
+        FatalRequestSynchroniser keeper = new FatalRequestSynchroniser(
+                store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
         follow(store, storeSettings, ObjectKind.FATAL_REQUEST, keeper);
         keeper.start();
         GaugeWithCallback.builder()
@@ -218,7 +218,7 @@
 
     private void heard(PeerReport report) {
         state.peerHeard(report, time.monotonicNanoseconds());
-        fatalRequests.heard(report.ends(), report.entry());
+        fatalRequests.terminationsReported(report.ends(), report.entry());
     }
 
     private void tellPeers() {
@@ -228,7 +228,7 @@
                 state.learntSpeeds(),
                 state.eventLengths(),
                 state.roleChanges(),
-                fatalRequests.takeNews(),
+                fatalRequests.takeNextReport(),
                 stop.begun());
         eventLoop.schedule(this::tellPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
     }
@@ -236,7 +236,7 @@
     private void check() {
         long now = time.monotonicNanoseconds();
         state.expirePeers(now);
-        fatalRequests.check();
+        fatalRequests.expire();
         state.samplePressure(lines::anyFor);
         state.takeUnlistedEngines().forEach(this::askCache);
         state.expireServers(now).forEach(connections::forget);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import org.aspenmoor.internal.gateway.backend.BackendConnections;
 import org.aspenmoor.internal.gateway.caller.CallerServer;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 import org.aspenmoor.internal.gateway.request.ServingState;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.ServerSummary;
@@ -21,7 +21,7 @@
     private final CallerServer callers;
     private final BackendConnections connections;
     private final GracefulStop stop;
-    private final FatalRequests fatalRequests;
+    private final FatalRequestTracker fatalRequests;
 
     StateDump(
             String process,
@@ -29,7 +29,7 @@
             CallerServer callers,
             BackendConnections connections,
             GracefulStop stop,
-            FatalRequests fatalRequests) {
+            FatalRequestTracker fatalRequests) {
         this.process = process;
         this.state = state;
         this.callers = callers;
@@ -50,7 +50,7 @@
         dump.put("callerConnections", callers.open());
         dump.put("requests", callers.serving());
         dump.put("connectionsOpened", connections.opened());
-        dump.put("quarantinedRequests", fatalRequests.quarantined());
+        dump.put("quarantinedRequests", fatalRequests.quarantinedCount());
         ArrayNode servers = dump.putArray("servers");
         state.servers().forEach(server -> describe(server, servers.addObject()));
         return dump;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
@@ -18,8 +18,8 @@
 import org.aspenmoor.internal.serving.PromptPart;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.wire.v1.PeerLoad;
 
 /** Converts reports to datagrams and back. */
@@ -66,24 +66,24 @@
         return message.build().toByteArray();
     }
 
-    private static PeerLoad.End write(ServerEnd end) {
+    private static PeerLoad.End write(ServerTermination end) {
         return PeerLoad.End.newBuilder()
                 .setRequest(ByteString.copyFrom(end.request().bytes()))
-                .setServer(end.server().server())
-                .setStartedAt(end.server().startedAt())
+                .setServer(end.incarnation().serverId())
+                .setStartedAt(end.incarnation().startedAt())
                 .setAgeMilliseconds((int) end.age().toMillis())
-                .setExcused(end.excused())
+                .setExcused(end.cleared())
                 .build();
     }
 
-    private static List<ServerEnd> readEnds(PeerLoad message) {
-        List<ServerEnd> ends = new ArrayList<>();
+    private static List<ServerTermination> readEnds(PeerLoad message) {
+        List<ServerTermination> ends = new ArrayList<>();
         for (PeerLoad.End end : message.getEndsList()) {
             if (end.getRequest().size() == RequestDigest.BYTES) {
                 RequestDigest request = RequestDigest.of(end.getRequest().toByteArray());
-                ServerStart server = new ServerStart(end.getServer(), end.getStartedAt());
+                ServerIncarnation server = new ServerIncarnation(end.getServer(), end.getStartedAt());
                 Duration age = Duration.ofMillis(Integer.toUnsignedLong(end.getAgeMilliseconds()));
-                ends.add(new ServerEnd(request, server, age, end.getExcused()));
+                ends.add(new ServerTermination(request, server, age, end.getExcused()));
             }
         }
         return ends;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -26,7 +26,7 @@
 import org.aspenmoor.internal.serving.PeerShare;
 import org.aspenmoor.internal.serving.PlacedPrompt;
 import org.aspenmoor.internal.serving.RoleChange;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
@@ -95,7 +95,7 @@
             List<LearntSpeed> speeds,
             List<EventLength> lengths,
             List<RoleChange> changes,
-            List<ServerEnd> ends,
+            List<ServerTermination> ends,
             boolean leaving) {
         sequence++;
         byte[] datagram = PeerCodec.write(
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.StoreMalformedException;
@@ -27,37 +27,37 @@
     private FatalRequestCodec() {}
 
     static ObjectKey key(RequestDigest request) {
-        return new ObjectKey(ObjectKind.FATAL_REQUEST, ObjectKey.PLATFORM_NAMESPACE, request.text());
+        return new ObjectKey(ObjectKind.FATAL_REQUEST, ObjectKey.PLATFORM_NAMESPACE, request.hex());
     }
 
     /** Serialises terminations; times are in milliseconds since 1970. */
-    static String write(List<ServerEnd> ends, long timeOfDay) {
+    static String serialise(List<ServerTermination> terminations, long timeOfDayMillis) {
         ObjectNode root = MAPPER.createObjectNode();
         ArrayNode array = root.putArray(ENDS);
-        for (ServerEnd end : ends) {
+        for (ServerTermination termination : terminations) {
             array.addObject()
-                    .put(SERVER, end.server().server())
-                    .put(STARTED_AT, end.server().startedAt())
-                    .put(ENDED_AT, timeOfDay - end.age().toMillis())
-                    .put(EXCUSED, end.excused());
+                    .put(SERVER, termination.incarnation().serverId())
+                    .put(STARTED_AT, termination.incarnation().startedAt())
+                    .put(ENDED_AT, timeOfDayMillis - termination.age().toMillis())
+                    .put(EXCUSED, termination.cleared());
         }
         return root.toString();
     }
 
-    static List<ServerEnd> read(StoredObject object, long timeOfDay) throws StoreMalformedException {
+    static List<ServerTermination> parse(StoredObject object, long timeOfDayMillis) throws StoreMalformedException {
         String name = object.key().name();
         RequestDigest request = RequestDigest.parse(name)
                 .orElseThrow(() -> new StoreMalformedException(
                         "The object's name is not a request digest.",
                         object.key().toString(),
                         "Delete the object."));
-        List<ServerEnd> ends = new ArrayList<>();
-        for (StoredFields end : StoredFields.of(object).objects(ENDS)) {
-            ServerStart server = new ServerStart(end.text(SERVER), end.number(STARTED_AT));
+        List<ServerTermination> terminations = new ArrayList<>();
+        for (StoredFields fields : StoredFields.of(object).objects(ENDS)) {
+            ServerIncarnation incarnation = new ServerIncarnation(fields.text(SERVER), fields.number(STARTED_AT));
             // Clocks differ by seconds; a termination in the future counts as just now.
-            Duration age = Duration.ofMillis(Math.max(0, timeOfDay - end.number(ENDED_AT)));
-            ends.add(new ServerEnd(request, server, age, end.truth(EXCUSED)));
+            Duration age = Duration.ofMillis(Math.max(0, timeOfDayMillis - fields.number(ENDED_AT)));
+            terminations.add(new ServerTermination(request, incarnation, age, fields.truth(EXCUSED)));
         }
-        return ends;
+        return terminations;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestSynchroniser.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.gateway.log.DependencyLog;
 import org.aspenmoor.internal.serving.quarantine.Quarantine;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.store.ObjectStore;
 import org.aspenmoor.internal.store.StoreConflictException;
 import org.aspenmoor.internal.store.StoreException;
@@ -31,50 +31,50 @@
  * an older copy. As all entries know nearly the same, each waits for a random time before it writes and mostly
  * finds that another entry has already written. An entry that observed a termination itself does not wait.
  */
-public final class FatalRequestKeeper implements CollectionListener {
+public final class FatalRequestSynchroniser implements CollectionListener {
     /**
      * Maximum random delay before a write. Within it one of the entries writes; the others receive the update from
      * the store.
      */
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAX_WRITE_DELAY = Duration.ofSeconds(1);
 
     /** Delay after a failed attempt, so that an unavailable store is not overloaded with retries. */
-    private static final Duration PAUSE = Duration.ofMillis(500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
     /** Prevents a caller who keeps sending new fatal requests from filling the store. */
-    private static final int MOST_STORED = 500;
+    private static final int MAX_STORED = 500;
 
     /** Exceeds the clock differences between entries, so that no entry rewrites what another has just deleted. */
-    private static final Duration DELETED_AFTER = Quarantine.RETENTION.plusMinutes(1);
+    private static final Duration DELETE_AFTER = Quarantine.RETENTION.plusMinutes(1);
 
     private final ObjectStore store;
-    private final FatalRequests requests;
-    private final Runnable known;
+    private final FatalRequestTracker tracker;
+    private final Runnable onSynchronised;
     private final Executor eventLoop;
     private final TimeSource time;
     private final RandomGenerator random;
     private final DecisionLog log;
     private final DependencyLog dependency;
-    private final Map<RequestDigest, StoredObject> stored = new ConcurrentHashMap<>();
+    private final Map<RequestDigest, StoredObject> storedObjects = new ConcurrentHashMap<>();
     private final Semaphore changes = new Semaphore(0);
-    private final Semaphore ownEnds = new Semaphore(0);
+    private final Semaphore ownTerminations = new Semaphore(0);
 
     /**
      * Creates a synchroniser.
      *
-     * @param known runs on the event loop after everything in the store has been read
+     * @param onSynchronised runs on the event loop after everything in the store has been read
      */
-    public FatalRequestKeeper(
+    public FatalRequestSynchroniser(
             ObjectStore store,
-            FatalRequests requests,
-            Runnable known,
+            FatalRequestTracker tracker,
+            Runnable onSynchronised,
             Executor eventLoop,
             TimeSource time,
             RandomGenerator random,
             DecisionLog log) {
         this.store = store;
-        this.requests = requests;
-        this.known = known;
+        this.tracker = tracker;
+        this.onSynchronised = onSynchronised;
         this.eventLoop = eventLoop;
         this.time = time;
         this.random = random;
@@ -84,17 +84,17 @@
 
     /** Starts the worker thread. */
     public void start() {
-        requests.onChange(this::changedHere);
+        tracker.setChangeListener(this::localChange);
         Thread.ofPlatform().daemon().name("fatal-requests").start(this::run);
     }
 
     @Override
     public void changed(StoredObject object) {
         try {
-            List<ServerEnd> ends = FatalRequestCodec.read(object, timeOfDay());
-            if (!ends.isEmpty()) {
-                stored.put(ends.getFirst().request(), object);
-                eventLoop.execute(() -> requests.heard(ends, "the store"));
+            List<ServerTermination> terminations = FatalRequestCodec.parse(object, timeOfDayMillis());
+            if (!terminations.isEmpty()) {
+                storedObjects.put(terminations.getFirst().request(), object);
+                eventLoop.execute(() -> tracker.terminationsReported(terminations, "the store"));
             }
         } catch (StoreMalformedException malformed) {
             // Other processes may write such objects. What this entry knows stays valid.
@@ -107,14 +107,14 @@
 
     @Override
     public void deleted(StoredObject object) {
-        RequestDigest.parse(object.key().name()).ifPresent(stored::remove);
+        RequestDigest.parse(object.key().name()).ifPresent(storedObjects::remove);
         changes.release();
     }
 
     @Override
     public void synchronised() {
         dependency.back();
-        eventLoop.execute(known);
+        eventLoop.execute(onSynchronised);
         changes.release();
     }
 
@@ -123,9 +123,9 @@
         dependency.lost(cause.problem());
     }
 
-    private void changedHere(boolean ownRun) {
-        if (ownRun) {
-            ownEnds.release();
+    private void localChange(boolean observedHere) {
+        if (observedHere) {
+            ownTerminations.release();
         }
         changes.release();
     }
@@ -134,39 +134,40 @@
         try {
             while (true) {
                 changes.acquire();
-                awaitTurn();
-                if (!step()) {
+                awaitWriteDelay();
+                if (!updateStore()) {
                     changes.release();
-                    TimeUnit.NANOSECONDS.sleep(PAUSE.toNanos());
+                    TimeUnit.NANOSECONDS.sleep(RETRY_DELAY.toNanos());
                 }
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** An entry that observed a termination itself writes at once, since it may fail at any moment. */
-    private void awaitTurn() throws InterruptedException {
-        long wait = (long) (random.nextDouble() * LONGEST_WAIT.toNanos());
-        if (ownEnds.tryAcquire(wait, TimeUnit.NANOSECONDS)) {
-            ownEnds.drainPermits();
+    private void awaitWriteDelay() throws InterruptedException {
+        long delayNanos = (long) (random.nextDouble() * MAX_WRITE_DELAY.toNanos());
+        if (ownTerminations.tryAcquire(delayNanos, TimeUnit.NANOSECONDS)) {
+            ownTerminations.drainPermits();
         }
         changes.drainPermits();
     }
 
     /** Writes what the store lacks and deletes what has expired there; returns whether this succeeded. */
-    boolean step() {
-        Map<RequestDigest, List<ServerEnd>> repeated =
-                CompletableFuture.supplyAsync(requests::repeated, eventLoop).join();
+    boolean updateStore() {
+        Map<RequestDigest, List<ServerTermination>> toStore = CompletableFuture.supplyAsync(
+                        tracker::terminationsToStore, eventLoop)
+                .join();
         try {
-            for (Map.Entry<RequestDigest, List<ServerEnd>> entry : repeated.entrySet()) {
+            for (Map.Entry<RequestDigest, List<ServerTermination>> entry : toStore.entrySet()) {
                 write(entry.getKey(), entry.getValue());
             }
-            for (StoredObject object : List.copyOf(stored.values())) {
-                deleteIfOld(object);
+            for (StoredObject object : List.copyOf(storedObjects.values())) {
+                deleteIfExpired(object);
             }
             return true;
-        } catch (StoreConflictException other) {
+        } catch (StoreConflictException conflict) {
             // Another entry has just written. The watch delivers its update, which is then compared again.
             return false;
         } catch (StoreException failure) {
@@ -177,43 +178,44 @@
         }
     }
 
-    private void write(RequestDigest request, List<ServerEnd> ends) throws StoreException {
-        StoredObject before = stored.get(request);
-        List<ServerEnd> there = before == null ? List.of() : FatalRequestCodec.read(before, timeOfDay());
-        EndUnion union = new EndUnion(there, ends);
-        if (!union.worthWriting()) {
+    private void write(RequestDigest request, List<ServerTermination> local) throws StoreException {
+        StoredObject storedObject = storedObjects.get(request);
+        List<ServerTermination> stored =
+                storedObject == null ? List.of() : FatalRequestCodec.parse(storedObject, timeOfDayMillis());
+        TerminationMerge merge = new TerminationMerge(stored, local);
+        if (!merge.needsWrite()) {
             return;
         }
-        String value = FatalRequestCodec.write(union.ends(), timeOfDay());
-        if (before == null) {
+        String value = FatalRequestCodec.serialise(merge.terminations(), timeOfDayMillis());
+        if (storedObject == null) {
             create(request, value);
         } else {
-            stored.put(request, store.update(before, value));
+            storedObjects.put(request, store.update(storedObject, value));
         }
     }
 
     private void create(RequestDigest request, String value) throws StoreException {
-        if (stored.size() >= MOST_STORED) {
+        if (storedObjects.size() >= MAX_STORED) {
             log.notable("fatal-request-not-stored")
-                    .with("digest", request.text())
-                    .with("reason", MOST_STORED + " requests are stored, which is the maximum")
+                    .with("digest", request.hex())
+                    .with("reason", MAX_STORED + " requests are stored, which is the maximum")
                     .write();
             return;
         }
-        stored.put(request, store.create(FatalRequestCodec.key(request), value));
-        log.notable("fatal-request-stored").with("digest", request.text()).write();
+        storedObjects.put(request, store.create(FatalRequestCodec.key(request), value));
+        log.notable("fatal-request-stored").with("digest", request.hex()).write();
     }
 
-    private void deleteIfOld(StoredObject object) throws StoreException {
-        boolean old = FatalRequestCodec.read(object, timeOfDay()).stream()
-                .allMatch(end -> end.age().compareTo(DELETED_AFTER) > 0);
-        if (old) {
+    private void deleteIfExpired(StoredObject object) throws StoreException {
+        boolean expired = FatalRequestCodec.parse(object, timeOfDayMillis()).stream()
+                .allMatch(termination -> termination.age().compareTo(DELETE_AFTER) > 0);
+        if (expired) {
             store.delete(object);
-            RequestDigest.parse(object.key().name()).ifPresent(stored::remove);
+            RequestDigest.parse(object.key().name()).ifPresent(storedObjects::remove);
         }
     }
 
-    private long timeOfDay() {
+    private long timeOfDayMillis() {
         return time.timeOfDay().toEpochMilli();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTools.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTools.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import org.aspenmoor.internal.gateway.backend.BackendConnections;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 
 /**
  * What every request needs to do its work.
@@ -23,4 +23,4 @@
         EventLoop eventLoop,
         GatewayMetrics metrics,
         WaitingRequests lines,
-        FatalRequests fatalRequests) {}
+        FatalRequestTracker fatalRequests) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import java.util.Optional;
 import org.aspenmoor.internal.gateway.caller.IncomingRequest;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.PlacedWork;
 import org.aspenmoor.internal.serving.quarantine.Quarantine;
+import org.aspenmoor.internal.serving.quarantine.QuarantineDecision;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
-import org.aspenmoor.internal.serving.quarantine.Verdict;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
 
 /** What the ends of servers say of one request, and what its own runs add to that. Confined to the event loop. */
 final class ServerEnds {
@@ -17,7 +17,7 @@
     private static final Duration LONGEST_FATAL_RUN = Duration.ofSeconds(1);
 
     private final RequestTools tools;
-    private final FatalRequests known;
+    private final FatalRequestTracker known;
     private final String request;
     private final String service;
     private final IncomingRequest incoming;
@@ -37,13 +37,13 @@
     /** Returns for how long the request is kept from servers, and notes that it is; empty where it may run. */
     Optional<Duration> quarantined() {
         return switch (verdict()) {
-            case Verdict.Clear clear -> Optional.empty();
-            case Verdict.Suspected suspected -> Optional.empty();
-            case Verdict.Quarantined quarantined -> {
+            case QuarantineDecision.Clear clear -> Optional.empty();
+            case QuarantineDecision.Suspected suspected -> Optional.empty();
+            case QuarantineDecision.Quarantined quarantined -> {
                 tools.metrics().quarantined(service);
-                trace.because("it ends the servers that run it, " + quarantined.ends() + " so far; digest "
-                        + digest().text());
-                yield Optional.of(quarantined.left());
+                trace.because("it ends the servers that run it, " + quarantined.terminations() + " so far; digest "
+                        + digest().hex());
+                yield Optional.of(quarantined.remaining());
             }
         };
     }
@@ -51,15 +51,16 @@
     /** Returns whether the request may go to one more server at once, given the ends that are not confirmed yet. */
     boolean mayRepeat() {
         return switch (verdict()) {
-            case Verdict.Clear clear -> unconfirmed < Quarantine.LEAST_ENDS;
-            case Verdict.Suspected suspected -> suspected.ends() + unconfirmed < Quarantine.LEAST_ENDS;
-            case Verdict.Quarantined quarantined -> false;
+            case QuarantineDecision.Clear clear -> unconfirmed < Quarantine.MIN_TERMINATIONS;
+            case QuarantineDecision.Suspected suspected ->
+                suspected.terminations() + unconfirmed < Quarantine.MIN_TERMINATIONS;
+            case QuarantineDecision.Quarantined quarantined -> false;
         };
     }
 
     /** Notes that the request was answered. */
     void answered() {
-        known.answered(digest());
+        known.requestAnswered(digest());
     }
 
     /** Returns the request's digest, made when it is first needed. */
@@ -82,8 +83,8 @@
         tools.connections().probe(server, ended -> probed(run, ended));
     }
 
-    private Verdict verdict() {
-        return known.empty() ? new Verdict.Clear() : known.verdict(digest());
+    private QuarantineDecision verdict() {
+        return known.isEmpty() ? new QuarantineDecision.Clear() : known.decide(digest());
     }
 
     private void probed(BrokenRun run, boolean ended) {
@@ -96,7 +97,7 @@
         tools.metrics().serverEnded(server.service(), planned);
         write(run, planned);
         if (!planned && run.told().compareTo(LONGEST_FATAL_RUN) <= 0) {
-            known.serverEnded(run.digest(), ServerStart.of(server));
+            known.serverTerminated(run.digest(), ServerIncarnation.of(server));
         }
     }
 
@@ -108,7 +109,7 @@
                 .log()
                 .notable("server-ended")
                 .with("request", run.request())
-                .with("digest", run.digest().text())
+                .with("digest", run.digest().hex())
                 .with("service", server.service())
                 .with("server", server.id())
                 .with("startedAt", server.startedAt())
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -29,8 +29,8 @@
 import org.aspenmoor.internal.serving.PromptPart;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.store.InMemoryObjectStore;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.time.SystemTimeSource;
@@ -50,8 +50,11 @@
     private static final List<LearntSpeed> SPEEDS =
             List.of(new LearntSpeed("drafting", EngineRole.DECODE, 0.25, 0.015625));
 
-    private static final List<ServerEnd> ENDS = List.of(new ServerEnd(
-            new RequestDigest(-1, 5), new ServerStart("server", 1_786_504_654_297L), Duration.ofMillis(250), true));
+    private static final List<ServerTermination> ENDS = List.of(new ServerTermination(
+            new RequestDigest(-1, 5),
+            new ServerIncarnation("server", 1_786_504_654_297L),
+            Duration.ofMillis(250),
+            true));
 
     private NioEventLoopGroup group;
     private DecisionLog log;
