--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
@@ -22,9 +22,9 @@
 import org.aspenmoor.internal.serving.PeerReport;
 import org.aspenmoor.internal.serving.PlacementSettings;
 import org.aspenmoor.internal.serving.RoleChange;
-import org.aspenmoor.internal.serving.roles.LoadFollower;
-import org.aspenmoor.internal.serving.roles.RoleBalance;
-import org.aspenmoor.internal.serving.roles.RoleMove;
+import org.aspenmoor.internal.serving.roles.LoadBasedRolePolicy;
+import org.aspenmoor.internal.serving.roles.PlannedRoleChange;
+import org.aspenmoor.internal.serving.roles.RoleRatioPolicy;
 
 /** One day of one customer, replayed. */
 public final class ReplayRun implements Callers {
@@ -68,8 +68,8 @@
     private final IdentityHashMap<CallerAsk, AskOutcome> outcomes = new IdentityHashMap<>();
     private final List<AskOutcome> ordered = new ArrayList<>();
     private final List<DayPoint> points = new ArrayList<>();
-    private final RoleBalance balance = new RoleBalance();
-    private final LoadFollower follower = new LoadFollower();
+    private final RoleRatioPolicy balance = new RoleRatioPolicy();
+    private final LoadBasedRolePolicy follower = new LoadBasedRolePolicy();
 
     public ReplayRun(Customer customer, LoadDay day, long seed, Set<Mechanism> off) {
         this.customer = customer;
@@ -114,7 +114,7 @@
             servers.add(server(index, EngineRole.PREFILL));
         }
         // The engines had their roles before the traffic came.
-        for (RoleMove move : balance.moves(servers, true)) {
+        for (PlannedRoleChange move : balance.plannedChanges(servers, true)) {
             int index = servers.indexOf(move.server());
             servers.set(index, server(index, move.role()));
         }
@@ -194,12 +194,12 @@
                 .map(ModelEngine::server)
                 .toList();
         if (!off.contains(Mechanism.ROLE_MOVES)) {
-            List<RoleMove> moves = balance.moves(present, false);
+            List<PlannedRoleChange> moves = balance.plannedChanges(present, false);
             moves.forEach(this::order);
             if (moves.isEmpty() && !off.contains(Mechanism.LOAD_FOLLOWING)) {
-                follower.move(entries.getFirst().serviceLoad()).ifPresent(move -> {
+                follower.nextChange(entries.getFirst().serviceLoad()).ifPresent(move -> {
                     order(move);
-                    follower.changed();
+                    follower.changeAccepted();
                 });
             }
         }
@@ -207,7 +207,7 @@
         loop.after(ROLE_LOOK_SECONDS, this::lookAtRoles);
     }
 
-    private void order(RoleMove move) {
+    private void order(PlannedRoleChange move) {
         RoleChange change = new RoleChange(move.server().id(), move.role());
         engines.get(change.server()).order(change.role());
         entries.forEach(entry -> loop.after(REPORT_SECONDS, () -> entry.changing(change)));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderRight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderLease.java
@@ -25,48 +25,49 @@
  *
  * <p>A store that was restored from an older copy may have lost the record of a holder that still gives orders. A
  * missing record therefore has to stay unchanged for as long as one that was just written, a lease from an earlier
- * generation of the store's history is void, and fencing numbers start higher in each generation, regardless of which process remembers the last one.
+ * generation of the store's history is void, and fencing numbers start higher in each generation, regardless of
+ * which process remembers the last one.
  *
  * <p>Used by one thread only; its calls block.
  */
-public final class OrderRight {
+public final class OrderLease {
     /** How long after its write a holder may give orders; an order takes a few milliseconds. */
-    static final Duration WINDOW = Duration.ofSeconds(2);
+    static final Duration VALIDITY = Duration.ofSeconds(2);
 
     /**
-     * How long the record must be unchanged before another process may acquire the lease: the window, the three
+     * How long the record must be unchanged before another process may acquire the lease: {@link #VALIDITY}, the three
      * seconds that engines require between two holders, and one second for the delivery of the last order.
      */
-    static final Duration SETTLED = Duration.ofSeconds(6);
+    static final Duration TAKEOVER_DELAY = Duration.ofSeconds(6);
 
     /**
      * Difference between the elapsed times of the wall clock and the monotonic clock above which the process is
      * assumed to have been suspended.
      */
-    private static final Duration SUSPENDED = Duration.ofMillis(200);
+    private static final Duration SUSPENSION_THRESHOLD = Duration.ofMillis(200);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String HOLDER = "holder";
-    private static final String TERM = "term";
-    private static final String MISSING = "missing in generation ";
+    private static final String HOLDER_FIELD = "holder";
+    private static final String FENCING_NUMBER_FIELD = "term";
+    private static final String MISSING_VERSION_PREFIX = "missing in generation ";
 
     /** More than are issued in years at one every few seconds; the numbers remain exact integers in any JSON parser. */
-    private static final long TERMS_OF_A_GENERATION = 1L << 32;
+    private static final long FENCING_NUMBERS_PER_GENERATION = 1L << 32;
 
     private final ObjectStore store;
     private final ObjectKey key;
     private final String holder;
     private final TimeSource time;
     private String seenVersion = "";
-    private long highestTerm;
+    private long highestFencingNumber;
     private long grantedGeneration;
-    private long seenAt;
+    private long seenAtNanos;
     private String ownVersion = "";
-    private long grantedAt;
-    private long grantedAtTimeOfDay;
+    private long grantedAtNanos;
+    private long grantedAtTimeOfDayMillis;
     private boolean granted;
 
-    public OrderRight(ObjectStore store, ObjectKey key, String holder, TimeSource time) {
+    public OrderLease(ObjectStore store, ObjectKey key, String holder, TimeSource time) {
         this.store = store;
         this.key = key;
         this.holder = holder;
@@ -79,28 +80,28 @@
      * engine would decode all answers.
      */
     public void observe() throws StoreException {
-        settled(versionOf(store.read(key)), time.monotonicNanoseconds());
+        mayAcquire(versionOf(store.read(key)), time.monotonicNanoseconds());
     }
 
     /** Tries to acquire the lease; returns the fencing number for orders. */
     public Optional<Long> acquire() throws StoreException {
         granted = false;
-        long asked = time.monotonicNanoseconds();
-        long askedTimeOfDay = time.timeOfDay().toEpochMilli();
+        long requestedAtNanos = time.monotonicNanoseconds();
+        long requestedAtTimeOfDayMillis = time.timeOfDay().toEpochMilli();
         Optional<StoredObject> record = store.read(key);
         long generation = store.generation();
-        long term = nextTerm(record, generation);
-        if (!settled(versionOf(record), asked)) {
+        long fencingNumber = nextFencingNumber(record, generation);
+        if (!mayAcquire(versionOf(record), requestedAtNanos)) {
             return Optional.empty();
         }
         try {
             String value = MAPPER.createObjectNode()
-                    .put(HOLDER, holder)
-                    .put(TERM, term)
+                    .put(HOLDER_FIELD, holder)
+                    .put(FENCING_NUMBER_FIELD, fencingNumber)
                     .toString();
             StoredObject written = record.isPresent() ? store.update(record.get(), value) : store.create(key, value);
             ownVersion = written.version();
-        } catch (StoreConflictException taken) {
+        } catch (StoreConflictException conflict) {
             // Another process has just written the record and holds the lease.
             return Optional.empty();
         }
@@ -108,28 +109,29 @@
             return Optional.empty();
         }
         granted = true;
-        highestTerm = term;
+        highestFencingNumber = fencingNumber;
         grantedGeneration = generation;
-        grantedAt = asked;
-        grantedAtTimeOfDay = askedTimeOfDay;
-        return Optional.of(term);
+        grantedAtNanos = requestedAtNanos;
+        grantedAtTimeOfDayMillis = requestedAtTimeOfDayMillis;
+        return Optional.of(fencingNumber);
     }
 
     /** Returns whether an order may still be given; has to be checked immediately before each order. */
-    public boolean holds() {
-        long elapsed = time.monotonicNanoseconds() - grantedAt;
-        long elapsedByDay = Duration.ofMillis(time.timeOfDay().toEpochMilli() - grantedAtTimeOfDay)
+    public boolean isHeld() {
+        long elapsedNanos = time.monotonicNanoseconds() - grantedAtNanos;
+        long elapsedTimeOfDayNanos = Duration.ofMillis(time.timeOfDay().toEpochMilli() - grantedAtTimeOfDayMillis)
                 .toNanos();
-        boolean suspended = Math.abs(elapsedByDay - elapsed) > SUSPENDED.toNanos();
+        boolean suspended = Math.abs(elapsedTimeOfDayNanos - elapsedNanos) > SUSPENSION_THRESHOLD.toNanos();
         boolean sameGeneration = store.generation() == grantedGeneration;
-        return granted && sameGeneration && elapsed < WINDOW.toNanos() && !suspended;
+        return granted && sameGeneration && elapsedNanos < VALIDITY.toNanos() && !suspended;
     }
 
     /** Fencing numbers of a later generation exceed all those of earlier ones, which the store may have lost. */
-    private long nextTerm(Optional<StoredObject> record, long generation) throws StoreMalformedException {
-        long recorded = record.isPresent() ? termOf(record.get()) : 0;
-        highestTerm = Math.max(Math.max(highestTerm, recorded), generation * TERMS_OF_A_GENERATION);
-        return highestTerm + 1;
+    private long nextFencingNumber(Optional<StoredObject> record, long generation) throws StoreMalformedException {
+        long recorded = record.isPresent() ? fencingNumberOf(record.get()) : 0;
+        highestFencingNumber =
+                Math.max(Math.max(highestFencingNumber, recorded), generation * FENCING_NUMBERS_PER_GENERATION);
+        return highestFencingNumber + 1;
     }
 
     /**
@@ -137,26 +139,26 @@
      * other.
      */
     private String versionOf(Optional<StoredObject> record) {
-        return record.map(StoredObject::version).orElse(MISSING + store.generation());
+        return record.map(StoredObject::version).orElse(MISSING_VERSION_PREFIX + store.generation());
     }
 
-    private boolean settled(String version, long now) {
+    private boolean mayAcquire(String version, long nowNanos) {
         if (version.equals(ownVersion)) {
             return true;
         }
         if (!version.equals(seenVersion)) {
             seenVersion = version;
-            seenAt = now;
+            seenAtNanos = nowNanos;
             return false;
         }
-        return now - seenAt >= SETTLED.toNanos();
+        return nowNanos - seenAtNanos >= TAKEOVER_DELAY.toNanos();
     }
 
-    private static long termOf(StoredObject record) throws StoreMalformedException {
+    private static long fencingNumberOf(StoredObject record) throws StoreMalformedException {
         try {
             JsonNode root = MAPPER.readTree(record.value());
-            if (root.path(TERM).isIntegralNumber()) {
-                return root.path(TERM).asLong();
+            if (root.path(FENCING_NUMBER_FIELD).isIntegralNumber()) {
+                return root.path(FENCING_NUMBER_FIELD).asLong();
             }
         } catch (JsonProcessingException malformed) {
             // Reported below, like a record without a fencing number.
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleMove.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/PlannedRoleChange.java
@@ -9,4 +9,4 @@
  * @param server the engine
  * @param role its new role
  */
-public record RoleMove(BackendServer server, EngineRole role) {}
+public record PlannedRoleChange(BackendServer server, EngineRole role) {}
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LateLearningStore.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/DelayedGenerationStore.java
@@ -12,11 +12,11 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /** A store as seen by one process that learns of a restore from an older copy only from responses to its calls. */
-final class LateLearningStore implements ObjectStore {
+final class DelayedGenerationStore implements ObjectStore {
     private final ObjectStore store;
     private long generation;
 
-    LateLearningStore(ObjectStore store) {
+    DelayedGenerationStore(ObjectStore store) {
         this.store = store;
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderLeaseStoreRestoreTest.java
@@ -18,66 +18,69 @@
 import org.testng.annotations.Test;
 
 /** Simulates the order lease, with several seeds, on a store that is restored from older copies. */
-public class RewoundOrderRightTest {
+public class OrderLeaseStoreRestoreTest {
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
-    private static final Duration ENGINES_PAUSE = Duration.ofSeconds(3);
+    private static final Duration MIN_PAUSE_BETWEEN_HOLDERS = Duration.ofSeconds(3);
     private static final int SEEDS = Integer.getInteger("aspenmoor.seeds", 20);
     private static final int STEPS = 5_000;
-    private static final int COPIES = 40;
+    private static final int MAX_COPIES = 40;
 
     // Guards against two holders that give an engine conflicting orders after the store has lost the record of one
     // of them.
     @Test
-    public void should_keep_holders_apart_and_numbers_growing_on_a_store_that_comes_back_older() throws StoreException {
+    public void should_keep_holders_apart_and_fencing_numbers_increasing_when_the_store_is_restored_from_older_copies()
+            throws StoreException {
         int grants = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            grants += play(seed);
+            grants += simulate(seed);
         }
         assertTrue(grants > SEEDS, "leases granted: " + grants);
     }
 
-    private static int play(int seed) throws StoreException {
+    private static int simulate(int seed) throws StoreException {
         Random random = new Random(seed);
         ManualTimeSource time = new ManualTimeSource();
         InMemoryObjectStore store = new InMemoryObjectStore();
         Deque<List<StoredObject>> copies = new ArrayDeque<>();
-        List<OrderRight> rights = new ArrayList<>();
+        List<OrderLease> leases = new ArrayList<>();
         for (int number = 0; number < 3; number++) {
-            rights.add(new OrderRight(new LateLearningStore(store), KEY, "entry-" + number, time));
+            leases.add(new OrderLease(new DelayedGenerationStore(store), KEY, "entry-" + number, time));
         }
         int grants = 0;
-        long lastNumber = 0;
+        long lastFencingNumber = 0;
         long lastOrderAt = Long.MIN_VALUE / 2;
-        OrderRight lastHolder = null;
-        long[] numbers = new long[rights.size()];
+        OrderLease lastHolder = null;
+        long[] fencingNumbers = new long[leases.size()];
         for (int step = 0; step < STEPS; step++) {
             time.advance(Duration.ofMillis(random.nextInt(400)));
             copies.addFirst(store.copy());
-            if (copies.size() > COPIES) {
+            if (copies.size() > MAX_COPIES) {
                 copies.removeLast();
             }
             if (random.nextInt(100) == 0) {
                 store.comeBackFrom(List.copyOf(copies).get(random.nextInt(copies.size())));
                 copies.clear();
             }
-            int index = random.nextInt(rights.size());
+            int index = random.nextInt(leases.size());
             if (random.nextInt(300) == 0) {
-                rights.set(index, new OrderRight(new LateLearningStore(store), KEY, "restarted-" + step, time));
+                leases.set(index, new OrderLease(new DelayedGenerationStore(store), KEY, "restarted-" + step, time));
             }
-            OrderRight right = rights.get(index);
+            OrderLease lease = leases.get(index);
             if (random.nextInt(3) == 0) {
-                Optional<Long> number = right.acquire();
+                Optional<Long> number = lease.acquire();
                 grants += number.isPresent() ? 1 : 0;
-                numbers[index] = number.orElse(0L);
+                fencingNumbers[index] = number.orElse(0L);
             }
-            if (right.holds()) {
-                long now = time.monotonicNanoseconds();
-                boolean apart = right == lastHolder || now - lastOrderAt >= ENGINES_PAUSE.toNanos();
+            if (lease.isHeld()) {
+                long nowNanos = time.monotonicNanoseconds();
+                boolean apart = lease == lastHolder || nowNanos - lastOrderAt >= MIN_PAUSE_BETWEEN_HOLDERS.toNanos();
                 assertTrue(apart, "seed " + seed + ": two holders at step " + step);
-                assertTrue(numbers[index] >= lastNumber, "seed " + seed + ": a lower fencing number at step " + step);
-                lastHolder = right;
-                lastOrderAt = now;
-                lastNumber = numbers[index];
+                assertTrue(
+                        fencingNumbers[index] >= lastFencingNumber,
+                        "seed " + seed + ": a lower fencing number at step " + step);
+                lastHolder = lease;
+                lastOrderAt = nowNanos;
+                lastFencingNumber = fencingNumbers[index];
             }
         }
         return grants;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -47,12 +47,12 @@
 import org.aspenmoor.internal.gateway.request.ServingState;
 import org.aspenmoor.internal.gateway.request.WaitingRequests;
 import org.aspenmoor.internal.gateway.roles.FleetSnapshot;
-import org.aspenmoor.internal.gateway.roles.RoleKeeper;
+import org.aspenmoor.internal.gateway.roles.RoleCoordinator;
 import org.aspenmoor.internal.gateway.settings.GatewaySettings;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.PeerReport;
 import org.aspenmoor.internal.serving.RoleChange;
-import org.aspenmoor.internal.serving.roles.OrderRight;
+import org.aspenmoor.internal.serving.roles.OrderLease;
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.ObjectStore;
@@ -207,12 +207,12 @@
 
     private void startRoleKeeper(ObjectStore store) {
         ObjectKey key = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
-        OrderRight right = new OrderRight(store, key, settings.process(), time);
+        OrderLease right = new OrderLease(store, key, settings.process(), time);
         Supplier<FleetSnapshot> fleet =
                 () -> CompletableFuture.supplyAsync(() -> state.snapshot(settings.process()), eventLoop)
                         .join();
         Consumer<RoleChange> accepted = change -> eventLoop.execute(() -> state.roleOrdered(change));
-        new RoleKeeper(settings.process(), fleet, accepted, right, connections, backendProtocol, eventLoop, log)
+        new RoleCoordinator(settings.process(), fleet, accepted, right, connections, backendProtocol, eventLoop, log)
                 .start();
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
@@ -20,7 +20,8 @@
  *
  * <p>A registration states the address at which an entry receives reports, not that the entry is running; its own
  * reports show that. Registrations therefore need no renewal, and one left behind by a removed host costs an
- * occasional datagram. The store may lose a registration together with its latest writes; the next listing shows that it is missing.
+ * occasional datagram. The store may lose a registration together with its latest writes; the next listing shows
+ * that it is missing.
  */
 public final class PeerDirectory {
     /**
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestSynchroniser.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestSynchroniser.java
@@ -26,9 +26,9 @@
  * Keeps the requests with terminations on more than one server in sync with the store, one object per request. Runs
  * on its own thread.
  *
- * <p>Without the store, entries that all lose power at once would forget these requests, and newly started entries would
- * not know them. What an entry knows and the store lacks is written again, also after the store was restored from
- * an older copy. As all entries know nearly the same, each waits for a random time before it writes and mostly
+ * <p>Without the store, entries that all lose power at once would forget these requests, and newly started entries
+ * would not know them. What an entry knows and the store lacks is written again, also after the store was restored
+ * from an older copy. As all entries know nearly the same, each waits for a random time before it writes and mostly
  * finds that another entry has already written. An entry that observed a termination itself does not wait.
  */
 public final class FatalRequestSynchroniser implements CollectionListener {
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleCoordinator.java
@@ -0,0 +1,236 @@
+package org.aspenmoor.internal.gateway.roles;
+
+import io.netty.channel.EventLoop;
+import io.netty.handler.codec.http.FullHttpRequest;
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import org.aspenmoor.internal.gateway.backend.AwaitedAnswer;
+import org.aspenmoor.internal.gateway.backend.BackendConnections;
+import org.aspenmoor.internal.gateway.log.DecisionLog;
+import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
+import org.aspenmoor.internal.gateway.protocol.EngineReport;
+import org.aspenmoor.internal.gateway.protocol.RoleOrder;
+import org.aspenmoor.internal.serving.BackendServer;
+import org.aspenmoor.internal.serving.RoleChange;
+import org.aspenmoor.internal.serving.ServiceLoad;
+import org.aspenmoor.internal.serving.roles.LoadBasedRolePolicy;
+import org.aspenmoor.internal.serving.roles.OrderLease;
+import org.aspenmoor.internal.serving.roles.PlannedRoleChange;
+import org.aspenmoor.internal.serving.roles.RoleRatioPolicy;
+import org.aspenmoor.internal.store.StoreException;
+
+/** Checks whether the engines have the roles that the traffic needs and orders role changes. Runs on its own thread. */
+public final class RoleCoordinator {
+    /** Interval between two checks. */
+    private static final Duration CHECK_INTERVAL = Duration.ofSeconds(2);
+
+    /**
+     * Number of consecutive checks that must find a deviation before this entry acts: engines that start register
+     * one after the other.
+     */
+    private static final int MIN_DEVIATIONS = 2;
+
+    /**
+     * Number of consecutive checks with a deviation after which an entry acts in place of the responsible one,
+     * which may be disconnected from the store.
+     */
+    private static final int MIN_DEVIATIONS_IF_NOT_RESPONSIBLE = 4;
+
+    /**
+     * Number of checks between two reads of the order lease: about the time for which its record must stay
+     * unchanged.
+     */
+    private static final int CHECKS_BETWEEN_LEASE_READS = 6;
+
+    /** Call timeout; an engine responds to such a call within milliseconds. */
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(400);
+
+    private static final int MIN_ERROR_STATUS = 300;
+    private static final double MILLIS_PER_SECOND = 1000;
+
+    private final String holder;
+    private final Supplier<FleetSnapshot> snapshots;
+    private final Consumer<RoleChange> onAccepted;
+    private final OrderLease lease;
+    private final BackendConnections connections;
+    private final BackendProtocol protocol;
+    private final EventLoop eventLoop;
+    private final DecisionLog log;
+    private final RoleRatioPolicy ratioPolicy = new RoleRatioPolicy();
+    private final Map<String, LoadBasedRolePolicy> loadPolicies = new HashMap<>();
+    private int consecutiveDeviations;
+    private int checksSinceLeaseRead = CHECKS_BETWEEN_LEASE_READS;
+
+    public RoleCoordinator(
+            String holder,
+            Supplier<FleetSnapshot> snapshots,
+            Consumer<RoleChange> onAccepted,
+            OrderLease lease,
+            BackendConnections connections,
+            BackendProtocol protocol,
+            EventLoop eventLoop,
+            DecisionLog log) {
+        this.holder = holder;
+        this.snapshots = snapshots;
+        this.onAccepted = onAccepted;
+        this.lease = lease;
+        this.connections = connections;
+        this.protocol = protocol;
+        this.eventLoop = eventLoop;
+        this.log = log;
+    }
+
+    /** Starts the worker thread. */
+    public void start() {
+        Thread.ofPlatform().daemon().name("role-keeper").start(this::run);
+    }
+
+    private void run() {
+        try {
+            while (true) {
+                TimeUnit.NANOSECONDS.sleep(CHECK_INTERVAL.toNanos());
+                checkRoles();
+            }
+        } catch (InterruptedException interrupted) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Runs one check and orders the changes that are due. */
+    void checkRoles() throws InterruptedException {
+        FleetSnapshot snapshot = snapshots.get();
+        observeLease(snapshot.responsibleForOrders());
+        for (ServiceLoad service : snapshot.services()) {
+            List<PlannedRoleChange> changes = ratioPolicy.plannedChanges(service.servers(), snapshot.idle());
+            if (!changes.isEmpty()) {
+                consecutiveDeviations++;
+                boolean mayOrder =
+                        snapshot.responsibleForOrders() || consecutiveDeviations >= MIN_DEVIATIONS_IF_NOT_RESPONSIBLE;
+                if (consecutiveDeviations >= MIN_DEVIATIONS && mayOrder) {
+                    sendOrder(changes);
+                }
+                return;
+            }
+        }
+        consecutiveDeviations = 0;
+        if (snapshot.responsibleForOrders() && !snapshot.idle()) {
+            changeRolesByLoad(snapshot.services());
+        }
+    }
+
+    private void changeRolesByLoad(List<ServiceLoad> services) throws InterruptedException {
+        for (ServiceLoad service : services) {
+            LoadBasedRolePolicy policy =
+                    loadPolicies.computeIfAbsent(service.name(), unseen -> new LoadBasedRolePolicy());
+            Optional<PlannedRoleChange> change = policy.nextChange(service);
+            if (change.isPresent()) {
+                log.notable("role-follows-load")
+                        .with("server", change.get().server().id())
+                        .with("role", change.get().role().name())
+                        .with("neededPaceMs", Math.round(service.neededPace().orElse(0.0) * MILLIS_PER_SECOND))
+                        .with("prompts", service.prompts().name())
+                        .write();
+                if (sendOrder(List.of(change.get())) > 0) {
+                    policy.changeAccepted();
+                }
+            }
+        }
+    }
+
+    /** Only the responsible entry reads the lease, and rarely, since each read is a call to the store. */
+    private void observeLease(boolean responsible) throws InterruptedException {
+        checksSinceLeaseRead++;
+        if (!responsible || checksSinceLeaseRead < CHECKS_BETWEEN_LEASE_READS) {
+            return;
+        }
+        checksSinceLeaseRead = 0;
+        try {
+            lease.observe();
+        } catch (StoreException failure) {
+            log.notable("order-right-unknown").with("reason", failure.problem()).write();
+        }
+    }
+
+    /** Returns how many engines have accepted their order. */
+    private int sendOrder(List<PlannedRoleChange> changes) throws InterruptedException {
+        int acceptedOrders = 0;
+        try {
+            Optional<Long> fencingNumber = lease.acquire();
+            if (fencingNumber.isEmpty()) {
+                log.notable("roles-not-ordered")
+                        .with("reason", "another entry may still hold the order lease")
+                        .write();
+                return 0;
+            }
+            for (PlannedRoleChange change : changes) {
+                acceptedOrders += sendOrder(change, fencingNumber.get()) ? 1 : 0;
+            }
+            consecutiveDeviations = 0;
+        } catch (StoreException failure) {
+            log.notable("roles-not-ordered").with("reason", failure.problem()).write();
+        }
+        return acceptedOrders;
+    }
+
+    private boolean sendOrder(PlannedRoleChange change, long fencingNumber) throws InterruptedException {
+        BackendServer server = change.server();
+        try {
+            AwaitedAnswer.Answer reportResponse = call(server, protocol.askReport(server.id()));
+            Optional<EngineReport> report = protocol.readReport(reportResponse.body());
+            if (report.isEmpty() || report.get().changing() || report.get().role() == change.role()) {
+                return false;
+            }
+            if (!lease.isHeld()) {
+                log.notable("role-not-ordered")
+                        .with("server", server.id())
+                        .with("reason", "the order lease has expired")
+                        .write();
+                return false;
+            }
+            RoleOrder order = new RoleOrder(
+                    server.id(),
+                    change.role(),
+                    holder,
+                    fencingNumber,
+                    report.get().ordersTaken());
+            AwaitedAnswer.Answer orderResponse = call(server, protocol.order(order));
+            boolean accepted = orderResponse.status() < MIN_ERROR_STATUS;
+            if (accepted) {
+                onAccepted.accept(new RoleChange(server.id(), change.role()));
+            }
+            log.notable(accepted ? "role-ordered" : "role-refused")
+                    .with("server", server.id())
+                    .with("role", change.role().name())
+                    .with("number", fencingNumber)
+                    .with("ordersTaken", report.get().ordersTaken())
+                    .with("status", orderResponse.status())
+                    .write();
+            return accepted;
+        } catch (ExecutionException | TimeoutException failure) {
+            // The order may still be carried out. The next check sees the engine's role, and the order count makes
+            // the engine reject a late order.
+            log.notable("role-order-unanswered")
+                    .with("server", server.id())
+                    .with("role", change.role().name())
+                    .with("number", fencingNumber)
+                    .with("reason", String.valueOf(failure.getMessage()))
+                    .write();
+            return false;
+        }
+    }
+
+    private AwaitedAnswer.Answer call(BackendServer server, FullHttpRequest request)
+            throws InterruptedException, ExecutionException, TimeoutException {
+        AwaitedAnswer response = new AwaitedAnswer();
+        eventLoop.execute(() -> connections.send(server, "", request, response));
+        return response.done().get(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+    }
+}
