--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -34,7 +34,7 @@
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 import org.aspenmoor.internal.gateway.membership.ConfigurationListener;
 import org.aspenmoor.internal.gateway.membership.RegistrationDecoder;
-import org.aspenmoor.internal.gateway.membership.ServerListener;
+import org.aspenmoor.internal.gateway.membership.ServerRegistrationListener;
 import org.aspenmoor.internal.gateway.peers.PeerDirectory;
 import org.aspenmoor.internal.gateway.peers.PeerExchange;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
@@ -132,7 +132,7 @@
                 store,
                 storeSettings,
                 ObjectKind.BACKEND_SERVER,
-                new ServerListener(decoder, state, connections, eventLoop, time, log, store::generation));
+                new ServerRegistrationListener(decoder, state, connections, eventLoop, time, log, store::generation));
         FatalRequestSynchroniser keeper = new FatalRequestSynchroniser(
                 store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
         follow(store, storeSettings, ObjectKind.FATAL_REQUEST, keeper);
@@ -151,7 +151,7 @@
                         store,
                         settings.process(),
                         peers.address(),
-                        addresses -> eventLoop.execute(() -> peers.know(addresses)),
+                        addresses -> eventLoop.execute(() -> peers.replacePeers(addresses)),
                         log)
                 .start();
         eventLoop.execute(this::tellPeers);
@@ -222,7 +222,7 @@
     }
 
     private void tellPeers() {
-        peers.tell(
+        peers.sendReport(
                 state.ownShares(),
                 state.takeUntoldPrompts(),
                 state.learntSpeeds(),
@@ -230,7 +230,7 @@
                 state.roleChanges(),
                 fatalRequests.takeNextReport(),
                 stop.begun());
-        eventLoop.schedule(this::tellPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::tellPeers, peers.reportInterval().toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void check() {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
@@ -16,21 +16,21 @@
     private final ServingState state;
     private final Executor eventLoop;
     private final DecisionLog log;
-    private final DependencyLog configurations;
+    private final DependencyLog dependency;
 
     public ConfigurationListener(RegistrationDecoder decoder, ServingState state, Executor eventLoop, DecisionLog log) {
         this.decoder = decoder;
         this.state = state;
         this.eventLoop = eventLoop;
         this.log = log;
-        this.configurations = new DependencyLog(log, "configuration");
+        this.dependency = new DependencyLog(log, "configuration");
     }
 
     @Override
     public void changed(StoredObject object) {
         try {
-            ServingConfiguration read = decoder.readConfiguration(object);
-            eventLoop.execute(() -> state.configure(read));
+            ServingConfiguration configuration = decoder.readConfiguration(object);
+            eventLoop.execute(() -> state.configure(configuration));
         } catch (StoreMalformedException malformed) {
             // The current configuration stays in force: an unreadable one must not remove the routes.
             log.notable("configuration-unreadable")
@@ -51,11 +51,11 @@
 
     @Override
     public void synchronised() {
-        configurations.back();
+        dependency.back();
     }
 
     @Override
     public void interrupted(StoreException cause) {
-        configurations.lost(cause.problem());
+        dependency.lost(cause.problem());
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerRegistrationListener.java
@@ -14,16 +14,16 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /** Passes each change to the registration of a backend server to the event loop. */
-public final class ServerListener implements CollectionListener {
+public final class ServerRegistrationListener implements CollectionListener {
     private final RegistrationDecoder decoder;
     private final ServingState state;
     private final BackendConnections connections;
     private final Executor eventLoop;
     private final TimeSource time;
     private final DecisionLog log;
-    private final DependencyLog registrations;
+    private final DependencyLog dependency;
     private final LongSupplier generation;
-    private long knownGeneration;
+    private long lastGeneration;
     private boolean synchronisedBefore;
 
     /**
@@ -31,7 +31,7 @@
      *
      * @param generation supplies the generation of the store's history
      */
-    public ServerListener(
+    public ServerRegistrationListener(
             RegistrationDecoder decoder,
             ServingState state,
             BackendConnections connections,
@@ -45,15 +45,15 @@
         this.eventLoop = eventLoop;
         this.time = time;
         this.log = log;
-        this.registrations = new DependencyLog(log, "servers");
+        this.dependency = new DependencyLog(log, "servers");
         this.generation = generation;
     }
 
     @Override
     public void changed(StoredObject object) {
         try {
-            BackendServer read = decoder.readServer(object);
-            eventLoop.execute(() -> state.serverChanged(read));
+            BackendServer server = decoder.readServer(object);
+            eventLoop.execute(() -> state.serverChanged(server));
         } catch (StoreMalformedException malformed) {
             // Any process may write an invalid registration. It describes no usable server; the other registrations
             // stay valid.
@@ -62,26 +62,26 @@
                     .with("revision", object.version())
                     .with("reason", malformed.problem())
                     .write();
-            remove(object);
+            serverRemoved(object);
         }
     }
 
     @Override
     public void deleted(StoredObject object) {
-        remove(object);
+        serverRemoved(object);
     }
 
     @Override
     public void synchronised() {
-        registrations.back();
-        noteGeneration();
+        dependency.back();
+        detectStoreRestore();
         synchronisedBefore = true;
         eventLoop.execute(() -> state.serversSynchronised(time.monotonicNanoseconds()));
     }
 
     @Override
     public void interrupted(StoreException cause) {
-        registrations.lost(cause.problem());
+        dependency.lost(cause.problem());
         eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanoseconds()));
     }
 
@@ -89,18 +89,18 @@
      * Detects a store that was restored from an older copy: a server may then be missing because the store has lost
      * its latest writes, and not because the server has left.
      */
-    private void noteGeneration() {
-        long now = generation.getAsLong();
-        boolean rose = synchronisedBefore && now > knownGeneration;
-        knownGeneration = now;
-        if (rose) {
+    private void detectStoreRestore() {
+        long currentGeneration = generation.getAsLong();
+        boolean restored = synchronisedBefore && currentGeneration > lastGeneration;
+        lastGeneration = currentGeneration;
+        if (restored) {
             eventLoop.execute(() -> state.storeCameBackOlder(time.monotonicNanoseconds()));
         }
     }
 
-    private void remove(StoredObject object) {
+    private void serverRemoved(StoredObject object) {
         String id = object.key().name();
-        noteGeneration();
+        detectStoreRestore();
         eventLoop.execute(() -> {
             if (state.serverMissing(id, time.monotonicNanoseconds())) {
                 connections.forget(id);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerAddress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerAddressCodec.java
@@ -11,15 +11,15 @@
  * Reads and writes the registration of an entry in the store: the address at which it receives reports from other
  * entries.
  */
-final class PeerAddress {
+final class PeerAddressCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String HOST = "host";
     private static final String PORT = "port";
-    private static final int HIGHEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
-    private PeerAddress() {}
+    private PeerAddressCodec() {}
 
-    static String write(InetSocketAddress address) {
+    static String serialise(InetSocketAddress address) {
         return MAPPER.createObjectNode()
                 .put(HOST, address.getAddress().getHostAddress())
                 .put(PORT, address.getPort())
@@ -27,12 +27,12 @@
     }
 
     /** Parses a registration; empty if it contains no valid address. */
-    static Optional<InetSocketAddress> read(StoredObject object) {
+    static Optional<InetSocketAddress> parse(StoredObject object) {
         try {
             JsonNode root = MAPPER.readTree(object.value());
             String host = root.path(HOST).asText("");
             int port = root.path(PORT).asInt(0);
-            boolean usable = !host.isEmpty() && port > 0 && port <= HIGHEST_PORT;
+            boolean usable = !host.isEmpty() && port > 0 && port <= MAX_PORT;
             return usable ? Optional.of(new InetSocketAddress(host, port)) : Optional.empty();
         } catch (JsonProcessingException malformed) {
             return Optional.empty();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerDirectory.java
@@ -28,19 +28,19 @@
      * Interval between listings. Entries that start notify the others themselves, so the listing only covers lost
      * datagrams.
      */
-    private static final Duration LISTING_PAUSE = Duration.ofSeconds(10);
+    private static final Duration LISTING_INTERVAL = Duration.ofSeconds(10);
 
     /**
      * Delay after a failed call. Entries that do not know each other schedule less well, which does not justify
      * more load on the store.
      */
-    private static final Duration FAILURE_PAUSE = Duration.ofSeconds(2);
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(2);
 
     private final ObjectStore store;
     private final ObjectKey key;
     private final InetSocketAddress address;
     private final Consumer<Map<String, InetSocketAddress>> listener;
-    private final DependencyLog entries;
+    private final DependencyLog dependency;
 
     public PeerDirectory(
             ObjectStore store,
@@ -52,7 +52,7 @@
         this.key = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, entry);
         this.address = address;
         this.listener = listener;
-        this.entries = new DependencyLog(log, "entries");
+        this.dependency = new DependencyLog(log, "entries");
     }
 
     /** Starts the worker thread. */
@@ -63,50 +63,51 @@
     private void run() {
         try {
             while (true) {
-                TimeUnit.NANOSECONDS.sleep(step().toNanos());
+                TimeUnit.NANOSECONDS.sleep(refresh().toNanos());
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     /** Lists the entries, registers this one if it is missing, and returns the delay before the next step. */
-    Duration step() {
+    Duration refresh() {
         try {
             Map<String, InetSocketAddress> addresses = addresses();
             if (!address.equals(addresses.get(key.name()))) {
                 register();
                 addresses.put(key.name(), address);
             }
-            entries.back();
+            dependency.back();
             listener.accept(addresses);
-            return LISTING_PAUSE;
+            return LISTING_INTERVAL;
         } catch (StoreException failure) {
-            entries.lost(failure.problem());
-            return FAILURE_PAUSE;
+            dependency.lost(failure.problem());
+            return RETRY_DELAY;
         }
     }
 
     private Map<String, InetSocketAddress> addresses() throws StoreException {
         Map<String, InetSocketAddress> addresses = new HashMap<>();
         for (StoredObject object : store.list(ObjectKind.ENTRY_REGISTRATION).objects()) {
-            PeerAddress.read(object)
-                    .ifPresent(peer -> addresses.put(object.key().name(), peer));
+            PeerAddressCodec.parse(object)
+                    .ifPresent(address -> addresses.put(object.key().name(), address));
         }
         return addresses;
     }
 
     // A write whose response was lost may still be applied; reading first in the next step resolves this.
     private void register() throws StoreException {
-        String value = PeerAddress.write(address);
-        Optional<StoredObject> before = store.read(key);
-        if (before.isEmpty()) {
+        String value = PeerAddressCodec.serialise(address);
+        Optional<StoredObject> registered = store.read(key);
+        if (registered.isEmpty()) {
             store.create(key, value);
             return;
         }
-        boolean same = PeerAddress.read(before.get()).filter(address::equals).isPresent();
-        if (!same) {
-            store.update(before.get(), value);
+        boolean upToDate =
+                PeerAddressCodec.parse(registered.get()).filter(address::equals).isPresent();
+        if (!upToDate) {
+            store.update(registered.get(), value);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -37,20 +37,20 @@
  */
 public final class PeerExchange {
     /** Minimum interval between reports, used with few entries; an engine takes about this long for one long prompt. */
-    private static final Duration SHORTEST_PAUSE = Duration.ofMillis(100);
+    private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(100);
 
     /** Interval added per peer, so that the number of reports an entry sends and receives per second stays bounded. */
-    private static final Duration PAUSE_FOR_EACH_PEER = Duration.ofMillis(10);
+    private static final Duration REPORT_INTERVAL_PER_PEER = Duration.ofMillis(10);
 
     private final String entry;
     private final EventLoop eventLoop;
     private final DecisionLog log;
     private final Consumer<PeerReport> listener;
     private final Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    private final long start;
+    private final long startedAtMillis;
     private Channel channel;
     private long sequence;
-    private boolean quiet;
+    private boolean logSuppressed;
 
     public PeerExchange(
             String entry, TimeSource time, EventLoop eventLoop, DecisionLog log, Consumer<PeerReport> listener) {
@@ -58,7 +58,7 @@
         this.eventLoop = eventLoop;
         this.log = log;
         this.listener = listener;
-        this.start = time.timeOfDay().toEpochMilli();
+        this.startedAtMillis = time.timeOfDay().toEpochMilli();
     }
 
     /** Opens the port. */
@@ -76,50 +76,50 @@
     }
 
     /** Replaces the addresses of the other entries. */
-    public void know(Map<String, InetSocketAddress> addresses) {
+    public void replacePeers(Map<String, InetSocketAddress> addresses) {
         peers.clear();
         peers.putAll(addresses);
         peers.remove(entry);
     }
 
     /** Returns the interval before the next report. */
-    public Duration pause() {
-        Duration scaled = PAUSE_FOR_EACH_PEER.multipliedBy(peers.size());
-        return scaled.compareTo(SHORTEST_PAUSE) > 0 ? scaled : SHORTEST_PAUSE;
+    public Duration reportInterval() {
+        Duration scaledInterval = REPORT_INTERVAL_PER_PEER.multipliedBy(peers.size());
+        return scaledInterval.compareTo(MIN_REPORT_INTERVAL) > 0 ? scaledInterval : MIN_REPORT_INTERVAL;
     }
 
     /** Sends a report to all other entries. */
-    public void tell(
+    public void sendReport(
             Map<String, PeerShare> shares,
             List<PlacedPrompt> prompts,
             List<LearntSpeed> speeds,
             List<EventLength> lengths,
             List<RoleChange> changes,
-            List<ServerTermination> ends,
+            List<ServerTermination> terminations,
             boolean leaving) {
         sequence++;
-        byte[] datagram = PeerCodec.write(
-                new PeerReport(entry, start, sequence, shares, prompts, speeds, lengths, changes, ends, leaving));
+        byte[] datagram = PeerReportCodec.serialise(new PeerReport(
+                entry, startedAtMillis, sequence, shares, prompts, speeds, lengths, changes, terminations, leaving));
         for (InetSocketAddress peer : peers.values()) {
             channel.write(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peer));
         }
         channel.flush();
     }
 
-    private void took(String reason) {
-        if (!quiet) {
-            quiet = true;
+    private void logUnreadable(String reason) {
+        if (!logSuppressed) {
+            logSuppressed = true;
             log.notable("peer-report-unreadable").with("reason", reason).write();
-            eventLoop.schedule(() -> quiet = false, 1, TimeUnit.SECONDS);
+            eventLoop.schedule(() -> logSuppressed = false, 1, TimeUnit.SECONDS);
         }
     }
 
     private final class ReportHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Optional<PeerReport> report = PeerCodec.read(ByteBufUtil.getBytes(packet.content()));
+            Optional<PeerReport> report = PeerReportCodec.parse(ByteBufUtil.getBytes(packet.content()));
             if (report.isEmpty()) {
-                took("a datagram from " + packet.sender() + " is not a report");
+                logUnreadable("a datagram from " + packet.sender() + " is not a report");
                 return;
             }
             String sender = report.get().entry();
@@ -134,7 +134,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            took(String.valueOf(cause.getMessage()));
+            logUnreadable(String.valueOf(cause.getMessage()));
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerReportCodec.java
@@ -23,12 +23,12 @@
 import org.aspenmoor.internal.wire.v1.PeerLoad;
 
 /** Converts reports to datagrams and back. */
-final class PeerCodec {
-    private static final double MICROSECONDS = 1e6;
+final class PeerReportCodec {
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private PeerCodec() {}
+    private PeerReportCodec() {}
 
-    static byte[] write(PeerReport report) {
+    static byte[] serialise(PeerReport report) {
         PeerLoad.Builder message = PeerLoad.newBuilder()
                 .setEntry(report.entry())
                 .setStart(report.start())
@@ -37,13 +37,13 @@
         report.shares()
                 .forEach((server, share) -> message.addShares(PeerLoad.Share.newBuilder()
                         .setServer(server)
-                        .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROSECONDS))
+                        .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROS_PER_SECOND))
                         .setRequests(share.requests())
                         .setPaceEvents((float) share.pace().events())
                         .setPaceSeconds((float) share.pace().seconds())));
-        for (PlacedPrompt placed : report.prompts()) {
-            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placed.server());
-            for (PromptPart part : placed.parts()) {
+        for (PlacedPrompt placedPrompt : report.prompts()) {
+            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placedPrompt.server());
+            for (PromptPart part : placedPrompt.parts()) {
                 prompt.addParts(part.identity()).addTokens(part.tokens());
             }
             message.addPrompts(prompt);
@@ -62,34 +62,34 @@
                 .forEach(change -> message.addChanges(PeerLoad.Change.newBuilder()
                         .setServer(change.server())
                         .setRole(change.role().ordinal())));
-        report.ends().forEach(end -> message.addEnds(write(end)));
+        report.ends().forEach(termination -> message.addEnds(serialise(termination)));
         return message.build().toByteArray();
     }
 
-    private static PeerLoad.End write(ServerTermination end) {
+    private static PeerLoad.End serialise(ServerTermination termination) {
         return PeerLoad.End.newBuilder()
-                .setRequest(ByteString.copyFrom(end.request().bytes()))
-                .setServer(end.incarnation().serverId())
-                .setStartedAt(end.incarnation().startedAt())
-                .setAgeMilliseconds((int) end.age().toMillis())
-                .setExcused(end.cleared())
+                .setRequest(ByteString.copyFrom(termination.request().bytes()))
+                .setServer(termination.incarnation().serverId())
+                .setStartedAt(termination.incarnation().startedAt())
+                .setAgeMilliseconds((int) termination.age().toMillis())
+                .setExcused(termination.cleared())
                 .build();
     }
 
-    private static List<ServerTermination> readEnds(PeerLoad message) {
-        List<ServerTermination> ends = new ArrayList<>();
+    private static List<ServerTermination> parseTerminations(PeerLoad message) {
+        List<ServerTermination> terminations = new ArrayList<>();
         for (PeerLoad.End end : message.getEndsList()) {
             if (end.getRequest().size() == RequestDigest.BYTES) {
                 RequestDigest request = RequestDigest.of(end.getRequest().toByteArray());
-                ServerIncarnation server = new ServerIncarnation(end.getServer(), end.getStartedAt());
+                ServerIncarnation incarnation = new ServerIncarnation(end.getServer(), end.getStartedAt());
                 Duration age = Duration.ofMillis(Integer.toUnsignedLong(end.getAgeMilliseconds()));
-                ends.add(new ServerTermination(request, server, age, end.getExcused()));
+                terminations.add(new ServerTermination(request, incarnation, age, end.getExcused()));
             }
         }
-        return ends;
+        return terminations;
     }
 
-    private static EventPace readPace(PeerLoad.Share share) {
+    private static EventPace parseEventInterval(PeerLoad.Share share) {
         boolean usable = Float.isFinite(share.getPaceEvents())
                 && Float.isFinite(share.getPaceSeconds())
                 && share.getPaceEvents() >= 0
@@ -97,7 +97,7 @@
         return usable ? new EventPace(share.getPaceEvents(), share.getPaceSeconds()) : EventPace.NONE;
     }
 
-    private static List<LearntSpeed> readSpeeds(PeerLoad message) {
+    private static List<LearntSpeed> parseSpeeds(PeerLoad message) {
         List<LearntSpeed> speeds = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Speed speed : message.getSpeedsList()) {
@@ -113,14 +113,14 @@
         return speeds;
     }
 
-    private static List<EventLength> readLengths(PeerLoad message) {
+    private static List<EventLength> parseLengths(PeerLoad message) {
         return message.getLengthsList().stream()
                 .filter(length -> Float.isFinite(length.getTokens()) && length.getTokens() > 0)
                 .map(length -> new EventLength(length.getService(), length.getTokens()))
                 .toList();
     }
 
-    private static List<RoleChange> readChanges(PeerLoad message) {
+    private static List<RoleChange> parseChanges(PeerLoad message) {
         List<RoleChange> changes = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Change change : message.getChangesList()) {
@@ -131,7 +131,7 @@
         return changes;
     }
 
-    private static List<PlacedPrompt> readPrompts(PeerLoad message) {
+    private static List<PlacedPrompt> parsePrompts(PeerLoad message) {
         List<PlacedPrompt> prompts = new ArrayList<>();
         for (PeerLoad.Prompt prompt : message.getPromptsList()) {
             List<PromptPart> parts = new ArrayList<>();
@@ -145,7 +145,7 @@
     }
 
     /** Parses a datagram; empty if it is not a report, since any process can send to the port. */
-    static Optional<PeerReport> read(byte[] datagram) {
+    static Optional<PeerReport> parse(byte[] datagram) {
         try {
             PeerLoad message = PeerLoad.parseFrom(datagram);
             if (message.getEntry().isEmpty()) {
@@ -153,19 +153,19 @@
             }
             Map<String, PeerShare> shares = new HashMap<>();
             for (PeerLoad.Share share : message.getSharesList()) {
-                double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROSECONDS;
-                shares.put(share.getServer(), new PeerShare(seconds, share.getRequests(), readPace(share)));
+                double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROS_PER_SECOND;
+                shares.put(share.getServer(), new PeerShare(seconds, share.getRequests(), parseEventInterval(share)));
             }
             return Optional.of(new PeerReport(
                     message.getEntry(),
                     message.getStart(),
                     message.getSequence(),
                     shares,
-                    readPrompts(message),
-                    readSpeeds(message),
-                    readLengths(message),
-                    readChanges(message),
-                    readEnds(message),
+                    parsePrompts(message),
+                    parseSpeeds(message),
+                    parseLengths(message),
+                    parseChanges(message),
+                    parseTerminations(message),
                     message.getLeaving()));
         } catch (InvalidProtocolBufferException malformed) {
             return Optional.empty();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -39,7 +39,7 @@
 import org.testng.annotations.Test;
 
 public class PeerExchangeTest {
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long MAX_WAIT_SECONDS = 20;
     private static final List<EventLength> LENGTHS = List.of(new EventLength("drafting", 55));
     private static final List<RoleChange> CHANGES = List.of(new RoleChange("server", EngineRole.PREFILL));
     private static final Map<String, PeerShare> SHARES =
@@ -50,7 +50,7 @@
     private static final List<LearntSpeed> SPEEDS =
             List.of(new LearntSpeed("drafting", EngineRole.DECODE, 0.25, 0.015625));
 
-    private static final List<ServerTermination> ENDS = List.of(new ServerTermination(
+    private static final List<ServerTermination> TERMINATIONS = List.of(new ServerTermination(
             new RequestDigest(-1, 5),
             new ServerIncarnation("server", 1_786_504_654_297L),
             Duration.ofMillis(250),
@@ -74,66 +74,69 @@
     }
 
     @Test
-    public void should_write_and_read_a_report() {
-        PeerReport report = new PeerReport("entry-1", 7, 9, SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, ENDS, false);
+    public void should_restore_a_report_when_parsing_its_serialised_form() {
+        PeerReport report =
+                new PeerReport("entry-1", 7, 9, SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, TERMINATIONS, false);
 
-        assertEquals(PeerCodec.read(PeerCodec.write(report)), Optional.of(report));
+        assertEquals(PeerReportCodec.parse(PeerReportCodec.serialise(report)), Optional.of(report));
     }
 
     @Test
-    public void should_take_nothing_else_for_a_report() {
-        assertEquals(PeerCodec.read(new byte[] {1, 2, 3}), Optional.empty());
-        assertEquals(PeerCodec.read(new byte[0]), Optional.empty());
+    public void should_return_empty_when_the_datagram_is_not_a_report() {
+        assertEquals(PeerReportCodec.parse(new byte[] {1, 2, 3}), Optional.empty());
+        assertEquals(PeerReportCodec.parse(new byte[0]), Optional.empty());
     }
 
     // An entry that has just started is not yet known to the others. It sends them a report, and they reply to its
     // sender address.
     @Test
-    public void should_hear_of_each_other_from_one_side_alone() throws Exception {
-        BlockingQueue<PeerReport> heardByOld = new LinkedBlockingQueue<>();
-        BlockingQueue<PeerReport> heardByNew = new LinkedBlockingQueue<>();
-        PeerExchange old = exchange("old", heardByOld);
-        PeerExchange young = exchange("young", heardByNew);
-        group.next().submit(() -> young.know(Map.of("old", old.address()))).sync();
+    public void should_exchange_reports_when_only_one_entry_knows_the_other() throws Exception {
+        BlockingQueue<PeerReport> receivedByFirst = new LinkedBlockingQueue<>();
+        BlockingQueue<PeerReport> receivedBySecond = new LinkedBlockingQueue<>();
+        PeerExchange first = exchange("old", receivedByFirst);
+        PeerExchange second = exchange("young", receivedBySecond);
         group.next()
-                .submit(() -> young.tell(SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, ENDS, false))
+                .submit(() -> second.replacePeers(Map.of("old", first.address())))
+                .sync();
+        group.next()
+                .submit(() -> second.sendReport(SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, TERMINATIONS, false))
                 .sync();
 
-        PeerReport heard = heardByOld.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-        assertEquals(heard.entry(), "young");
-        assertEquals(heard.shares(), SHARES);
-        assertEquals(heard.prompts(), PROMPTS);
+        PeerReport received = receivedByFirst.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+        assertEquals(received.entry(), "young");
+        assertEquals(received.shares(), SHARES);
+        assertEquals(received.prompts(), PROMPTS);
 
         group.next()
-                .submit(() -> old.tell(Map.of(), List.of(), List.of(), List.of(), List.of(), List.of(), true))
+                .submit(() -> first.sendReport(Map.of(), List.of(), List.of(), List.of(), List.of(), List.of(), true))
                 .sync();
-        assertTrue(heardByNew.poll(PATIENCE_SECONDS, TimeUnit.SECONDS).leaving());
+        assertTrue(receivedBySecond.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS).leaving());
     }
 
     @Test
-    public void should_go_on_after_a_datagram_that_is_no_report() throws Exception {
-        BlockingQueue<PeerReport> heard = new LinkedBlockingQueue<>();
-        PeerExchange exchange = exchange("one", heard);
+    public void should_continue_when_a_datagram_is_not_a_report() throws Exception {
+        BlockingQueue<PeerReport> received = new LinkedBlockingQueue<>();
+        PeerExchange exchange = exchange("one", received);
         byte[] garbage = "no report".getBytes(StandardCharsets.UTF_8);
-        byte[] report = PeerCodec.write(
+        byte[] report = PeerReportCodec.serialise(
                 new PeerReport("two", 1, 1, SHARES, List.of(), List.of(), List.of(), List.of(), List.of(), false));
-        try (DatagramSocket stranger = new DatagramSocket()) {
-            stranger.send(new DatagramPacket(garbage, garbage.length, exchange.address()));
-            stranger.send(new DatagramPacket(report, report.length, exchange.address()));
+        try (DatagramSocket socket = new DatagramSocket()) {
+            socket.send(new DatagramPacket(garbage, garbage.length, exchange.address()));
+            socket.send(new DatagramPacket(report, report.length, exchange.address()));
         }
 
-        assertEquals(heard.poll(PATIENCE_SECONDS, TimeUnit.SECONDS).entry(), "two");
+        assertEquals(received.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS).entry(), "two");
     }
 
     @Test
-    public void should_register_itself_once_and_read_the_others() throws Exception {
+    public void should_register_once_and_list_the_others_when_refreshed_repeatedly() throws Exception {
         InMemoryObjectStore store = new InMemoryObjectStore();
         BlockingQueue<Map<String, InetSocketAddress>> known = new LinkedBlockingQueue<>();
         InetSocketAddress first = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
         InetSocketAddress second = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7002);
-        new PeerDirectory(store, "one", first, known::add, log).step();
-        new PeerDirectory(store, "two", second, known::add, log).step();
-        new PeerDirectory(store, "two", second, known::add, log).step();
+        new PeerDirectory(store, "one", first, known::add, log).refresh();
+        new PeerDirectory(store, "two", second, known::add, log).refresh();
+        new PeerDirectory(store, "two", second, known::add, log).refresh();
 
         assertEquals(known.poll(), Map.of("one", first));
         assertEquals(known.poll(), Map.of("one", first, "two", second));
@@ -144,21 +147,21 @@
     // Guards against an entry that no other entry discovers because the store has lost its registration with its latest
     // writes.
     @Test
-    public void should_register_itself_again_where_the_store_has_lost_it() throws Exception {
+    public void should_register_again_when_the_store_has_lost_the_registration() throws Exception {
         InMemoryObjectStore store = new InMemoryObjectStore();
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
-        PeerDirectory directory = new PeerDirectory(store, "one", address, heard -> {}, log);
-        directory.step();
+        PeerDirectory directory = new PeerDirectory(store, "one", address, addresses -> {}, log);
+        directory.refresh();
         for (int time = 0; time < 2; time++) {
             store.comeBackFrom(List.of());
-            directory.step();
+            directory.refresh();
 
             assertEquals(store.list(ObjectKind.ENTRY_REGISTRATION).objects().size(), 1);
         }
     }
 
-    private PeerExchange exchange(String entry, BlockingQueue<PeerReport> heard) throws Exception {
-        PeerExchange exchange = new PeerExchange(entry, new SystemTimeSource(), group.next(), log, heard::add);
+    private PeerExchange exchange(String entry, BlockingQueue<PeerReport> received) throws Exception {
+        PeerExchange exchange = new PeerExchange(entry, new SystemTimeSource(), group.next(), log, received::add);
         exchange.open(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return exchange;
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
@@ -15,9 +15,9 @@
     private ReportSender() {}
 
     /** Reports a role change that was ordered of an engine to the entry with the given registration. */
-    public static void tell(StoredObject registration, RoleChange change) throws IOException {
-        InetSocketAddress address = PeerAddress.read(registration).orElseThrow();
-        byte[] report = PeerCodec.write(new PeerReport(
+    public static void sendRoleChange(StoredObject registration, RoleChange change) throws IOException {
+        InetSocketAddress address = PeerAddressCodec.parse(registration).orElseThrow();
+        byte[] report = PeerReportCodec.serialise(new PeerReport(
                 "another-entry", 1, 1, Map.of(), List.of(), List.of(), List.of(), List.of(change), List.of(), false));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.send(new DatagramPacket(report, report.length, address));
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -194,7 +194,7 @@
     /** Lets another entry tell that it has ordered a server to take another role; returns when the gateway knows. */
     public void roleChanging(String server, EngineRole role) throws StoreException, IOException {
         ObjectKey own = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, "entry-under-test");
-        ReportSender.tell(store.read(own).orElseThrow(), new RoleChange(server, role));
+        ReportSender.sendRoleChange(store.read(own).orElseThrow(), new RoleChange(server, role));
         for (long begun = System.nanoTime(); System.nanoTime() - begun < PATIENCE.toNanos(); ) {
             if (state().contains("\"changing\" : true")) {
                 return;
