--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryMembers.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryMembers.java
@@ -28,7 +28,7 @@
 
     /** Reads the lagging list, connects where there is no link, and probes where there is one. */
     void work() {
-        view.hostList(world.laggingHostList());
+        view.hostListRead(world.laggingHostList());
         for (SoakService service : entry.house().services()) {
             Link link = links.computeIfAbsent(service.name(), unused -> new Link());
             if (link.cutUntil > world.now()) {
@@ -62,13 +62,16 @@
     void tellLeaving(SoakService service) {
         Link link = links.get(service.name());
         if (link != null && link.agent == service.current()) {
-            say(link, () -> view.leaving(service.name(), service.current().incarnation()));
+            say(
+                    link,
+                    () -> view.leavingAnnounced(
+                            service.name(), service.current().incarnation()));
         }
     }
 
     Optional<SoakService> anyServing() {
         List<SoakService> serving = entry.house().services().stream()
-                .filter(service -> view.takesNewWork(service.name()))
+                .filter(service -> view.acceptsNewWork(service.name()))
                 .toList();
         if (serving.isEmpty()) {
             return Optional.empty();
@@ -80,7 +83,7 @@
 
     private void checkLeaving(SoakService chosen) {
         OptionalLong since = chosen.current().leavingSince();
-        long bound = MembershipSettings.DEFAULT.leavingBound().toNanos();
+        long bound = MembershipSettings.DEFAULT.maxLeavingDelay().toNanos();
         if (since.isPresent() && world.now() - since.getAsLong() > bound) {
             world.violations()
                     .report(entry.incarnation() + " sent new work to " + chosen.name() + " "
@@ -95,7 +98,7 @@
         ServiceAgent agent = link.agent;
         long since = world.now();
         long connection = link.connection;
-        say(link, () -> view.hello(service.name(), agent.incarnation(), connection, since));
+        say(link, () -> view.helloReceived(service.name(), agent.incarnation(), connection, since));
         if (agent.leavingSince().isPresent()) {
             tellLeaving(service);
         }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryStreams.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryStreams.java
@@ -45,7 +45,7 @@
         StreamRequest request = new StreamRequest(
                 RequestId.draw(world.random()), 1 + world.random().nextInt(MOST_TOKENS));
         requests.received();
-        budget.firstAttempt();
+        budget.recordFirstAttempt();
         Open stream = new Open(request);
         open.put(request.id(), stream);
         dispatch(stream);
@@ -129,7 +129,8 @@
     }
 
     private void retry(Open stream) {
-        boolean allowed = stream.assembly.attempt() < MOST_ATTEMPTS && budget.retry() instanceof RetryDecision.Granted;
+        boolean allowed =
+                stream.assembly.attempt() < MOST_ATTEMPTS && budget.tryAcquire() instanceof RetryDecision.Granted;
         if (!allowed) {
             giveUp(stream);
             return;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/HostListEntry.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/HostListEntry.java
@@ -3,7 +3,7 @@
 /**
  * One entry of the platform's host list, which lags behind the actual state.
  *
- * @param backend the backend server on that host
+ * @param server the backend server on that host
  * @param leaving whether the platform is about to remove the host
  */
-public record HostListEntry(String backend, boolean leaving) {}
+public record HostListEntry(String server, boolean leaving) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
@@ -32,7 +32,7 @@
 public final class MembershipView {
     private final MembershipSettings settings;
     private final TimeSource time;
-    private final Map<String, Member> members = new HashMap<>();
+    private final Map<String, MemberRecord> members = new HashMap<>();
 
     public MembershipView(MembershipSettings settings, TimeSource time) {
         this.settings = settings;
@@ -45,8 +45,8 @@
      * @param connection sequence number of this process's connections, to detect a late hello from an earlier one
      * @param connectingSinceNanoseconds when this process began to connect; the hello was sent after this time
      */
-    public void hello(String backend, String incarnation, long connection, long connectingSinceNanoseconds) {
-        member(backend).hello(incarnation, connection, connectingSinceNanoseconds);
+    public void helloReceived(String server, String incarnation, long connection, long connectingSinceNanoseconds) {
+        member(server).helloReceived(incarnation, connection, connectingSinceNanoseconds);
     }
 
     /**
@@ -55,60 +55,62 @@
      * <p>It proves that the agent was alive, and had not yet announced that it leaves, when the probe was sent, not
      * when the response arrived: on a slow link, responses keep arriving long after the agent has begun to leave.
      */
-    public void probeAnswered(String backend, long connection, long probeSentNanoseconds) {
-        find(backend).ifPresent(member -> member.alive(connection, probeSentNanoseconds));
+    public void probeAnswered(String server, long connection, long probeSentNanoseconds) {
+        find(server).ifPresent(member -> member.probeAnswered(connection, probeSentNanoseconds));
     }
 
     /** Records the loss of a connection. */
-    public void linkLost(String backend, long connection) {
-        find(backend).ifPresent(member -> member.linkLost(connection));
+    public void linkLost(String server, long connection) {
+        find(server).ifPresent(member -> member.linkLost(connection));
     }
 
     /** Records an agent's announcement that its backend server leaves. */
-    public void leaving(String backend, String incarnation) {
-        member(backend).leaving(incarnation);
+    public void leavingAnnounced(String server, String incarnation) {
+        member(server).leavingAnnounced(incarnation);
     }
 
-    /** Replaces the host list by the one that was read last. */
-    public void hostList(List<HostListEntry> entries) {
-        Set<String> listed = entries.stream().map(HostListEntry::backend).collect(Collectors.toSet());
-        entries.forEach(entry -> member(entry.backend()).listed(entry.leaving()));
-        members.forEach((backend, member) -> {
-            if (!listed.contains(backend)) {
-                member.unlisted();
+    /** Processes the complete host list as it was last read. */
+    public void hostListRead(List<HostListEntry> entries) {
+        Set<String> listed = entries.stream().map(HostListEntry::server).collect(Collectors.toSet());
+        entries.forEach(entry -> member(entry.server()).listed(entry.leaving()));
+        members.forEach((server, member) -> {
+            if (!listed.contains(server)) {
+                member.removedFromList();
             }
         });
     }
 
     /** Returns the current state of a backend server. */
-    public Standing standing(String backend) {
-        long now = time.monotonicNanoseconds();
-        long silence = settings.silenceAllowed().toNanos();
-        return find(backend).map(member -> member.standing(now, silence)).orElseGet(Standing.Unmet::new);
+    public ServerState state(String server) {
+        long nowNanos = time.monotonicNanoseconds();
+        long linkTimeoutNanos = settings.linkTimeout().toNanos();
+        return find(server)
+                .map(member -> member.state(nowNanos, linkTimeoutNanos))
+                .orElseGet(ServerState.NeverConnected::new);
     }
 
     /** Returns whether new work may currently be sent to a backend server. */
-    public boolean takesNewWork(String backend) {
-        return standing(backend).takesNewWork();
+    public boolean acceptsNewWork(String server) {
+        return state(server).acceptsNewWork();
     }
 
     /** Returns the states of all known backend servers, for the state dump. */
-    public Map<String, Standing> all() {
-        Map<String, Standing> standings = new TreeMap<>();
-        members.keySet().forEach(backend -> standings.put(backend, standing(backend)));
-        return standings;
+    public Map<String, ServerState> states() {
+        Map<String, ServerState> states = new TreeMap<>();
+        members.keySet().forEach(server -> states.put(server, state(server)));
+        return states;
     }
 
     /** Removes backend servers that no document names any more. */
-    public void retain(Set<String> backends) {
-        members.keySet().retainAll(backends);
+    public void retainOnly(Set<String> servers) {
+        members.keySet().retainAll(servers);
     }
 
-    private Member member(String backend) {
-        return members.computeIfAbsent(backend, unused -> new Member());
+    private MemberRecord member(String server) {
+        return members.computeIfAbsent(server, unused -> new MemberRecord());
     }
 
-    private Optional<Member> find(String backend) {
-        return Optional.ofNullable(members.get(backend));
+    private Optional<MemberRecord> find(String server) {
+        return Optional.ofNullable(members.get(server));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Standing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/ServerState.java
@@ -1,33 +1,33 @@
 package org.aspenmoor.internal.membership;
 
 /** State of a backend server as seen by one entry. */
-public sealed interface Standing {
+public sealed interface ServerState {
     /** Accepts new work. */
-    record Serving() implements Standing {}
+    record Serving() implements ServerState {}
 
     /**
      * Accepts no new work and finishes its running requests.
      *
-     * @param said the source of the information that it leaves
+     * @param source the source of the information that it leaves
      */
-    record Leaving(Witness said) implements Standing {}
+    record Leaving(Source source) implements ServerState {}
 
     /**
      * Its link is disconnected or unresponsive; it may have announced that it leaves without this entry receiving
      * it.
      */
-    record Silent() implements Standing {}
+    record Unresponsive() implements ServerState {}
 
     /** No agent of this server has ever sent a hello on a link. */
-    record Unmet() implements Standing {}
+    record NeverConnected() implements ServerState {}
 
     /** Returns whether new work may be sent. */
-    default boolean takesNewWork() {
+    default boolean acceptsNewWork() {
         return this instanceof Serving;
     }
 
     /** Source of the information that a backend server leaves. */
-    enum Witness {
+    enum Source {
         /** The agent next to the server. */
         AGENT,
         /** The platform's host list marks it as leaving. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/BreakerDecision.java
@@ -5,7 +5,7 @@
 /** Whether an attempt may be sent to a backend server. */
 public sealed interface BreakerDecision {
     /** The attempt is allowed; the server works. */
-    record Pass() implements BreakerDecision {}
+    record Allowed() implements BreakerDecision {}
 
     /** The attempt is allowed as a trial that shows whether the server works again after earlier failures. */
     record Trial() implements BreakerDecision {}
@@ -13,7 +13,7 @@
     /**
      * The attempt is rejected: the server failed recently, or a trial is in progress.
      *
-     * @param comeBackAfter time until the next trial is due
+     * @param retryAfter time until the next trial is due
      */
-    record Open(Duration comeBackAfter) implements BreakerDecision {}
+    record Rejected(Duration retryAfter) implements BreakerDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
@@ -15,8 +15,8 @@
  * <p>Used by one thread only.
  */
 public final class CircuitBreaker {
-    private static final double SHORTEST_SHARE = 0.75;
-    private static final double VARYING_SHARE = 0.5;
+    private static final double MIN_JITTER_FACTOR = 0.75;
+    private static final double JITTER_RANGE = 0.5;
 
     private final BreakerSettings settings;
     private final TimeSource time;
@@ -33,59 +33,59 @@
      * Requests permission for an attempt; a {@link BreakerDecision.Trial} must be followed by its success or
      * failure.
      */
-    public BreakerDecision ask() {
+    public BreakerDecision tryAcquire() {
         return switch (state) {
-            case State.Closed closed -> new BreakerDecision.Pass();
-            case State.Opened opened -> askOpened(opened);
-            case State.Trying trying -> askTrying(trying);
+            case State.Closed closed -> new BreakerDecision.Allowed();
+            case State.Open open -> tryAcquireOpen(open);
+            case State.HalfOpen halfOpen -> tryAcquireHalfOpen(halfOpen);
         };
     }
 
     /** Records an attempt that was answered. */
-    public void succeeded() {
+    public void recordSuccess() {
         state = new State.Closed(0);
     }
 
     /** Records an attempt that failed or stalled. */
-    public void failed() {
+    public void recordFailure() {
         switch (state) {
             case State.Closed closed
-            when closed.failures() + 1 < settings.failuresInARow() -> state = new State.Closed(closed.failures() + 1);
-            case State.Closed closed -> open(settings.firstPause());
-            case State.Trying trying -> open(longer(trying.pause()));
-            case State.Opened opened -> {
+            when closed.failures() + 1 < settings.failureThreshold() -> state = new State.Closed(closed.failures() + 1);
+            case State.Closed closed -> open(settings.initialOpenTime());
+            case State.HalfOpen halfOpen -> open(doubledOpenTime(halfOpen.openTime()));
+            case State.Open open -> {
                 // The attempt was sent before the breaker opened and adds no information.
             }
         }
     }
 
-    private BreakerDecision askOpened(State.Opened opened) {
-        long remaining = opened.untilNanoseconds() - time.monotonicNanoseconds();
+    private BreakerDecision tryAcquireOpen(State.Open open) {
+        long remaining = open.untilNanoseconds() - time.monotonicNanoseconds();
         if (remaining > 0) {
-            return new BreakerDecision.Open(Duration.ofNanos(remaining));
+            return new BreakerDecision.Rejected(Duration.ofNanos(remaining));
         }
-        state = new State.Trying(opened.pause(), time.monotonicNanoseconds());
+        state = new State.HalfOpen(open.openTime(), time.monotonicNanoseconds());
         return new BreakerDecision.Trial();
     }
 
-    private BreakerDecision askTrying(State.Trying trying) {
-        Duration age = Duration.ofNanos(time.monotonicNanoseconds() - trying.sinceNanoseconds());
+    private BreakerDecision tryAcquireHalfOpen(State.HalfOpen halfOpen) {
+        Duration age = Duration.ofNanos(time.monotonicNanoseconds() - halfOpen.sinceNanoseconds());
         if (age.compareTo(settings.trialTimeout()) < 0) {
-            return new BreakerDecision.Open(settings.trialTimeout().minus(age));
+            return new BreakerDecision.Rejected(settings.trialTimeout().minus(age));
         }
-        open(longer(trying.pause()));
-        return ask();
+        open(doubledOpenTime(halfOpen.openTime()));
+        return tryAcquire();
     }
 
-    private void open(Duration pause) {
-        double share = SHORTEST_SHARE + VARYING_SHARE * random.nextDouble();
-        long varied = (long) (pause.toNanos() * share);
-        state = new State.Opened(pause, time.monotonicNanoseconds() + varied);
+    private void open(Duration openTime) {
+        double jitterFactor = MIN_JITTER_FACTOR + JITTER_RANGE * random.nextDouble();
+        long jitteredNanos = (long) (openTime.toNanos() * jitterFactor);
+        state = new State.Open(openTime, time.monotonicNanoseconds() + jitteredNanos);
     }
 
-    private Duration longer(Duration pause) {
-        Duration doubled = pause.multipliedBy(2);
-        return doubled.compareTo(settings.longestPause()) < 0 ? doubled : settings.longestPause();
+    private Duration doubledOpenTime(Duration openTime) {
+        Duration doubled = openTime.multipliedBy(2);
+        return doubled.compareTo(settings.maxOpenTime()) < 0 ? doubled : settings.maxOpenTime();
     }
 
     /** State of the breaker. */
@@ -94,9 +94,9 @@
         record Closed(int failures) implements State {}
 
         /** Attempts are rejected until the given time. */
-        record Opened(Duration pause, long untilNanoseconds) implements State {}
+        record Open(Duration openTime, long untilNanoseconds) implements State {}
 
         /** One trial is in progress. */
-        record Trying(Duration pause, long sinceNanoseconds) implements State {}
+        record HalfOpen(Duration openTime, long sinceNanoseconds) implements State {}
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
@@ -12,41 +12,41 @@
  * <p>Used by one thread only.
  */
 public final class RetryBudget {
-    private final double earnedByRequest;
-    private final double mostSaved;
-    private final Duration comeBackAfter;
-    private double saved;
+    private final double retriesPerRequest;
+    private final double maxRetries;
+    private final Duration retryAfter;
+    private double availableRetries;
 
     /**
      * Creates a budget that starts full.
      *
-     * @param earnedByRequest retries earned by each first attempt, for example 0.1
-     * @param mostSaved the maximum number of retries in the budget
-     * @param comeBackAfter the wait that a caller is told when the budget is exhausted
+     * @param retriesPerRequest retries earned by each first attempt, for example 0.1
+     * @param maxRetries the maximum number of retries in the budget
+     * @param retryAfter the wait that a caller is told when the budget is exhausted
      */
-    public RetryBudget(double earnedByRequest, double mostSaved, Duration comeBackAfter) {
-        this.earnedByRequest = earnedByRequest;
-        this.mostSaved = mostSaved;
-        this.comeBackAfter = comeBackAfter;
-        this.saved = mostSaved;
+    public RetryBudget(double retriesPerRequest, double maxRetries, Duration retryAfter) {
+        this.retriesPerRequest = retriesPerRequest;
+        this.maxRetries = maxRetries;
+        this.retryAfter = retryAfter;
+        this.availableRetries = maxRetries;
     }
 
     /** Records a first attempt. */
-    public void firstAttempt() {
-        saved = Math.min(mostSaved, saved + earnedByRequest);
+    public void recordFirstAttempt() {
+        availableRetries = Math.min(maxRetries, availableRetries + retriesPerRequest);
     }
 
     /** Takes a retry from the budget if one is left. */
-    public RetryDecision retry() {
-        if (saved < 1) {
-            return new RetryDecision.Spent(comeBackAfter);
+    public RetryDecision tryAcquire() {
+        if (availableRetries < 1) {
+            return new RetryDecision.Exhausted(retryAfter);
         }
-        saved -= 1;
+        availableRetries -= 1;
         return new RetryDecision.Granted();
     }
 
     /** Returns the number of retries left. */
-    public double saved() {
-        return saved;
+    public double availableRetries() {
+        return availableRetries;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryDecision.java
@@ -10,7 +10,7 @@
     /**
      * The budget is exhausted.
      *
-     * @param comeBackAfter how long the caller should wait before it retries
+     * @param retryAfter how long the caller should wait before it retries
      */
-    record Spent(Duration comeBackAfter) implements RetryDecision {}
+    record Exhausted(Duration retryAfter) implements RetryDecision {}
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 public class MembershipViewTest {
-    private static final String DESK = "desk-1";
+    private static final String SERVER = "desk-1";
 
     private ManualTimeSource time;
     private MembershipView view;
@@ -21,134 +21,134 @@
     public void setUp() {
         time = new ManualTimeSource();
         view = new MembershipView(MembershipSettings.DEFAULT, time);
-        view.hostList(List.of(new HostListEntry(DESK, false)));
-        view.hello(DESK, "agent#1", 1, time.monotonicNanoseconds());
+        view.hostListRead(List.of(new HostListEntry(SERVER, false)));
+        view.helloReceived(SERVER, "agent#1", 1, time.monotonicNanoseconds());
     }
 
     // The agent is stopped and announces that it leaves, but the platform's list names the host as live for a
     // minute more. Work sent according to the list would reach a server that is about to terminate.
     @Test
-    public void should_take_the_agents_word_over_the_list() {
-        view.leaving(DESK, "agent#1");
-        view.hostList(List.of(new HostListEntry(DESK, false)));
+    public void should_follow_the_agent_when_the_list_contradicts_it() {
+        view.leavingAnnounced(SERVER, "agent#1");
+        view.hostListRead(List.of(new HostListEntry(SERVER, false)));
 
-        assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.AGENT));
+        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.AGENT));
     }
 
     // The platform withdraws a host whose agent has not been notified yet.
     @Test
-    public void should_take_the_lists_word_when_the_agent_says_nothing() {
-        view.hostList(List.of(new HostListEntry(DESK, true)));
-        assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.HOST_LIST));
+    public void should_follow_the_list_when_the_agent_has_announced_nothing() {
+        view.hostListRead(List.of(new HostListEntry(SERVER, true)));
+        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.HOST_LIST));
 
-        view.hostList(List.of());
-        assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.GONE_FROM_HOST_LIST));
+        view.hostListRead(List.of());
+        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.GONE_FROM_HOST_LIST));
     }
 
     @Test
-    public void should_serve_again_when_the_platform_takes_a_withdrawal_back() {
-        view.hostList(List.of(new HostListEntry(DESK, true)));
-        view.hostList(List.of(new HostListEntry(DESK, false)));
+    public void should_serve_again_when_the_platform_revokes_a_withdrawal() {
+        view.hostListRead(List.of(new HostListEntry(SERVER, true)));
+        view.hostListRead(List.of(new HostListEntry(SERVER, false)));
 
-        assertTrue(view.takesNewWork(DESK));
+        assertTrue(view.acceptsNewWork(SERVER));
     }
 
     // An entry is disconnected from an agent at the moment the agent announces that it leaves. The entry never
     // receives the announcement and would go on sending requests until the list catches up.
     @Test
-    public void should_send_nothing_within_the_bound_when_cut_off_from_a_leaving_agent() {
+    public void should_send_no_work_within_the_bound_when_disconnected_from_a_leaving_agent() {
         for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
             time.advance(Duration.ofMillis(500));
-            view.probeAnswered(DESK, 1, time.monotonicNanoseconds());
+            view.probeAnswered(SERVER, 1, time.monotonicNanoseconds());
         }
-        assertTrue(view.takesNewWork(DESK));
+        assertTrue(view.acceptsNewWork(SERVER));
 
-        time.advance(MembershipSettings.DEFAULT.silenceAllowed());
+        time.advance(MembershipSettings.DEFAULT.linkTimeout());
 
-        assertEquals(view.standing(DESK), new Standing.Silent());
-        view.probeAnswered(DESK, 1, time.monotonicNanoseconds());
-        assertTrue(view.takesNewWork(DESK));
+        assertEquals(view.state(SERVER), new ServerState.Unresponsive());
+        view.probeAnswered(SERVER, 1, time.monotonicNanoseconds());
+        assertTrue(view.acceptsNewWork(SERVER));
     }
 
     // On a slow link, responses to old probes keep arriving after the agent has announced that it leaves and before
     // the announcement arrives.
     @Test
-    public void should_not_count_the_late_answer_to_an_old_probe() {
-        long probeSent = time.monotonicNanoseconds();
-        time.advance(MembershipSettings.DEFAULT.silenceAllowed());
+    public void should_not_count_a_probe_response_when_it_arrives_late() {
+        long probeSentNanoseconds = time.monotonicNanoseconds();
+        time.advance(MembershipSettings.DEFAULT.linkTimeout());
 
-        view.probeAnswered(DESK, 1, probeSent);
+        view.probeAnswered(SERVER, 1, probeSentNanoseconds);
 
-        assertEquals(view.standing(DESK), new Standing.Silent());
+        assertEquals(view.state(SERVER), new ServerState.Unresponsive());
     }
 
     // The host is replaced and returns under the same address while the list still marks it as leaving or no longer
     // contains it.
     @Test
-    public void should_serve_a_host_that_returned_under_the_same_address() {
-        view.leaving(DESK, "agent#1");
-        view.hostList(List.of(new HostListEntry(DESK, true)));
-        view.linkLost(DESK, 1);
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
-
-        assertTrue(view.takesNewWork(DESK));
-        view.hostList(List.of());
-        assertTrue(view.takesNewWork(DESK));
+    public void should_serve_again_when_a_host_returns_under_the_same_address() {
+        view.leavingAnnounced(SERVER, "agent#1");
+        view.hostListRead(List.of(new HostListEntry(SERVER, true)));
+        view.linkLost(SERVER, 1);
+        view.helloReceived(SERVER, "agent#2", 2, time.monotonicNanoseconds());
+
+        assertTrue(view.acceptsNewWork(SERVER));
+        view.hostListRead(List.of());
+        assertTrue(view.acceptsNewWork(SERVER));
     }
 
     // The returned host is withdrawn again after the list has named it as live. The first withdrawal must not mask
     // the second.
     @Test
-    public void should_let_a_returned_host_leave_again() {
-        view.hostList(List.of(new HostListEntry(DESK, true)));
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
-        view.hostList(List.of(new HostListEntry(DESK, false)));
-        view.hostList(List.of(new HostListEntry(DESK, true)));
+    public void should_mark_a_returned_host_as_leaving_when_it_is_withdrawn_again() {
+        view.hostListRead(List.of(new HostListEntry(SERVER, true)));
+        view.helloReceived(SERVER, "agent#2", 2, time.monotonicNanoseconds());
+        view.hostListRead(List.of(new HostListEntry(SERVER, false)));
+        view.hostListRead(List.of(new HostListEntry(SERVER, true)));
 
-        assertEquals(view.standing(DESK), new Standing.Leaving(Standing.Witness.HOST_LIST));
+        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.HOST_LIST));
     }
 
     // Messages from before the return arrive late: the old agent's announcement, a hello from the old connection,
     // the loss of the old connection. The new agent must stay in service.
     @Test
-    public void should_ignore_late_words_about_an_earlier_incarnation() {
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
-        view.leaving(DESK, "agent#1");
-        view.hello(DESK, "agent#1", 1, time.monotonicNanoseconds());
-        view.linkLost(DESK, 1);
+    public void should_ignore_a_late_message_when_it_concerns_an_earlier_incarnation() {
+        view.helloReceived(SERVER, "agent#2", 2, time.monotonicNanoseconds());
+        view.leavingAnnounced(SERVER, "agent#1");
+        view.helloReceived(SERVER, "agent#1", 1, time.monotonicNanoseconds());
+        view.linkLost(SERVER, 1);
 
-        assertTrue(view.takesNewWork(DESK));
+        assertTrue(view.acceptsNewWork(SERVER));
     }
 
     // The announcement that an incarnation leaves arrives before the hello of the same incarnation on another
     // connection.
     @Test
-    public void should_not_serve_an_incarnation_that_has_already_left() {
-        view.leaving(DESK, "agent#2");
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
+    public void should_not_serve_an_incarnation_when_it_has_already_left() {
+        view.leavingAnnounced(SERVER, "agent#2");
+        view.helloReceived(SERVER, "agent#2", 2, time.monotonicNanoseconds());
 
-        assertFalse(view.takesNewWork(DESK));
+        assertFalse(view.acceptsNewWork(SERVER));
     }
 
     @Test
-    public void should_serve_a_new_host_that_the_list_does_not_name_yet() {
-        view.hello("desk-2", "agent#9", 3, time.monotonicNanoseconds());
-        view.hostList(List.of(new HostListEntry(DESK, false)));
+    public void should_serve_a_new_host_when_the_list_does_not_name_it_yet() {
+        view.helloReceived("desk-2", "agent#9", 3, time.monotonicNanoseconds());
+        view.hostListRead(List.of(new HostListEntry(SERVER, false)));
 
-        assertTrue(view.takesNewWork("desk-2"));
+        assertTrue(view.acceptsNewWork("desk-2"));
     }
 
     @Test
-    public void should_send_nothing_to_a_listed_host_that_never_said_hello() {
-        view.hostList(List.of(new HostListEntry("desk-3", false)));
+    public void should_send_no_work_to_a_listed_host_when_it_never_sent_a_hello() {
+        view.hostListRead(List.of(new HostListEntry("desk-3", false)));
 
-        assertEquals(view.standing("desk-3"), new Standing.Unmet());
+        assertEquals(view.state("desk-3"), new ServerState.NeverConnected());
     }
 
     @Test
-    public void should_forget_what_no_document_names() {
-        view.retain(Set.of());
+    public void should_remove_a_server_when_no_document_names_it() {
+        view.retainOnly(Set.of());
 
-        assertTrue(view.all().isEmpty());
+        assertTrue(view.states().isEmpty());
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/CircuitBreakerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/CircuitBreakerTest.java
@@ -21,56 +21,56 @@
 
     // An engine accepts requests and answers none. It looks idle and would be sent more and more requests.
     @Test
-    public void should_leave_an_engine_alone_that_fails_again_and_again() {
+    public void should_reject_attempts_when_an_engine_fails_repeatedly() {
         fail(2);
-        assertEquals(breaker.ask(), new BreakerDecision.Pass());
+        assertEquals(breaker.tryAcquire(), new BreakerDecision.Allowed());
         fail(1);
 
-        assertTrue(breaker.ask() instanceof BreakerDecision.Open);
+        assertTrue(breaker.tryAcquire() instanceof BreakerDecision.Rejected);
     }
 
     @Test
-    public void should_send_one_trial_after_the_pause() {
+    public void should_allow_one_trial_when_the_open_time_has_passed() {
         fail(3);
         time.advance(Duration.ofMillis(1250));
 
-        assertEquals(breaker.ask(), new BreakerDecision.Trial());
-        assertTrue(breaker.ask() instanceof BreakerDecision.Open);
-        breaker.succeeded();
-        assertEquals(breaker.ask(), new BreakerDecision.Pass());
+        assertEquals(breaker.tryAcquire(), new BreakerDecision.Trial());
+        assertTrue(breaker.tryAcquire() instanceof BreakerDecision.Rejected);
+        breaker.recordSuccess();
+        assertEquals(breaker.tryAcquire(), new BreakerDecision.Allowed());
     }
 
     @Test
-    public void should_pause_longer_after_each_failed_trial() {
+    public void should_stay_open_longer_when_a_trial_fails() {
         fail(3);
         for (int trial = 0; trial < 10; trial++) {
             time.advance(Duration.ofSeconds(40));
-            assertEquals(breaker.ask(), new BreakerDecision.Trial());
+            assertEquals(breaker.tryAcquire(), new BreakerDecision.Trial());
             fail(1);
         }
 
-        Duration comeBackAfter = ((BreakerDecision.Open) breaker.ask()).comeBackAfter();
-        assertTrue(comeBackAfter.compareTo(Duration.ofSeconds(22)) > 0);
-        assertTrue(comeBackAfter.compareTo(Duration.ofSeconds(38)) < 0);
+        Duration retryAfter = ((BreakerDecision.Rejected) breaker.tryAcquire()).retryAfter();
+        assertTrue(retryAfter.compareTo(Duration.ofSeconds(22)) > 0);
+        assertTrue(retryAfter.compareTo(Duration.ofSeconds(38)) < 0);
     }
 
     // The entry never learns the result of a trial because its caller disconnected. The breaker must not stay open
     // forever.
     @Test
-    public void should_try_again_when_a_trial_never_ends() {
+    public void should_allow_another_trial_when_a_trial_never_completes() {
         fail(3);
         time.advance(Duration.ofSeconds(2));
-        breaker.ask();
+        breaker.tryAcquire();
         time.advance(BreakerSettings.DEFAULT.trialTimeout());
-        assertTrue(breaker.ask() instanceof BreakerDecision.Open);
+        assertTrue(breaker.tryAcquire() instanceof BreakerDecision.Rejected);
         time.advance(Duration.ofSeconds(3));
 
-        assertEquals(breaker.ask(), new BreakerDecision.Trial());
+        assertEquals(breaker.tryAcquire(), new BreakerDecision.Trial());
     }
 
     private void fail(int times) {
         for (int failure = 0; failure < times; failure++) {
-            breaker.failed();
+            breaker.recordFailure();
         }
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/RetryBudgetTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/retry/RetryBudgetTest.java
@@ -10,13 +10,13 @@
     // Every engine fails for a while. Retrying each attempt until it succeeds would multiply the load when capacity
     // is lowest.
     @Test
-    public void should_bound_attempts_by_a_share_of_the_requests() {
+    public void should_limit_retries_to_a_fraction_of_the_requests_when_every_attempt_fails() {
         RetryBudget budget = new RetryBudget(0.1, 10, Duration.ofSeconds(1));
         int attempts = 0;
         for (int request = 0; request < 1000; request++) {
-            budget.firstAttempt();
+            budget.recordFirstAttempt();
             attempts++;
-            while (budget.retry() instanceof RetryDecision.Granted) {
+            while (budget.tryAcquire() instanceof RetryDecision.Granted) {
                 attempts++;
             }
         }
@@ -25,10 +25,10 @@
     }
 
     @Test
-    public void should_say_when_to_come_back() {
+    public void should_return_the_retry_delay_when_the_budget_is_exhausted() {
         RetryBudget budget = new RetryBudget(0.1, 1, Duration.ofSeconds(1));
-        budget.retry();
+        budget.tryAcquire();
 
-        assertEquals(budget.retry(), new RetryDecision.Spent(Duration.ofSeconds(1)));
+        assertEquals(budget.tryAcquire(), new RetryDecision.Exhausted(Duration.ofSeconds(1)));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -101,15 +101,15 @@
     private void restIfSlow(long began) {
         long now = time.monotonicNanoseconds();
         if (now - began >= SLOW_COMMIT.toNanos()) {
-            storeBreaker.failed();
+            storeBreaker.recordFailure();
             commitsRestUntil = now + REST_AFTER_SLOW_COMMIT.toNanos();
         }
     }
 
     private void ask(ClaimRequest request) {
-        if (storeBreaker.ask() instanceof BreakerDecision.Open open) {
+        if (storeBreaker.tryAcquire() instanceof BreakerDecision.Rejected open) {
             verdicts.accept(new ClaimVerdict.NotClaimed(
-                    request, open.comeBackAfter(), "The store did not answer the claims before this one."));
+                    request, open.retryAfter(), "The store did not answer the claims before this one."));
             return;
         }
         submit(request);
@@ -125,9 +125,9 @@
 
     private void judged(ClaimVerdict verdict) {
         if (verdict instanceof ClaimVerdict.NotClaimed) {
-            storeBreaker.failed();
+            storeBreaker.recordFailure();
         } else {
-            storeBreaker.succeeded();
+            storeBreaker.recordSuccess();
         }
         if (verdict instanceof ClaimVerdict.StillUnknown unknown && looksAgain(unknown.request())) {
             return;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.link.LinkNetwork;
 import org.aspenmoor.internal.membership.HostListEntry;
 import org.aspenmoor.internal.membership.MembershipView;
-import org.aspenmoor.internal.membership.Standing;
+import org.aspenmoor.internal.membership.ServerState;
 import org.aspenmoor.internal.registration.AgentRegistration;
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.wire.v1.Frame;
@@ -61,7 +61,7 @@
     void unregistered(String backend) {
         AgentPeer peer = peers.get(backend);
         if (peer != null) {
-            membership.leaving(backend, peer.registration().incarnation());
+            membership.leavingAnnounced(backend, peer.registration().incarnation());
         }
     }
 
@@ -90,7 +90,7 @@
         }
         connections++;
         peer.opened(link, connections);
-        membership.hello(peer.backend(), link.peer().getIncarnation(), connections, peer.connectTriedAt());
+        membership.helloReceived(peer.backend(), link.peer().getIncarnation(), connections, peer.connectTriedAt());
         byLink.put(link, peer);
         return Optional.of(peer);
     }
@@ -114,8 +114,8 @@
     void leaving(AgentPeer peer, String reason) {
         LOG.infof("entry: backend %s is leaving, %s", peer.backend(), reason);
         peer.link()
-                .ifPresent(
-                        link -> membership.leaving(peer.backend(), link.peer().getIncarnation()));
+                .ifPresent(link ->
+                        membership.leavingAnnounced(peer.backend(), link.peer().getIncarnation()));
     }
 
     void connectMissing(long now) {
@@ -146,11 +146,11 @@
 
     /** Says whether new work may go to a backend server. */
     boolean takesWork(AgentPeer peer) {
-        return peer.isReady() && membership.takesNewWork(peer.backend());
+        return peer.isReady() && membership.acceptsNewWork(peer.backend());
     }
 
-    Standing standing(AgentPeer peer) {
-        return membership.standing(peer.backend());
+    ServerState standing(AgentPeer peer) {
+        return membership.state(peer.backend());
     }
 
     /** Lists the backend servers of a service. */
@@ -184,7 +184,7 @@
                 entries.add(new HostListEntry(peer.backend(), leaving));
             }
         }
-        membership.hostList(entries);
+        membership.hostListRead(entries);
     }
 
     private static int slotOf(long probe) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AttemptDriver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AttemptDriver.java
@@ -52,7 +52,7 @@
 
     /** Starts a new request, lets it wait, or refuses it at once. */
     void admit(ActiveRequest request, long now) {
-        budgetOf(request).firstAttempt();
+        budgetOf(request).recordFirstAttempt();
         if (request.isGeneration() && anyTakesWork(request)) {
             serviceQueues.of(request.document()).offer(request, now).forEach(refusal -> refuse(refusal, now));
             pump(serviceQueues.of(request.document()), now);
@@ -84,7 +84,7 @@
 
     /** Takes that an attempt was lost after it was sent. */
     void lost(ActiveRequest request, String detail, long now) {
-        request.peer().ifPresent(peer -> peer.breaker().failed());
+        request.peer().ifPresent(peer -> peer.breaker().recordFailure());
         endAttempt(request, true, now);
         requestTable.trace(request, now, "attempt " + request.assembly().attempt() + " lost: " + detail);
         if (!request.kind().idempotent()) {
@@ -121,7 +121,7 @@
 
     /** Learns from a whole generation. */
     void answered(ActiveRequest request) {
-        request.peer().ifPresent(peer -> peer.breaker().succeeded());
+        request.peer().ifPresent(peer -> peer.breaker().recordSuccess());
         if (request.isGeneration()) {
             serviceQueues
                     .of(request.document())
@@ -186,12 +186,12 @@
             return;
         }
         // A stream that has begun is always finished; only work that has given nothing yet competes for retries.
-        if (!request.hasBegun() && budgetOf(request).retry() instanceof RetryDecision.Spent spent) {
+        if (!request.hasBegun() && budgetOf(request).tryAcquire() instanceof RetryDecision.Exhausted spent) {
             giveUp(
                     request,
                     new Outcome.NotRun(
                             RefusalReason.RETRY_BUDGET_SPENT,
-                            spent.comeBackAfter(),
+                            spent.retryAfter(),
                             "The attempt failed and the team's budget for retries is spent: " + detail),
                     now);
             return;
@@ -289,7 +289,7 @@
     }
 
     private static boolean passesBreaker(AgentPeer peer) {
-        return !(peer.breaker().ask() instanceof BreakerDecision.Open);
+        return !(peer.breaker().tryAcquire() instanceof BreakerDecision.Rejected);
     }
 
     private void dispatch(ActiveRequest request, AgentPeer peer, long now) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.duty.DutyHandler;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.link.Link;
-import org.aspenmoor.internal.membership.Standing;
+import org.aspenmoor.internal.membership.ServerState;
 import org.aspenmoor.internal.planner.EngineSnapshot;
 import org.aspenmoor.internal.settings.EntrySettings;
 import org.aspenmoor.internal.time.TimeSource;
@@ -231,7 +231,7 @@
     // requests would hang until the caller's own time-out. An agent that answers none within the bound loses its link.
     private void closeSilentLinks() {
         for (AgentPeer peer : directory.all()) {
-            if (peer.link().isPresent() && directory.standing(peer) instanceof Standing.Silent) {
+            if (peer.link().isPresent() && directory.standing(peer) instanceof ServerState.Unresponsive) {
                 LOG.warnf("entry: agent of %s is silent, closing its link", peer.backend());
                 peer.link().get().close();
             }
@@ -319,12 +319,12 @@
         load.getLoadedList().forEach(loaded::add);
     }
 
-    private static String leavingText(Standing standing) {
+    private static String leavingText(ServerState standing) {
         return switch (standing) {
-            case Standing.Leaving leaving -> "said by " + leaving.said();
-            case Standing.Silent ignored -> "its agent is silent";
-            case Standing.Unmet ignored -> "";
-            case Standing.Serving ignored -> "";
+            case ServerState.Leaving leaving -> "said by " + leaving.source();
+            case ServerState.Unresponsive ignored -> "its agent is silent";
+            case ServerState.NeverConnected ignored -> "";
+            case ServerState.Serving ignored -> "";
         };
     }
 
