--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineSimulationTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/QuarantineSimulationTest.java
@@ -34,7 +34,7 @@
     }
 
     // Guards against a fatal request that keeps reaching servers after all entries should know of it.
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "faults")
     public void should_rarely_run_a_fatal_request_when_all_entries_can_know_of_it(FleetFaults faults) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             assertFewLateRuns(simulate(faults, seed), faults, seed);
@@ -51,7 +51,7 @@
 
     // Guards against refusing a repeated request that is regularly answered, because servers terminated while
     // processing it.
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "faults")
     public void should_never_refuse_a_repeated_request_when_it_is_answered(FleetFaults faults) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             assertEquals(simulate(faults, seed).repeatedRefused(), 0, faults + ", seed " + seed);
@@ -59,7 +59,7 @@
     }
 
     // Guards against refusing requests that were on the same server as a fatal one.
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "faults")
     public void should_refuse_few_requests_when_they_shared_a_server_with_a_fatal_one(FleetFaults faults) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             double fraction = simulate(faults, seed).refusedFraction();
@@ -68,7 +68,7 @@
     }
 
     // Guards against a quarantine that refuses more requests than the saved servers answer.
-    @Test(dataProvider = "troubles")
+    @Test(dataProvider = "faults")
     public void should_answer_more_requests_when_the_quarantine_is_enabled(FleetFaults faults) {
         for (int seed = 1; seed <= SEEDS; seed++) {
             FleetSimulation without = new FleetSimulation(faults, seed, false);
