--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MemberRecord.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Member.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /** What one entry knows about one backend server. */
-final class MemberRecord {
+final class Member {
     private static final int MAX_DEPARTED_INCARNATIONS = 8;
 
     private final Deque<String> departedIncarnations = new ArrayDeque<>();
@@ -13,7 +13,7 @@
     private long connection = -1;
     private boolean connected;
     private long lastAliveNanoseconds;
-    private Optional<ServerState.Source> listSource = Optional.empty();
+    private Optional<MembershipState.Source> listSource = Optional.empty();
     private Optional<String> withdrawnIncarnation = Optional.empty();
     private boolean wasListed;
 
@@ -53,7 +53,7 @@
     void listed(boolean leaving) {
         wasListed = true;
         if (leaving) {
-            withdraw(ServerState.Source.HOST_LIST);
+            withdraw(MembershipState.Source.HOST_LIST);
         } else {
             listSource = Optional.empty();
             withdrawnIncarnation = Optional.empty();
@@ -62,31 +62,31 @@
 
     void removedFromList() {
         if (wasListed) {
-            withdraw(ServerState.Source.GONE_FROM_HOST_LIST);
+            withdraw(MembershipState.Source.GONE_FROM_HOST_LIST);
         }
     }
 
-    private void withdraw(ServerState.Source source) {
+    private void withdraw(MembershipState.Source source) {
         if (withdrawnIncarnation.isEmpty()) {
             withdrawnIncarnation = incarnation;
         }
         listSource = Optional.of(source);
     }
 
-    ServerState state(long nowNanoseconds, long linkTimeoutNanoseconds) {
+    MembershipState state(long nowNanoseconds, long linkTimeoutNanoseconds) {
         if (incarnation.isEmpty()) {
-            return new ServerState.NeverConnected();
+            return new MembershipState.NeverConnected();
         }
         if (departedIncarnations.contains(incarnation.get())) {
-            return new ServerState.Leaving(ServerState.Source.AGENT);
+            return new MembershipState.Leaving(MembershipState.Source.AGENT);
         }
         if (!connected || nowNanoseconds - lastAliveNanoseconds >= linkTimeoutNanoseconds) {
-            return new ServerState.Unresponsive();
+            return new MembershipState.Unresponsive();
         }
         if (listSource.isPresent() && !isStartedAfterWithdrawal()) {
-            return new ServerState.Leaving(listSource.get());
+            return new MembershipState.Leaving(listSource.get());
         }
-        return new ServerState.Serving();
+        return new MembershipState.Serving();
     }
 
     /** Returns whether the connected agent is another incarnation than the one that the host list withdrew. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/ServerState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipState.java
@@ -1,25 +1,25 @@
 package org.aspenmoor.internal.membership;
 
 /** State of a backend server as seen by one entry. */
-public sealed interface ServerState {
+public sealed interface MembershipState {
     /** Accepts new work. */
-    record Serving() implements ServerState {}
+    record Serving() implements MembershipState {}
 
     /**
      * Accepts no new work and finishes its running requests.
      *
      * @param source the source of the information that it leaves
      */
-    record Leaving(Source source) implements ServerState {}
+    record Leaving(Source source) implements MembershipState {}
 
     /**
      * Its link is disconnected or unresponsive; it may have announced that it leaves without this entry receiving
      * it.
      */
-    record Unresponsive() implements ServerState {}
+    record Unresponsive() implements MembershipState {}
 
     /** No agent of this server has ever sent a hello on a link. */
-    record NeverConnected() implements ServerState {}
+    record NeverConnected() implements MembershipState {}
 
     /** Returns whether new work may be sent. */
     default boolean acceptsNewWork() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
@@ -32,7 +32,7 @@
 public final class MembershipView {
     private final MembershipSettings settings;
     private final TimeSource time;
-    private final Map<String, MemberRecord> members = new HashMap<>();
+    private final Map<String, Member> members = new HashMap<>();
 
     public MembershipView(MembershipSettings settings, TimeSource time) {
         this.settings = settings;
@@ -81,12 +81,12 @@
     }
 
     /** Returns the current state of a backend server. */
-    public ServerState state(String server) {
+    public MembershipState state(String server) {
         long nowNanos = time.monotonicNanoseconds();
         long linkTimeoutNanos = settings.linkTimeout().toNanos();
         return find(server)
                 .map(member -> member.state(nowNanos, linkTimeoutNanos))
-                .orElseGet(ServerState.NeverConnected::new);
+                .orElseGet(MembershipState.NeverConnected::new);
     }
 
     /** Returns whether new work may currently be sent to a backend server. */
@@ -95,8 +95,8 @@
     }
 
     /** Returns the states of all known backend servers, for the state dump. */
-    public Map<String, ServerState> states() {
-        Map<String, ServerState> states = new TreeMap<>();
+    public Map<String, MembershipState> states() {
+        Map<String, MembershipState> states = new TreeMap<>();
         members.keySet().forEach(server -> states.put(server, state(server)));
         return states;
     }
@@ -106,11 +106,11 @@
         members.keySet().retainAll(servers);
     }
 
-    private MemberRecord member(String server) {
-        return members.computeIfAbsent(server, unused -> new MemberRecord());
+    private Member member(String server) {
+        return members.computeIfAbsent(server, unused -> new Member());
     }
 
-    private Optional<MemberRecord> find(String server) {
+    private Optional<Member> find(String server) {
         return Optional.ofNullable(members.get(server));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
@@ -15,10 +15,10 @@
  * Decides which requests are withheld from servers because servers that processed them terminated. Confined to one
  * thread.
  *
- * <p>A request that crashes every server that processes it is sent again by its caller, at any entry, and can take
- * down server after server until no request is served. Terminations are therefore counted across all arrivals and
- * entries. A server that terminates also fails the other requests it was processing. These are told apart by their
- * answers: a request that is answered, elsewhere or shortly before, is cleared.
+ * <p>A request that crashes every server that processes it is sent again by its caller, at any entry, and can
+ * terminate server after server until no request is served. Terminations are therefore counted across all arrivals
+ * and entries. A server that terminates also fails the other requests it was processing. Answers distinguish those
+ * from the cause: a request that is answered, elsewhere or shortly before, is cleared.
  */
 public final class Quarantine {
     /** Minimum number of terminations without an answer between them that is unlikely to be a coincidence. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
@@ -80,7 +80,7 @@
         List<BackendServer> candidates = new ArrayList<>(from);
         List<BackendServer> remainingDecodeEngines = new ArrayList<>(decodeEngines);
         List<PlannedRoleChange> changes = new ArrayList<>();
-        for (int move = 0; move < count && !candidates.isEmpty(); move++) {
+        for (int index = 0; index < count && !candidates.isEmpty(); index++) {
             Comparator<BackendServer> byDecodeEngines =
                     Comparator.comparingLong(server -> countInSameDataCentre(server, remainingDecodeEngines));
             Comparator<BackendServer> order = role == EngineRole.PREFILL ? byDecodeEngines.reversed() : byDecodeEngines;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
@@ -32,17 +32,17 @@
         view.leavingAnnounced(SERVER, "agent#1");
         view.hostListRead(List.of(new HostListEntry(SERVER, false)));
 
-        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.AGENT));
+        assertEquals(view.state(SERVER), new MembershipState.Leaving(MembershipState.Source.AGENT));
     }
 
     // The platform withdraws a host whose agent has not been notified yet.
     @Test
     public void should_follow_the_list_when_the_agent_has_announced_nothing() {
         view.hostListRead(List.of(new HostListEntry(SERVER, true)));
-        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.HOST_LIST));
+        assertEquals(view.state(SERVER), new MembershipState.Leaving(MembershipState.Source.HOST_LIST));
 
         view.hostListRead(List.of());
-        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.GONE_FROM_HOST_LIST));
+        assertEquals(view.state(SERVER), new MembershipState.Leaving(MembershipState.Source.GONE_FROM_HOST_LIST));
     }
 
     @Test
@@ -65,7 +65,7 @@
 
         time.advance(MembershipSettings.DEFAULT.linkTimeout());
 
-        assertEquals(view.state(SERVER), new ServerState.Unresponsive());
+        assertEquals(view.state(SERVER), new MembershipState.Unresponsive());
         view.probeAnswered(SERVER, 1, time.monotonicNanoseconds());
         assertTrue(view.acceptsNewWork(SERVER));
     }
@@ -79,7 +79,7 @@
 
         view.probeAnswered(SERVER, 1, probeSentNanoseconds);
 
-        assertEquals(view.state(SERVER), new ServerState.Unresponsive());
+        assertEquals(view.state(SERVER), new MembershipState.Unresponsive());
     }
 
     // The host is replaced and returns under the same address while the list still marks it as leaving or no longer
@@ -105,7 +105,7 @@
         view.hostListRead(List.of(new HostListEntry(SERVER, false)));
         view.hostListRead(List.of(new HostListEntry(SERVER, true)));
 
-        assertEquals(view.state(SERVER), new ServerState.Leaving(ServerState.Source.HOST_LIST));
+        assertEquals(view.state(SERVER), new MembershipState.Leaving(MembershipState.Source.HOST_LIST));
     }
 
     // Messages from before the return arrive late: the old agent's announcement, a hello from the old connection,
@@ -142,7 +142,7 @@
     public void should_send_no_work_to_a_listed_host_when_it_never_sent_a_hello() {
         view.hostListRead(List.of(new HostListEntry("desk-3", false)));
 
-        assertEquals(view.state("desk-3"), new ServerState.NeverConnected());
+        assertEquals(view.state("desk-3"), new MembershipState.NeverConnected());
     }
 
     @Test
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FatalRequestRuns.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/FatalRequestRuns.java
@@ -5,7 +5,7 @@
 
 /** The server terminations caused by one fatal request in a simulation. */
 final class FatalRequestRuns {
-    private static final int THIRD = 2;
+    private static final int THIRD_INDEX = 2;
 
     private final List<Long> terminatedAtMillis = new ArrayList<>();
 
@@ -19,10 +19,10 @@
 
     /** Returns how many terminations happened more than the given time after the third. */
     int terminationsLaterThan(long delayMillis) {
-        if (terminatedAtMillis.size() <= THIRD) {
+        if (terminatedAtMillis.size() <= THIRD_INDEX) {
             return 0;
         }
-        long thresholdMillis = terminatedAtMillis.get(THIRD) + delayMillis;
+        long thresholdMillis = terminatedAtMillis.get(THIRD_INDEX) + delayMillis;
         return (int) terminatedAtMillis.stream()
                 .filter(atMillis -> atMillis > thresholdMillis)
                 .count();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicyTest.java
@@ -18,14 +18,14 @@
         List<PlannedRoleChange> changes = policy.plannedChanges(engines(3, 5), true);
 
         assertEquals(changes.size(), 2);
-        assertTrue(changes.stream().allMatch(move -> move.role() == EngineRole.PREFILL));
+        assertTrue(changes.stream().allMatch(change -> change.role() == EngineRole.PREFILL));
     }
 
     @Test
     public void should_spread_decode_engines_over_data_centres_when_changing_roles() {
         List<PlannedRoleChange> changes = policy.plannedChanges(engines(3, 5), true);
         List<BackendServer> unchanged = new ArrayList<>(engines(3, 5));
-        changes.forEach(move -> unchanged.remove(move.server()));
+        changes.forEach(change -> unchanged.remove(change.server()));
         List<String> dataCentres = unchanged.stream()
                 .filter(engine -> engine.role() == EngineRole.DECODE)
                 .map(BackendServer::dataCentre)
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
@@ -11,8 +11,8 @@
 import org.aspenmoor.internal.link.Link;
 import org.aspenmoor.internal.link.LinkNetwork;
 import org.aspenmoor.internal.membership.HostListEntry;
+import org.aspenmoor.internal.membership.MembershipState;
 import org.aspenmoor.internal.membership.MembershipView;
-import org.aspenmoor.internal.membership.ServerState;
 import org.aspenmoor.internal.registration.AgentRegistration;
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.wire.v1.Frame;
@@ -149,7 +149,7 @@
         return peer.isReady() && membership.acceptsNewWork(peer.backend());
     }
 
-    ServerState standing(AgentPeer peer) {
+    MembershipState standing(AgentPeer peer) {
         return membership.state(peer.backend());
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.duty.DutyHandler;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.link.Link;
-import org.aspenmoor.internal.membership.ServerState;
+import org.aspenmoor.internal.membership.MembershipState;
 import org.aspenmoor.internal.planner.EngineSnapshot;
 import org.aspenmoor.internal.settings.EntrySettings;
 import org.aspenmoor.internal.time.TimeSource;
@@ -231,7 +231,7 @@
     // requests would hang until the caller's own time-out. An agent that answers none within the bound loses its link.
     private void closeSilentLinks() {
         for (AgentPeer peer : directory.all()) {
-            if (peer.link().isPresent() && directory.standing(peer) instanceof ServerState.Unresponsive) {
+            if (peer.link().isPresent() && directory.standing(peer) instanceof MembershipState.Unresponsive) {
                 LOG.warnf("entry: agent of %s is silent, closing its link", peer.backend());
                 peer.link().get().close();
             }
@@ -319,12 +319,12 @@
         load.getLoadedList().forEach(loaded::add);
     }
 
-    private static String leavingText(ServerState standing) {
+    private static String leavingText(MembershipState standing) {
         return switch (standing) {
-            case ServerState.Leaving leaving -> "said by " + leaving.source();
-            case ServerState.Unresponsive ignored -> "its agent is silent";
-            case ServerState.NeverConnected ignored -> "";
-            case ServerState.Serving ignored -> "";
+            case MembershipState.Leaving leaving -> "said by " + leaving.source();
+            case MembershipState.Unresponsive ignored -> "its agent is silent";
+            case MembershipState.NeverConnected ignored -> "";
+            case MembershipState.Serving ignored -> "";
         };
     }
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -91,26 +91,27 @@
     // sender address.
     @Test
     public void should_exchange_reports_when_only_one_entry_knows_the_other() throws Exception {
-        BlockingQueue<PeerReport> receivedByFirst = new LinkedBlockingQueue<>();
-        BlockingQueue<PeerReport> receivedBySecond = new LinkedBlockingQueue<>();
-        PeerExchange first = exchange("old", receivedByFirst);
-        PeerExchange second = exchange("young", receivedBySecond);
+        BlockingQueue<PeerReport> receivedByOld = new LinkedBlockingQueue<>();
+        BlockingQueue<PeerReport> receivedByNew = new LinkedBlockingQueue<>();
+        PeerExchange oldEntry = exchange("old", receivedByOld);
+        PeerExchange newEntry = exchange("young", receivedByNew);
         group.next()
-                .submit(() -> second.replacePeers(Map.of("old", first.address())))
+                .submit(() -> newEntry.replacePeers(Map.of("old", oldEntry.address())))
                 .sync();
         group.next()
-                .submit(() -> second.sendReport(SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, TERMINATIONS, false))
+                .submit(() -> newEntry.sendReport(SHARES, PROMPTS, SPEEDS, LENGTHS, CHANGES, TERMINATIONS, false))
                 .sync();
 
-        PeerReport received = receivedByFirst.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
+        PeerReport received = receivedByOld.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS);
         assertEquals(received.entry(), "young");
         assertEquals(received.shares(), SHARES);
         assertEquals(received.prompts(), PROMPTS);
 
         group.next()
-                .submit(() -> first.sendReport(Map.of(), List.of(), List.of(), List.of(), List.of(), List.of(), true))
+                .submit(() ->
+                        oldEntry.sendReport(Map.of(), List.of(), List.of(), List.of(), List.of(), List.of(), true))
                 .sync();
-        assertTrue(receivedBySecond.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS).leaving());
+        assertTrue(receivedByNew.poll(MAX_WAIT_SECONDS, TimeUnit.SECONDS).leaving());
     }
 
     @Test
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestSynchroniserTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestSynchroniserTest.java
@@ -52,7 +52,7 @@
         assertEquals(terminations(stored().getFirst()).size(), 2);
     }
 
-    // Guards against filling the store with the coincidental requests of each server that terminates.
+    // Guards against filling the store with every request that happened to be on a terminating server.
     @Test
     public void should_not_store_a_request_when_one_server_terminated() throws Exception {
         terminated("one");
