--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineAssignment.java
@@ -4,17 +4,17 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * What a role plan wants of one engine.
+ * The target state of one engine in a role plan.
  *
- * @param role the role it shall have
- * @param loads what it shall have in memory, in the order in which to load it
+ * @param role the role of the engine
+ * @param loads the models and adapters to keep in memory, in loading order
  */
 public record EngineAssignment(EngineRole role, List<LoadItem> loads) {
     public EngineAssignment {
         loads = List.copyOf(loads);
     }
 
-    /** Makes an assignment that asks for a role only. */
+    /** Returns an assignment with a role and nothing to load. */
     public static EngineAssignment ofRole(EngineRole role) {
         return new EngineAssignment(role, List.of());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecord.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecord.java
@@ -3,14 +3,14 @@
 import java.util.Optional;
 
 /**
- * What the store keeps of one engine: who may give it orders, and the last one.
+ * The stored record of one engine: the agent that may give it orders, and the last order.
  *
- * @param owner the agent's incarnation that may give orders
- * @param slotTerm counts the changes of owner
- * @param nonce drawn anew for each write, so that its writer recognises it
- * @param planVersion the plan that the last order came from
- * @param lastOrder the last order, if there ever was one
- * @param highestAbandoned the highest fencing number of an order that was given up unseen; 0 if there was none
+ * @param owner the incarnation of the agent that may give orders
+ * @param slotTerm the number of changes of the owner
+ * @param nonce a random value, new for each write, by which the writer recognises its own write
+ * @param planVersion the version of the plan that caused the last order
+ * @param lastOrder the last order; empty if there never was one
+ * @param highestAbandoned the highest fencing number of an abandoned order; 0 if there is none
  */
 public record EngineRecord(
         String owner,
@@ -22,32 +22,32 @@
     /** The record of an engine that was never given an order. */
     public static final EngineRecord NONE = new EngineRecord("", 0, "", PlanVersion.NONE, Optional.empty(), 0);
 
-    /** Returns the last order while it is unsettled. */
+    /** Returns the last order if its outcome is not known yet. */
     public Optional<RecordedOrder> unsettled() {
         return lastOrder.filter(order -> !order.state().settled());
     }
 
-    /** Returns the fencing number of the last order; 0 where there was none. */
+    /** Returns the fencing number of the last order; 0 if there is none. */
     public long lastFencingNumber() {
         return lastOrder.map(RecordedOrder::fencingNumber).orElse(0L);
     }
 
-    /** Returns the record as another agent takes the engine over; the last order stays as it is. */
+    /** Returns the record with a new owner and the next slot term; the last order is unchanged. */
     EngineRecord takenOver(String newOwner, String newNonce) {
         return new EngineRecord(newOwner, slotTerm + 1, newNonce, planVersion, lastOrder, highestAbandoned);
     }
 
-    /** Returns the record as its owner writes it to prove that it still is. */
+    /** Returns the record with a new nonce, which its owner writes to confirm that it still owns the engine. */
     EngineRecord proven(String newNonce) {
         return new EngineRecord(owner, slotTerm, newNonce, planVersion, lastOrder, highestAbandoned);
     }
 
-    /** Returns the record as its owner writes its next order into it. */
+    /** Returns the record with the next order. */
     EngineRecord started(String newNonce, PlanVersion plan, RecordedOrder order) {
         return new EngineRecord(owner, slotTerm, newNonce, plan, Optional.of(order), highestAbandoned);
     }
 
-    /** Returns the record with its last order settled. */
+    /** Returns the record with the given final state of the last order. */
     EngineRecord settled(String newNonce, RecordedOrderState state) {
         long abandoned = state == RecordedOrderState.ABANDONED ? lastFencingNumber() : highestAbandoned;
         Optional<RecordedOrder> settled = lastOrder.map(order -> order.in(state));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecordCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecordCodec.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.internal.store.StoredFields;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Engine records as JSON. */
+/** Converts engine records to and from JSON. */
 public final class EngineRecordCodec {
     private static final String CHANGE_ROLE = "changeRole";
     private static final String LOAD_MODEL = "loadModel";
@@ -78,7 +78,7 @@
             case LOAD_ADAPTER ->
                 new EngineOrder.LoadAdapter(fields.text("model"), fields.text("adapter"), fields.text("version"));
             case UNLOAD_ADAPTER -> new EngineOrder.UnloadAdapter(fields.text("model"), fields.text("adapter"));
-            default -> throw fields.refuse("type", "No such order is known.");
+            default -> throw fields.refuse("type", "The order type is not supported.");
         };
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
@@ -5,83 +5,83 @@
 import org.aspenmoor.internal.engine.NumberedOrder;
 import org.aspenmoor.internal.store.StoreException;
 
-/** What an {@link OrderExecutor} did in one step. */
+/** The result of one step of an {@link OrderExecutor}. */
 public sealed interface ExecutorStep {
-    /** The engine is as the plan wants it, or no plan names it. */
+    /** The engine is in the planned state, or the plan does not contain it. */
     record Idle() implements ExecutorStep {}
 
     /**
-     * The engine was taken over from an earlier agent.
+     * This agent has taken the engine over.
      *
-     * @param slotTerm counts the agents of this engine
+     * @param slotTerm the new slot term of the engine
      */
     record TookOver(long slotTerm) implements ExecutorStep {}
 
-    /** Another agent has taken the engine over; this one gives no order ever again, and its process should stop. */
+    /** Another agent has taken the engine over; this agent gives no further orders, and its process should stop. */
     record Replaced() implements ExecutorStep {}
 
     /**
-     * An order is due and waits for streams.
+     * An order is due and waits until the running streams have ended.
      *
-     * @param running how many still run
+     * @param running the number of streams that still run
      */
     record Draining(int running) implements ExecutorStep {}
 
     /**
-     * An order is due and waits, because the last one failed or the engine is not ready.
+     * The executor has to wait before it can act.
      *
      * @param reason what it waits for
      */
     record Waiting(String reason) implements ExecutorStep {}
 
     /**
-     * An order was recorded and given.
+     * An order was recorded and sent to the engine.
      *
-     * @param order as the engine was given it
+     * @param order the order as sent
      */
     record Ordered(NumberedOrder order) implements ExecutorStep {}
 
     /**
-     * The engine carries out the recorded order.
+     * The engine is executing the recorded order.
      *
-     * @param orderId the order
+     * @param orderId the ID of the order
      */
     record Running(String orderId) implements ExecutorStep {}
 
     /**
-     * The recorded order may still be on its way to the engine.
+     * The recorded order may still be in transit to the engine.
      *
-     * @param orderId the order
-     * @param remaining how long it may be
+     * @param orderId the ID of the order
+     * @param remaining the time for which it may still arrive
      */
     record Settling(String orderId, Duration remaining) implements ExecutorStep {}
 
     /**
-     * The recorded order was settled.
+     * The outcome of the recorded order was determined and recorded.
      *
-     * @param orderId the order
-     * @param state what became of it
+     * @param orderId the ID of the order
+     * @param state the final state of the order
      */
     record Settled(String orderId, RecordedOrderState state) implements ExecutorStep {}
 
     /**
-     * The plan known here is older than the one that the last order came from, so it is not obeyed.
+     * The plan known here is older than the plan that caused the last order, so it is not executed.
      *
-     * @param known the plan known here
+     * @param known the version of the plan known here
      */
     record PlanBehind(PlanVersion known) implements ExecutorStep {}
 
     /**
-     * The store did not do what was asked; no order was given in this step.
+     * A store call failed; no order was sent in this step.
      *
-     * @param cause what it said
+     * @param cause the failure
      */
     record StoreTrouble(StoreException cause) implements ExecutorStep {}
 
     /**
-     * The engine did not answer; an order that was being given is unsettled.
+     * The engine did not respond; the outcome of an order sent in this step is unknown.
      *
-     * @param cause what happened
+     * @param cause the failure
      */
     record EngineSilent(EngineUnreachableException cause) implements ExecutorStep {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/HolderStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/HolderStep.java
@@ -2,41 +2,41 @@
 
 import java.time.Duration;
 
-/** What a {@link PlanHolder} did when it tended its lease. */
+/** The result of one call of {@link PlanHolder#tend}. */
 public sealed interface HolderStep {
     /**
      * The lease is held and no renewal is due.
      *
-     * @param term the term it is held under
+     * @param term the lease term
      */
     record Held(long term) implements HolderStep {}
 
     /**
      * The lease was renewed.
      *
-     * @param term the term it is held under
+     * @param term the lease term
      */
     record Renewed(long term) implements HolderStep {}
 
     /**
-     * The lease was taken; the term is new.
+     * The lease was acquired under a new term.
      *
-     * @param term the term it is held under
+     * @param term the lease term
      */
     record Acquired(long term) implements HolderStep {}
 
     /**
-     * Somebody else holds the lease.
+     * Another process holds the lease.
      *
-     * @param owner who
-     * @param remaining how long the record has to stay unchanged until it may be taken over
+     * @param owner the holder; empty if not known
+     * @param remaining how long the record has to stay unchanged before the lease may be taken over
      */
     record Observing(String owner, Duration remaining) implements HolderStep {}
 
     /**
-     * Somebody else has written the record since; the lease is lost.
+     * Another process has written the record; the lease is lost.
      *
-     * @param formerTerm the term that ended
+     * @param formerTerm the term under which the lease was held
      */
     record Lost(long formerTerm) implements HolderStep {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/LoadItem.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/LoadItem.java
@@ -4,19 +4,19 @@
 import org.aspenmoor.internal.engine.EngineOrder;
 
 /**
- * A model or adapter version that an engine shall have in memory.
+ * A model or adapter version that an engine has to keep in memory.
  *
- * @param model the model's name
- * @param adapter the adapter's name, for an adapter
- * @param version the version to run
+ * @param model the name of the model
+ * @param adapter the name of the adapter; empty for the model itself
+ * @param version the version to load
  */
 public record LoadItem(String model, Optional<String> adapter, String version) {
-    /** Returns the name under which an engine reports it as loaded. */
+    /** Returns the name under which an engine reports the item as loaded. */
     public String label() {
         return adapter.map(name -> model + ":" + name).orElse(model) + "@" + version;
     }
 
-    /** Returns the order that loads it. */
+    /** Returns the order that loads the item. */
     public EngineOrder order() {
         return adapter.<EngineOrder>map(name -> new EngineOrder.LoadAdapter(model, name, version))
                 .orElseGet(() -> new EngineOrder.LoadModel(model, version));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -16,22 +16,22 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Gives one engine the orders that bring it to what the role plan wants.
+ * Sends one engine the orders that bring it to the state in the role plan.
  *
- * <p>Every order is recorded as started by a conditional update before it is given, and as settled after it. Without
- * the record, an agent that is restarted in the middle of a change, or a second agent for the same engine, would give
- * another order while the first is carried out or on its way; the engine would be seen changing twice, or ending in a
- * role that nobody planned. An unsettled order is settled first, by asking the engine.
+ * <p>Every order is recorded with a conditional update before it is sent, and its outcome is recorded afterwards. Without
+ * the record, an agent that is restarted during a change, or a second agent for the same engine, could send another
+ * order while the first is being executed or in transit; the engine would change twice, or end in a role that is not
+ * planned. An order with unknown outcome is resolved first, by querying the engine.
  *
- * <p>An order that the engine has not seen may still be on its way. It is given up only once its longest time on the
- * wire has passed: counted from its sending for an own order, and from the first sight of the order for another
- * agent's. That agent sends nothing once so much of its right has passed that the order might arrive later.
+ * <p>An order that the engine has not received may still be in transit. It is abandoned only after the maximum transit
+ * time, counted from sending for an own order, and from the first read of the record for an order of another agent. The
+ * other agent does not send an order so late in its order lease that the order could arrive after that time.
  *
- * <p>An agent takes the engine over once, by a write, when it starts. It does not merely read: an old replica of the
- * store might not show an order that is on its way. An agent that finds itself replaced never gives an order again;
- * otherwise a paused agent would wake up and take the engine back from its successor.
+ * <p>An agent takes the engine over once, with a write, when it starts. Reading alone would not be sufficient, because an
+ * outdated replica of the store might not show an order in transit. An agent that was replaced never sends an order
+ * again; otherwise an agent that resumes after a pause would take the engine back from its successor.
  *
- * <p>Used by one thread only; each step makes at most one change.
+ * <p>Not thread-safe; each step makes at most one change.
  */
 public final class OrderExecutor {
     private final SlotIdentity slot;
@@ -75,37 +75,37 @@
         this.writer = new SettledWriter(store, random);
     }
 
-    /** Takes a plan that a watch or a read has shown; older ones are ignored. */
+    /** Accepts a plan from a watch or a read; plans that are not newer than the current one are ignored. */
     public void offer(StoredObject plan) throws StoreException {
         plans.offer(plan);
     }
 
-    /** Returns the plan that is obeyed, if any was ever read. */
+    /** Returns the plan in force; empty if none was read yet. */
     public Optional<PlanRecord> plan() {
         return plans.inForce();
     }
 
     /**
-     * Says whether the engine was taken over and no order is due or unsettled, so that new work may start.
+     * Returns whether the engine was taken over and no order is due or unresolved, so that new work may start.
      *
-     * <p>An agent that has just started does not know yet whether an order of its predecessor is on its way.
+     * <p>An agent that has just started does not know yet whether an order of its predecessor is in transit.
      */
     public boolean mayServe() {
         return ownSlotTerm.isPresent() && !replaced && !draining && !mustProve;
     }
 
     /**
-     * Lets no new work start until this agent has proved by a write that the engine is still its own; called on waking
-     * up from a pause.
+     * Prevents new work from starting until this agent has confirmed with a write that it still owns the engine; called
+     * when the process resumes after a pause.
      *
-     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be let in
-     * in the middle of its successor's change, and be cut.
+     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be accepted
+     * during a change ordered by its successor, and be cut.
      */
     public void wokeFromPause() {
         mustProve = true;
     }
 
-    /** Makes the next step towards the plan. */
+    /** Makes the next step towards the planned state. */
     public ExecutorStep step() {
         try {
             return advance();
@@ -125,13 +125,13 @@
         KnownRecord current = currentRecord();
         if (isOld(current.record())) {
             known = known.map(KnownRecord::uncertain);
-            return new ExecutorStep.Waiting("the store answered with an old record");
+            return new ExecutorStep.Waiting("an up-to-date engine record from the store");
         }
         if (!current.record().owner().equals(slot.owner())) {
             return ownSlotTerm.isPresent() ? retire() : takeOver(current);
         }
         if (ownSlotTerm.isEmpty()) {
-            // The answer to the takeover was lost; it took effect.
+            // The response to the takeover was lost, but the takeover took effect.
             beginTenure(current);
         }
         if (mustProve) {
@@ -156,10 +156,10 @@
     }
 
     /**
-     * Says whether an old replica answered: with the record from before the takeover, or from before the last order.
+     * Returns whether the record comes from an outdated replica, from before the takeover or before the last order.
      *
-     * <p>By the former an agent would believe that it was replaced; by the latter, that no order is on its way, and it
-     * would let streams in that the order cuts.
+     * <p>With the former an agent would assume that it was replaced. With the latter it would assume that no order is in
+     * transit, and accept streams that the order then cuts.
      */
     private boolean isOld(EngineRecord record) {
         boolean beforeTakeover = ownSlotTerm.isPresent() && record.slotTerm() < ownSlotTerm.get();
@@ -168,7 +168,7 @@
 
     private ExecutorStep takeOver(KnownRecord current) throws StoreException {
         if (current.record().unsettled().isPresent() || mayNeedFence(current.record())) {
-            // The order may still arrive, and would cut whatever streams had been let in meanwhile.
+            // The order may still arrive, and would cut the streams that were accepted meanwhile.
             stopNewWork();
         }
         KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.drawNonce()));
@@ -185,11 +185,11 @@
         mustProve = false;
     }
 
-    /** Writes the record as it is; the write fails where another agent has taken the engine over. */
+    /** Writes the record without changes; the write fails if another agent has taken the engine over. */
     private ExecutorStep prove(KnownRecord current) throws StoreException {
         write(current, current.record().proven(writer.drawNonce()));
         mustProve = false;
-        return new ExecutorStep.Waiting("proved after a pause that the engine is still this agent's");
+        return new ExecutorStep.Waiting("its next step, after confirming that it still owns the engine");
     }
 
     private ExecutorStep retire() {
@@ -211,10 +211,10 @@
     }
 
     /**
-     * Takes work again where no order can be on its way.
+     * Accepts work again if no order can be in transit.
      *
-     * <p>A change that is due needs the store. An agent that went on draining for it would leave its engine idle for as
-     * long as the store is out.
+     * <p>A change that is due cannot be made without the store. An agent that continued to drain would leave its engine
+     * idle for the duration of the store outage.
      */
     private void serveThroughOutage() {
         if (replaced || ownSlotTerm.isEmpty() || known.isEmpty()) {
@@ -245,10 +245,10 @@
     }
 
     /**
-     * Says whether the engine needs a higher number than those of orders which were given up.
+     * Returns whether the engine still has to receive a higher fencing number than that of the abandoned orders.
      *
-     * <p>An order can come off the wire later than any time-out foresees. An engine that checks numbers refuses it,
-     * but only once it was given a higher one. The last order's state does not tell: the order that was to bring the
+     * <p>An order can arrive later than any timeout allows for. An engine that checks numbers refuses it, but only after
+     * it has received a higher number. The state of the last order does not show this: the order that was to deliver the
      * higher number may itself have been withdrawn.
      */
     private boolean mustFence(EngineRecord record, EngineStatus status) {
@@ -262,14 +262,14 @@
     private ExecutorStep prepare(KnownRecord current, EngineOrder order, EngineStatus status)
             throws StoreException, EngineUnreachableException {
         if (status.lastOrderState() == OrderState.RUNNING || !status.ready()) {
-            return new ExecutorStep.Waiting("the engine is not ready");
+            return new ExecutorStep.Waiting("the engine to become ready");
         }
         if (time.monotonicNanoseconds() - ordersFromNanoseconds < 0) {
-            return new ExecutorStep.Waiting("an earlier agent may not have noticed its successor yet");
+            return new ExecutorStep.Waiting("the previous agent to detect that it was replaced");
         }
         if (failedAtNanoseconds.isPresent()
                 && since(failedAtNanoseconds.get()).compareTo(terms.pauseAfterFailure()) < 0) {
-            return new ExecutorStep.Waiting("the last order failed a moment ago");
+            return new ExecutorStep.Waiting("the delay after a failed order");
         }
         stopNewWork();
         int running = Math.max(drain.running(), status.load().runningSequences());
@@ -277,16 +277,16 @@
             return new ExecutorStep.Draining(running);
         }
         if (planMovedOn()) {
-            return new ExecutorStep.Waiting("the plan has moved on");
+            return new ExecutorStep.Waiting("its next step, after reading a newer plan");
         }
         return give(current, order, status);
     }
 
     /**
-     * Reads the plan once more before an order is given.
+     * Reads the plan again before an order is sent, and returns whether it has changed.
      *
-     * <p>A watch lags, and an agent that was paused may obey a plan whose holder lost its lease long ago; the engine
-     * would be moved and moved back.
+     * <p>A watch lags, and an agent that was paused may hold a plan whose publisher lost its lease long ago; the engine
+     * would be changed and changed back.
      */
     private boolean planMovedOn() throws StoreException {
         Optional<StoredObject> stored = store.read(slot.planKey());
@@ -304,12 +304,13 @@
                 plans.version().term());
         String id = writer.drawNonce();
         RecordedOrder recorded = new RecordedOrder(id, number, order, RecordedOrderState.STARTED);
-        // Until it is sent, this order counts as never sent, also if its record lands after a lost answer.
+        // Until it is sent, this order counts as never sent, even if its record write takes effect after a lost
+        // response.
         unsentOrderId = Optional.of(id);
         long recordSentAt = time.monotonicNanoseconds();
         KnownRecord started = write(current, current.record().started(writer.drawNonce(), plans.version(), recorded));
         if (since(recordSentAt).compareTo(terms.sendable()) >= 0) {
-            // Paused while the record was written. Another agent may believe that this order can no longer arrive.
+            // Writing the record took too long. Another agent may already treat this order as unable to arrive.
             return settleAs(started, recorded, RecordedOrderState.WITHDRAWN);
         }
         unsentOrderId = Optional.empty();
@@ -325,7 +326,7 @@
         } catch (EngineRefusedOrderException refused) {
             return settleAs(started, recorded, RecordedOrderState.FAILED);
         } finally {
-            // Counted from the end of the call: a pause within it delays the sending itself.
+            // Taken at the end of the call, because a pause during the call delays the sending itself.
             sentAtNanoseconds = time.monotonicNanoseconds();
         }
     }
@@ -335,7 +336,7 @@
         if (unsentOrderId.equals(Optional.of(order.id()))) {
             return settleAs(current, order, RecordedOrderState.WITHDRAWN);
         }
-        // The time is taken before the engine is asked, so that its answer is about a later moment.
+        // The time is taken before the engine is queried, so that the reported status is not older than it.
         Duration remaining = longestStillOnTheWire(order);
         EngineStatus status = engine.status();
         if (!status.lastOrderId().equals(Optional.of(order.id()))) {
@@ -376,7 +377,7 @@
         }
     }
 
-    /** Returns the record as last read or written; read anew where it is unsettled or in doubt. */
+    /** Returns the record as last read or written; reads it again if it is unresolved, unconfirmed or too old. */
     private KnownRecord currentRecord() throws StoreException {
         boolean certain = known.isPresent()
                 && !known.get().inDoubt()
@@ -408,7 +409,7 @@
         return Duration.ofNanos(time.monotonicNanoseconds() - nanoseconds);
     }
 
-    /** The record as it was read or written last; in doubt after trouble with the store. */
+    /** The record as last read or written; unconfirmed after a failed store call. */
     private record KnownRecord(Optional<StoredObject> stored, EngineRecord record, boolean inDoubt) {
         KnownRecord uncertain() {
             return new KnownRecord(stored, record, true);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseWatch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseWatch.java
@@ -4,12 +4,12 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Notices that the whole process has stood still, from gaps between the ticks of a thread that never blocks.
+ * Detects that the complete process was paused, from the gaps between the ticks of a thread that never blocks.
  *
- * <p>A thread that calls the store cannot tell a slow answer from a pause; were it to watch, an agent would stop serving
- * whenever the store is slow.
+ * <p>A thread that calls the store cannot distinguish a slow response from a pause; if it did the detection, an agent
+ * would stop serving whenever the store is slow.
  *
- * <p>Used by one thread only.
+ * <p>Not thread-safe.
  */
 public final class PauseWatch {
     private final TimeSource time;
@@ -22,7 +22,7 @@
         this.lastTickNanoseconds = time.monotonicNanoseconds();
     }
 
-    /** Says whether the process has stood still since the last tick; call it before any work, several times a second. */
+    /** Returns whether the process was paused since the last tick; to be called several times a second, before any work. */
     public boolean tick() {
         long now = time.monotonicNanoseconds();
         Duration gap = Duration.ofNanos(now - lastTickNanoseconds);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.store.StoredFields;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Role plans as JSON. */
+/** Converts role plans to and from JSON. */
 public final class PlanCodec {
     private PlanCodec() {}
 
@@ -75,7 +75,7 @@
         try {
             return Instant.parse(root.text("expiry"));
         } catch (DateTimeParseException notADate) {
-            throw root.refuse("expiry", "The text is no date.");
+            throw root.refuse("expiry", "The text is not an ISO 8601 instant.");
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
@@ -14,17 +14,17 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * One process's part in the planning of one service in one data centre: takes the lease, renews it, publishes plans.
+ * Acquires and renews the planning lease of one service in one data centre, and publishes role plans under it.
  *
- * <p>Lease and plan are one object, so a holder that was paused past its lease writes against a version that its
- * successor has moved, and the write fails. With two objects it could find its lease valid, be paused, and then replace
- * its successor's plan; engines would be moved twice, and two processes would each believe that they planned.
+ * <p>Lease and plan are one stored object. A holder that was paused beyond its lease therefore writes with an outdated
+ * version, and the write fails. With two objects it could check its lease, be paused, and then replace the plan of its
+ * successor; engines would change roles twice, and two processes would act as the planner.
  *
  * <p>Clocks of different hosts are never compared. A successor waits until it has seen the object unchanged for the
- * whole lease on its own monotonic clock, counted from the end of the read that first showed that version; the holder
- * counts from before it sent the write, and stops a margin earlier.
+ * complete lease by its own monotonic clock, counted from the end of the read that first returned that version. The
+ * holder counts from the moment before it sent the write, and stops earlier by a margin.
  *
- * <p>Used by one thread only.
+ * <p>Not thread-safe.
  */
 public final class PlanHolder {
     private final ObjectStore store;
@@ -47,17 +47,17 @@
         this.writer = new SettledWriter(store, random);
     }
 
-    /** Says whether plans may be decided and published now, by this process's own clock. */
+    /** Returns whether this process may decide on and publish plans now, by its own clock. */
     public boolean mayDecide() {
         return tenure.isPresent() && age(tenure.get()).compareTo(terms.usable()) < 0;
     }
 
-    /** Returns the record as it was last written by this holder, while it holds the lease. */
+    /** Returns the record that this holder wrote last; empty while it does not hold the lease. */
     public Optional<PlanRecord> current() {
         return tenure.map(Tenure::plan);
     }
 
-    /** Takes, renews or observes the lease, whichever is due; call it several times within a lease. */
+    /** Acquires, renews or observes the lease, whichever is due; to be called several times within the lease duration. */
     public HolderStep tend() throws StoreException {
         if (tenure.isEmpty()) {
             return observe();
@@ -69,7 +69,7 @@
         return renew(held.stored(), held.plan());
     }
 
-    /** Publishes the next plan if this process may decide. */
+    /** Publishes the next plan if {@link #mayDecide()} holds. */
     public PublishResult publish(Map<String, EngineAssignment> engines) throws StoreException {
         if (!mayDecide()) {
             return new PublishResult.NotHolder();
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Gives the lease up, so that a successor need not wait; for a planned stop. */
+    /** Releases the lease before a planned stop, so that a successor need not wait. */
     public void resign() throws StoreException {
         if (tenure.isEmpty()) {
             return;
@@ -104,7 +104,9 @@
         }
         PlanRecord plan = PlanCodec.read(stored.get());
         if (plan.owner().equals(owner) && !plan.resigned()) {
-            // A write of ours whose answer was lost. When it landed is not known, so it is renewed before it counts.
+            // An own write whose response was lost. The time at which it took effect is not known, so the lease counts
+            // as
+            // held only after a renewal.
             return renew(stored.get(), plan);
         }
         if (plan.resigned()) {
@@ -176,9 +178,9 @@
         return time.timeOfDay().plus(terms.length());
     }
 
-    /** The lease while it is held. */
+    /** The lease while this process holds it. */
     private record Tenure(StoredObject stored, PlanRecord plan, long sentAtNanoseconds) {}
 
-    /** Since when somebody else's record was seen unchanged. */
+    /** The time since which the record of another holder has been seen unchanged. */
     private record Observation(String version, long sinceNanoseconds) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanRecord.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanRecord.java
@@ -7,15 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * The one stored object of a service and data centre that holds both the lease and the role plan.
+ * The stored object that contains both the planning lease and the role plan of a service in a data centre.
  *
- * @param owner the process that holds the lease, with its incarnation
- * @param nonce drawn anew for each write, so that its writer recognises it
- * @param version term and revision
+ * @param owner the incarnation of the process that holds the lease
+ * @param nonce a random value, new for each write, by which the writer recognises its own write
+ * @param version the term and revision of the plan
  * @param leaseLength how long a successor has to see no change before it takes over
- * @param shownExpiry when the lease ends by the owner's time of day; for people only
- * @param resigned whether the owner gave the lease up, so that a successor need not wait
- * @param engines what is wanted of each engine, by its name
+ * @param shownExpiry the end of the lease by the owner's wall clock; informational only
+ * @param resigned whether the owner has released the lease, so that a successor need not wait
+ * @param engines the assignments by engine name
  */
 public record PlanRecord(
         String owner,
@@ -29,34 +29,34 @@
         engines = Map.copyOf(engines);
     }
 
-    /** Returns what is wanted of one engine, if the plan names it. */
+    /** Returns the assignment of an engine; empty if the plan does not contain the engine. */
     public Optional<EngineAssignment> assignment(String engine) {
         return Optional.ofNullable(engines.get(engine));
     }
 
-    /** Returns the record as the owner renews it. */
+    /** Returns the record with a renewed lease. */
     PlanRecord renewed(String newNonce, Instant newExpiry) {
         return new PlanRecord(owner, newNonce, version, leaseLength, newExpiry, false, engines);
     }
 
-    /** Returns the record as the owner gives it up. */
+    /** Returns the record with the lease released. */
     PlanRecord resignedBy(String newNonce) {
         return new PlanRecord(owner, newNonce, version, leaseLength, shownExpiry, true, engines);
     }
 
-    /** Returns the record with the next plan. */
+    /** Returns the record with a new plan under the next revision. */
     PlanRecord published(String newNonce, Instant newExpiry, Map<String, EngineAssignment> plan) {
         PlanVersion next = new PlanVersion(version.term(), version.revision() + 1);
         return new PlanRecord(owner, newNonce, next, leaseLength, newExpiry, false, plan);
     }
 
-    /** Returns the record as a successor takes it over: the next term, the same plan. */
+    /** Returns the record with a new owner: the next term, the same plan. */
     PlanRecord takenOver(String newOwner, String newNonce, Duration newLength, Instant newExpiry) {
         PlanVersion next = new PlanVersion(version.term() + 1, version.revision());
         return new PlanRecord(newOwner, newNonce, next, newLength, newExpiry, false, engines);
     }
 
-    /** Returns the engines in the order of their names. */
+    /** Returns the assignments sorted by engine name. */
     Map<String, EngineAssignment> sortedEngines() {
         return new TreeMap<>(engines);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanVersion.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanVersion.java
@@ -3,13 +3,13 @@
 import java.util.Comparator;
 
 /**
- * The place of a role plan in the order of all plans for one service and data centre.
+ * The version of a role plan; versions order all plans of one service in one data centre.
  *
- * @param term counts takeovers; the fencing number
- * @param revision counts published plans over all terms
+ * @param term the number of times the lease was acquired; serves as the fencing number of the lease
+ * @param revision the number of published plans over all terms
  */
 public record PlanVersion(long term, long revision) implements Comparable<PlanVersion> {
-    /** Before any plan. */
+    /** The version before any plan. */
     public static final PlanVersion NONE = new PlanVersion(0, 0);
 
     private static final Comparator<PlanVersion> ORDER =
@@ -20,7 +20,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Says whether this comes after the other. */
+    /** Returns whether this version is higher than the other. */
     public boolean isAfter(PlanVersion other) {
         return compareTo(other) > 0;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PublishResult.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PublishResult.java
@@ -1,17 +1,17 @@
 package org.aspenmoor.internal.authority;
 
-/** What became of a plan that was to be published. */
+/** The result of publishing a plan. */
 public sealed interface PublishResult {
     /**
      * The plan is in force.
      *
-     * @param plan as it stands in the store
+     * @param plan the record as stored
      */
     record Published(PlanRecord plan) implements PublishResult {}
 
-    /** The lease is not held, or its end is too near; nothing was sent. */
+    /** The lease is not held or about to expire; nothing was sent. */
     record NotHolder() implements PublishResult {}
 
-    /** Somebody else has written the record since; nothing was written. */
+    /** Another process has written the record since; nothing was written. */
     record Superseded() implements PublishResult {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
@@ -4,20 +4,20 @@
 import org.aspenmoor.internal.engine.NumberedOrder;
 
 /**
- * The last order of an engine, as its record says.
+ * An order as stored in the record of its engine.
  *
- * @param id unique over all orders
- * @param fencingNumber the number that the engine is given with it
- * @param order what to do
- * @param state how far it is
+ * @param id unique among all orders
+ * @param fencingNumber the fencing number sent with the order
+ * @param order the order
+ * @param state the state of the order
  */
 public record RecordedOrder(String id, long fencingNumber, EngineOrder order, RecordedOrderState state) {
-    /** Returns the order as the engine is given it. */
+    /** Returns the order in the form sent to the engine. */
     NumberedOrder numbered() {
         return new NumberedOrder(id, fencingNumber, order);
     }
 
-    /** Returns the order in another state. */
+    /** Returns the order with another state. */
     RecordedOrder in(RecordedOrderState newState) {
         return new RecordedOrder(id, fencingNumber, order, newState);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrderState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrderState.java
@@ -1,19 +1,19 @@
 package org.aspenmoor.internal.authority;
 
-/** How far an order is, as the engine's record says. */
+/** The state of an order in the record of its engine. */
 public enum RecordedOrderState {
-    /** Recorded before it was given; until it is settled no other order is given. */
+    /** Recorded before it is sent; no other order may be sent until its outcome is known. */
     STARTED,
-    /** The engine carried it out. */
+    /** The engine executed it. */
     FINISHED,
-    /** The engine refused it or gave it up halfway. */
+    /** The engine refused it or aborted it. */
     FAILED,
-    /** Its agent knows that it was never sent. */
+    /** The agent knows that it was never sent. */
     WITHDRAWN,
-    /** Its longest time on the wire has passed and the engine has never seen it. */
+    /** The maximum transit time has passed, and the engine has not received it. */
     ABANDONED;
 
-    /** Says whether the next order may be given. */
+    /** Returns whether the outcome is known, so that the next order may be sent. */
     public boolean settled() {
         return this != STARTED;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SettledWriter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SettledWriter.java
@@ -10,11 +10,11 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /**
- * Conditional writes whose lost answers are settled by reading.
+ * Performs conditional writes with a nonce, by which a write is recognised after its response was lost.
  *
- * <p>The store may take a write and lose the answer. A writer that took this for a failure would try again, meet its own
- * write as a conflict, and believe that somebody else had won. So each write carries a nonce, and after a lost answer
- * the object is read: if it bears the nonce, the write took effect.
+ * <p>A write may take effect although its response is lost. A writer that treated this as a failure would retry, get a
+ * conflict caused by its own write, and assume that another writer was first. Therefore each write contains a nonce, and
+ * after a lost response the object is read: if it contains the nonce, the write took effect.
  */
 final class SettledWriter {
     private final ObjectStore store;
@@ -25,7 +25,7 @@
         this.random = random;
     }
 
-    /** Draws a nonce for the next write. */
+    /** Returns a new random nonce. */
     String drawNonce() {
         return String.format("%016x%016x", random.nextLong(), random.nextLong());
     }
@@ -33,8 +33,8 @@
     /**
      * Creates the object, or replaces the version that was read.
      *
-     * @throws StoreOutcomeUnknownException where the read after a lost answer does not show the nonce; the write may
-     *     still be on its way, and whoever acts next reads the object first
+     * @throws StoreOutcomeUnknownException if the object read after a lost response does not contain the nonce; the write
+     *     may still arrive, so the object has to be read again before any further action
      */
     StoredObject write(ObjectKey key, Optional<StoredObject> base, String nonce, String value) throws StoreException {
         try {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotIdentity.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotIdentity.java
@@ -3,13 +3,13 @@
 import org.aspenmoor.internal.store.ObjectKey;
 
 /**
- * Which engine an agent gives orders to, and as whom.
+ * Identifies an engine and the agent that gives orders to it.
  *
- * @param engine the engine's name
- * @param owner the agent's incarnation; a restarted agent has another one
- * @param recordKey the engine's record
- * @param planKey the role plan that names the engine
- * @param engineChecksNumbers whether the engine itself refuses old fencing numbers
+ * @param engine the name of the engine
+ * @param owner the incarnation of the agent, which changes with each restart
+ * @param recordKey the key of the engine record
+ * @param planKey the key of the role plan that contains the engine
+ * @param engineChecksNumbers whether the engine itself refuses outdated fencing numbers
  */
 public record SlotIdentity(
         String engine, String owner, ObjectKey recordKey, ObjectKey planKey, boolean engineChecksNumbers) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/StreamDrain.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/StreamDrain.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.authority;
 
-/** The streams that run on one engine. */
+/** Drains the streams of one engine. */
 public interface StreamDrain {
-    /** Takes no new work for the engine; running streams go on or move elsewhere. Idempotent. */
+    /** Stops accepting new work for the engine; running streams continue or are moved to other engines. Idempotent. */
     void beginDrain();
 
-    /** Takes new work again. Idempotent. */
+    /** Accepts new work again. Idempotent. */
     void endDrain();
 
-    /** Returns how many streams still run. */
+    /** Returns the number of streams that still run. */
     int running();
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/LateOrderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/LateOrderTest.java
@@ -12,10 +12,10 @@
 import org.aspenmoor.internal.store.StoreException;
 import org.testng.annotations.Test;
 
-/** What is left of an agent's order once the agent has lost its right to give it. */
+/** Orders that arrive after the order lease of their agent has ended. */
 public class LateOrderTest {
-    // An agent is killed just after its order left. The order is held up for longer than any time-out; meanwhile the
-    // successor has given the order up. An engine that checks numbers must have been given a higher one by then.
+    // An agent is killed just after sending an order. The order is delayed beyond every timeout, and the successor has
+    // abandoned it. An engine that checks numbers must have received a higher number by then.
     @Test
     public void should_have_a_checking_engine_refuse_an_order_that_was_given_up() throws StoreException {
         OneEngine world = new OneEngine(new FakeEngine("engine-1", true));
@@ -32,9 +32,9 @@
         assertEquals(world.engine().role(), EngineRole.WHOLE);
     }
 
-    // The same on an engine that ignores numbers. An order that is held up for longer than the longest time on the wire
-    // is the window that remains: the engine takes it. It is not in the middle of another order then, and the next
-    // step sees the wrong role and mends it.
+    // The same with an engine that ignores numbers. An order delayed beyond the maximum transit time is the remaining
+    // gap: the engine accepts it. It is not executing another order at that time, and the next step detects the wrong
+    // role and corrects it.
     @Test
     public void should_mend_what_an_order_beyond_the_window_did_to_an_engine_that_ignores_numbers()
             throws StoreException {
@@ -53,8 +53,9 @@
         assertEquals(world.engine().role(), EngineRole.WHOLE);
     }
 
-    // The agent is paused while its record is written, for so long that a successor may have given the order up. It
-    // runs again and would send an order that nobody expects any more.
+    // The agent is paused while its record is written, for so long that a successor may have abandoned the order. When
+    // it
+    // resumes it must not send the order.
     @Test
     public void should_not_send_an_order_after_a_pause_that_outlasts_its_right() throws StoreException {
         OneEngine world = new OneEngine(new FakeEngine("engine-1", false));
@@ -67,8 +68,8 @@
         assertTrue(world.engine().arrivals().isEmpty());
     }
 
-    // The longest pause that still lets the agent send, and the longest time on the wire after it, end before a
-    // successor gives up the order: the two never meet at the engine.
+    // The longest pause after which the agent may still send, plus the maximum transit time, ends before a successor
+    // abandons the order, so that the orders of both never reach the engine at the same time.
     @Test
     public void should_leave_no_gap_between_the_last_sending_and_the_first_giving_up() throws StoreException {
         OneEngine world = new OneEngine(new FakeEngine("engine-1", false));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
@@ -19,7 +19,7 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.time.ManualTimeSource;
 
-/** One engine, its first agent, and a planner. */
+/** A test fixture with one engine, its first agent, and a planner. */
 final class OneEngine {
     private static final ObjectKey PLAN = new ObjectKey(ObjectKind.ROLE_PLAN, "seitkali", "drafting.almaty-1");
     private static final ObjectKey RECORD =
@@ -74,7 +74,7 @@
         return agent;
     }
 
-    /** Publishes a plan and shows it to the first agent. */
+    /** Publishes a plan and offers it to the first agent. */
     void publish(EngineRole role) throws StoreException {
         publishUnseen(role);
         agent.offer(planObject());
@@ -97,7 +97,7 @@
         return store.peek(PLAN).orElseThrow();
     }
 
-    /** Starts another agent that knows the plan and has taken the engine over. */
+    /** Starts another agent, which takes the engine over and is offered the plan. */
     OrderExecutor newAgent(String owner) throws StoreException {
         return newAgent(owner, StoreCallFaults.NONE);
     }
@@ -155,7 +155,7 @@
                 new Random(agents));
     }
 
-    /** A drain that reports the engine's own streams. */
+    /** A drain that reports the running streams of the engine. */
     static final class CountingDrain implements StreamDrain {
         private final FakeEngine engine;
         private boolean draining;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
@@ -44,7 +44,7 @@
         assertTrue(world.agent().mayServe());
     }
 
-    // A role change is due while drafts are being written. Given at once, the order would cut them short.
+    // A role change is due while streams are running. If it were ordered at once, it would cut them.
     @Test
     public void should_wait_until_the_streams_have_ended() throws StoreException {
         world.engine().setRunningStreams(2);
@@ -74,8 +74,8 @@
         assertTrue(world.engine().arrivals().isEmpty());
     }
 
-    // The agent is killed after it gave an order, and the plan changes before its successor runs. The engine is still
-    // moving; a second order now would reach it in the middle of the first.
+    // The agent is killed after sending an order, and the plan changes before its successor starts. The engine is still
+    // executing the order; a second order would reach it during the first.
     @Test(dataProvider = "bothKindsOfEngine")
     public void should_settle_its_predecessors_order_before_any_other(boolean checks) throws StoreException {
         world = new OneEngine(new FakeEngine("engine-1", checks));
@@ -94,8 +94,8 @@
         assertTrue(world.engine().arrivals().stream().noneMatch(arrival -> arrival.whileBusy()));
     }
 
-    // Two agents stand beside one engine for a while, because the host came back before the old process was gone. Both
-    // see the same plan and both would order the change.
+    // Two agents run for one engine, because the host returned before the old process was terminated. Both see the same
+    // plan and both would order the change.
     @Test(dataProvider = "bothKindsOfEngine")
     public void should_let_only_the_later_of_two_agents_order(boolean checks) throws StoreException {
         world = new OneEngine(new FakeEngine("engine-1", checks));
@@ -109,7 +109,7 @@
         assertEquals(world.engine().begun().size(), 1);
     }
 
-    // The same, and the successor starts in the moment in which the first agent's record is on its way.
+    // The same, but the successor starts while the record write of the first agent is in transit.
     @Test(dataProvider = "bothKindsOfEngine")
     public void should_refuse_a_record_that_was_on_its_way_at_a_takeover(boolean checks) throws StoreException {
         world = new OneEngine(new FakeEngine("engine-1", checks));
@@ -128,8 +128,8 @@
         assertEquals(world.agent().step(), new ExecutorStep.Replaced());
     }
 
-    // The store takes the record of an order and loses the answer. Whoever takes that for a failure records and gives
-    // the order again.
+    // The record of an order is written and the response is lost. If this were treated as a failure, the order would be
+    // recorded and sent again.
     @Test
     public void should_order_once_when_the_answer_to_the_record_is_lost() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -141,8 +141,9 @@
         assertEquals(world.engine().begun().size(), 1);
     }
 
-    // The record's write is held up and lands after the agent gave up on it. The order was never sent, and the agent
-    // knows that; it must neither wait for it nor count it as given.
+    // The record write is delayed and takes effect after the agent has given up on it. The order was never sent, and
+    // the
+    // agent knows that; it must neither wait for the order nor count it as sent.
     @Test
     public void should_withdraw_an_order_whose_record_landed_late() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -156,8 +157,8 @@
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
     }
 
-    // The engine crashes halfway through a change and comes back without knowing of it. The record says started until
-    // nothing can be on its way any more; then the change is ordered again.
+    // The engine crashes during a change and restarts without knowledge of the order. The record stays in state started
+    // until no order can be in transit any more; then the change is ordered again.
     @Test(dataProvider = "bothKindsOfEngine")
     public void should_order_again_after_the_engine_crashed_halfway(boolean checks) throws StoreException {
         world = new OneEngine(new FakeEngine("engine-1", checks));
@@ -187,8 +188,9 @@
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
     }
 
-    // An order's call times out; the order itself is still on its way. Within its longest time on the wire no other
-    // order may be given, because an engine that ignores numbers would carry out both.
+    // The call that sends an order times out while the order is in transit. Until the maximum transit time has passed
+    // no
+    // other order may be sent, because an engine that ignores numbers would execute both.
     @Test
     public void should_give_no_other_order_while_one_may_still_arrive() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -204,8 +206,8 @@
         assertEquals(world.engine().begun().size(), 1);
     }
 
-    // A watch is behind: the agent still sees the plan of a holder that was replaced. It reads the plan again before it
-    // orders, so the replaced plan moves nothing.
+    // The watch lags, and the agent still has the plan of a replaced holder. It reads the plan again before it sends an
+    // order, so the replaced plan has no effect.
     @Test
     public void should_not_obey_a_plan_that_has_been_replaced() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -216,7 +218,7 @@
         assertTrue(world.engine().arrivals().isEmpty());
     }
 
-    // A restarted agent is shown an old plan by a replica that lags. The engine's record names a later one.
+    // A restarted agent reads an old plan from an outdated replica, while the engine record refers to a newer one.
     @Test
     public void should_not_obey_a_plan_older_than_the_last_order() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -233,9 +235,8 @@
         assertEquals(world.engine().role(), EngineRole.DECODE);
     }
 
-    // A replica that lags shows the record from before the agent took the engine over. Taken as the truth, it would
-    // make
-    // the only agent of the engine give up for ever.
+    // An outdated replica returns the record from before the takeover. If the agent trusted it, the only agent of the
+    // engine would stop sending orders for ever.
     @Test
     public void should_not_take_an_old_record_for_a_successors() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -248,8 +249,8 @@
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
     }
 
-    // An agent is paused with requests in its socket, another is started beside the engine and orders a change. The
-    // first wakes up and would let the requests in, just before the order arrives and cuts them.
+    // An agent is paused with requests in its socket, and another agent is started for the engine and orders a change.
+    // When the first resumes it would accept the requests just before the order arrives and cuts them.
     @Test
     public void should_let_nothing_in_on_waking_up_until_it_has_proved_that_it_was_not_replaced()
             throws StoreException {
@@ -266,8 +267,8 @@
         assertFalse(world.agent().mayServe());
     }
 
-    // The first agent was not paused, only never told. It still lets streams in; its successor waits until it must have
-    // read that it was replaced.
+    // The first agent was not paused but does not know that it was replaced, and still accepts streams. Its successor
+    // waits until the first agent must have read the record.
     @Test
     public void should_wait_until_its_predecessor_has_noticed() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -284,8 +285,8 @@
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
     }
 
-    // An order is held up on its way and the plan changes back. A replica that lags shows the record from before the
-    // order; the agent would believe that nothing is due, let streams in, and the order would cut them.
+    // An order is delayed in transit and the plan changes back. An outdated replica returns the record from before the
+    // order; the agent would assume that nothing is due and accept streams, and the order would cut them.
     @Test
     public void should_not_let_streams_in_by_an_old_record_while_an_order_is_on_its_way() throws StoreException {
         world.publish(EngineRole.PREFILL);
@@ -299,9 +300,9 @@
         assertTrue(world.agent().step() instanceof ExecutorStep.Settling);
     }
 
-    // The order that was to bring a higher number after a lost one is itself withdrawn, because its agent was paused.
-    // The
-    // engine must still be given a higher number before it serves, or the lost order cuts streams when it arrives.
+    // The order that was to deliver a higher number after a delayed order is itself withdrawn, because its agent was
+    // paused. The engine must still receive a higher number before it serves; otherwise the delayed order cuts streams
+    // when it arrives.
     @Test
     public void should_still_owe_the_higher_number_when_the_order_that_brings_it_is_withdrawn() throws StoreException {
         world = new OneEngine(new FakeEngine("engine-1", true));
@@ -324,8 +325,9 @@
         assertFalse(world.engine().arrivals().getLast().begun());
     }
 
-    // The store goes out while an engine drains for a change. The change cannot be recorded, and an engine that stayed
-    // drained would be idle for as long as the outage lasts.
+    // The store becomes unavailable while an engine drains for a change. The change cannot be recorded, and an engine
+    // that
+    // stayed drained would be idle for the duration of the outage.
     @Test
     public void should_take_work_again_when_the_store_goes_out_during_a_drain() throws StoreException {
         world.engine().setRunningStreams(1);
@@ -341,7 +343,7 @@
         assertFalse(world.drain().draining());
     }
 
-    // The store is out. Nothing is ordered without a record, and what serves goes on serving.
+    // During a store outage no order is sent, because it cannot be recorded; engines continue to serve.
     @Test
     public void should_order_nothing_while_the_store_is_out() throws StoreException {
         world.publish(EngineRole.PREFILL);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -67,8 +67,9 @@
         assertEquals(stored().version(), new PlanVersion(1, 0));
     }
 
-    // The holder is killed. Its plan stays in force, and after a full lease without a change another entry plans on
-    // under the next term; nobody has to do anything.
+    // The holder is killed. Its plan stays in force, and after a complete lease without a change another entry takes
+    // over
+    // under the next term, without any operator action.
     @Test
     public void should_take_over_with_the_next_term_after_a_whole_lease_without_change() throws StoreException {
         first.tend();
@@ -84,8 +85,8 @@
         assertEquals(stored().engines(), FIRST_PLAN);
     }
 
-    // The holder's host is paused past its lease. When it runs again it still has a plan in hand; published, it would
-    // move engines that its successor has just moved.
+    // The host of the holder is paused beyond its lease. When it resumes it must not publish its pending plan, which
+    // would revert the role changes of its successor.
     @Test
     public void should_not_publish_after_a_pause_past_the_lease() throws StoreException {
         first.tend();
@@ -97,8 +98,8 @@
         assertEquals(store.writes(), writes);
     }
 
-    // The pause comes in the moment between the look at the lease and the write, and a successor takes over meanwhile.
-    // The write leaves only then; taken, it would silently replace the successor's plan.
+    // The pause falls between the check of the lease and the write, and a successor takes over meanwhile. If the write
+    // were accepted afterwards, it would silently replace the plan of the successor.
     @Test
     public void should_refuse_a_plan_that_was_on_its_way_when_a_successor_took_over() throws StoreException {
         first.tend();
@@ -115,8 +116,8 @@
         assertEquals(stored().engines(), SECOND_PLAN);
     }
 
-    // The same pause, but nobody has taken over when the write lands. The plan is the holder's last act under its own
-    // term: it counts, and a would-be successor has to wait a whole lease again because the version moved.
+    // The same pause, but no successor has taken over when the write arrives. The plan is valid under the term of the
+    // holder, and a successor has to wait a complete lease again because the version changed.
     @Test
     public void should_count_a_plan_that_lands_after_the_lapse_and_before_any_takeover() throws StoreException {
         first.tend();
@@ -132,8 +133,8 @@
         assertFalse(first.mayDecide());
     }
 
-    // The holder is paused after its plan took effect and before it hears so. Meanwhile a successor takes over and
-    // publishes. The former holder must not go on as if it still planned.
+    // The holder is paused after its plan took effect and before it receives the response, and a successor takes over
+    // meanwhile. The former holder must not continue to decide.
     @Test
     public void should_stop_deciding_when_paused_after_the_write() throws StoreException {
         first.tend();
@@ -150,8 +151,8 @@
         assertEquals(stored().version(), new PlanVersion(2, 1));
     }
 
-    // The store takes a plan and its answer is lost. Taken for a failure, the holder would meet its own plan as a
-    // conflict and give up a lease that it holds; the service would be without a planner for a lease.
+    // A plan is written and the response is lost. If this were treated as a failure, the holder would get a conflict
+    // caused by its own plan and give up a lease that it holds; the service would have no planner for one lease.
     @Test
     public void should_settle_a_lost_answer_by_reading() throws StoreException {
         first.tend();
@@ -163,8 +164,8 @@
         assertEquals(stored().version(), new PlanVersion(1, 2));
     }
 
-    // The answer to a takeover is lost, and so is the read that would settle it. The entry owns the lease without
-    // knowing since when, so it may decide only after it has renewed.
+    // The response to a takeover is lost, and the read that would resolve it fails. The entry owns the lease without
+    // knowing since when, so it may decide only after a renewal.
     @Test
     public void should_renew_before_deciding_when_it_finds_its_own_record() throws StoreException {
         faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
@@ -177,8 +178,8 @@
         assertTrue(first.mayDecide());
     }
 
-    // A plan's write is held up in the network and its sender gives up on it. It lands later, after the sender has
-    // published another plan; the older one must not come back.
+    // The write of a plan is delayed in the network and its sender gives up on it. It arrives after the sender has
+    // published another plan, which it must not replace.
     @Test
     public void should_never_let_a_held_up_plan_replace_a_later_one() throws StoreException {
         first.tend();
@@ -192,8 +193,8 @@
         assertEquals(stored().engines(), SECOND_PLAN);
     }
 
-    // The store is out for longer than the lease. Nobody can take over, and nothing waits: the plan stays in force, the
-    // holder publishes nothing, and the same holder goes on under the same term when the store is back.
+    // The store is unavailable for longer than the lease. No other entry can take over; the plan stays in force, the
+    // holder publishes nothing, and it continues under the same term when the store is available again.
     @Test
     public void should_go_on_under_the_same_term_after_an_outage() throws StoreException {
         first.tend();
@@ -216,7 +217,7 @@
         assertEquals(second.tend(), new HolderStep.Acquired(2));
     }
 
-    // Somebody wrote nonsense into the object by hand. The error names the object and the field.
+    // The object was edited by hand and is invalid. The error names the object and the field.
     @Test
     public void should_name_the_place_in_a_malformed_record() throws StoreException {
         store.client(new ScriptedStoreFaults()).create(KEY, "{\"owner\": \"entry-9\", \"engines\": {}, \"nonce\": 4}");
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
@@ -18,8 +18,9 @@
 public class PlanReaderTest {
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.ROLE_PLAN, "hojas", "hazard.lima-1");
 
-    // A watch starts again after a gap and an old replica answers: plans come twice and out of order. An agent that
-    // obeyed them all would move its engine back and forth.
+    // A watch is restarted and served by an outdated replica, so that plans arrive twice and out of order. An agent
+    // that
+    // executed all of them would change its engine back and forth.
     @Test
     public void should_only_move_forward() throws StoreMalformedException {
         PlanReader reader = new PlanReader();
