--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkAccount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkAccount.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 import org.aspenmoor.internal.stream.ChunkVerdict;
 
-/** Counts the chunks that a process received by what became of them; see {@link RequestAccount} for the reason. */
+/** Counts the chunks received by a process and their outcomes; see {@link RequestAccount} for the purpose. */
 public final class ChunkAccount {
     private long received;
     private long delivered;
     private long discarded;
     private long broken;
 
-    /** Counts a chunk that came in. */
+    /** Counts a received chunk. */
     public void received() {
         received++;
     }
 
-    /** Counts what became of it. */
+    /** Counts the decision on a received chunk. */
     public void judged(ChunkVerdict verdict) {
         switch (verdict) {
             case ChunkVerdict.Deliver ignored -> delivered++;
@@ -24,12 +24,12 @@
         }
     }
 
-    /** Counts a chunk of a request that is no longer held. */
+    /** Counts a received chunk that was discarded because its request is no longer in flight. */
     public void discarded() {
         discarded++;
     }
 
-    /** Checks {@code received = delivered + discarded + broken}; returns the difference where it does not hold. */
+    /** Checks {@code received = delivered + discarded + broken}; returns a description of the difference, if any. */
     public Optional<String> imbalance() {
         if (received == delivered + discarded + broken) {
             return Optional.empty();
@@ -38,18 +38,18 @@
                 + ", broken " + broken);
     }
 
-    /** Returns the counts as they stand. */
+    /** Returns the current counts. */
     public Totals totals() {
         return new Totals(received, delivered, discarded, broken);
     }
 
     /**
-     * Counts at one moment.
+     * The counts at one point in time.
      *
-     * @param received chunks that came in
-     * @param delivered chunks given to callers
-     * @param discarded chunks of old attempts, doubled chunks, chunks after the end
-     * @param broken chunks that showed a gap
+     * @param received chunks received
+     * @param delivered chunks delivered to callers
+     * @param discarded chunks of abandoned attempts, duplicate chunks, and chunks after the end of the answer
+     * @param broken chunks that revealed a missing chunk
      */
     public record Totals(long received, long delivered, long discarded, long broken) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestAccount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestAccount.java
@@ -4,11 +4,11 @@
 import org.aspenmoor.Outcome;
 
 /**
- * Counts the requests of one process by what became of them.
+ * Counts the requests of one process and their outcomes.
  *
- * <p>A request that is dropped by a bug leaves no trace of its own: the caller waits until its time-out and every other
- * figure looks healthy. The equation {@code received = answered + not run + unknown + cancelled + in flight} shows it at
- * once. The equation and the habit of checking it in the program follow EventStream (Sharma, 2026).
+ * <p>A request that is lost because of a bug is not visible otherwise: the caller waits until its timeout, and all other
+ * metrics look healthy. The equation {@code received = answered + not run + unknown + cancelled + in flight} reveals it
+ * immediately. The equation and checking it at run time follow EventStream (Sharma, 2026).
  */
 public final class RequestAccount {
     private long received;
@@ -17,12 +17,12 @@
     private long unknown;
     private long cancelled;
 
-    /** Counts a request that came in. */
+    /** Counts a received request. */
     public void received() {
         received++;
     }
 
-    /** Counts a request that ended. */
+    /** Counts a finished request by its outcome. */
     public void ended(Outcome outcome) {
         switch (outcome) {
             case Outcome.Answered ignored -> answered++;
@@ -31,12 +31,12 @@
         }
     }
 
-    /** Counts a request whose caller went away before its end. */
+    /** Counts a request whose caller disconnected before it finished. */
     public void cancelled() {
         cancelled++;
     }
 
-    /** Checks the equation against the requests that are really held; returns the difference where it does not hold. */
+    /** Checks the equation against the actual number of requests in flight; returns a description of the difference, if any. */
     public Optional<String> imbalance(long inFlight) {
         long accounted = answered + notRun + unknown + cancelled + inFlight;
         if (received == accounted) {
@@ -47,19 +47,19 @@
                 + inFlight);
     }
 
-    /** Returns the counts as they stand. */
+    /** Returns the current counts. */
     public Totals totals() {
         return new Totals(received, answered, notRun, unknown, cancelled);
     }
 
     /**
-     * Counts at one moment.
+     * The counts at one point in time.
      *
-     * @param received requests that came in
-     * @param answered requests answered whole
+     * @param received requests received
+     * @param answered requests answered completely
      * @param notRun requests refused without having run
      * @param unknown requests whose answer was lost
-     * @param cancelled requests whose caller went away
+     * @param cancelled requests whose caller disconnected
      */
     public record Totals(long received, long answered, long notRun, long unknown, long cancelled) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
@@ -1,15 +1,16 @@
 package org.aspenmoor.internal.engine;
 
-/** The control side of one engine. Calls block; one thread makes all of them for one engine. */
+/** The control interface of one engine. Calls block; all calls for one engine are made by the same thread. */
 public interface EngineControl {
-    /** Asks the engine about itself. */
+    /** Queries the status of the engine. */
     EngineStatus status() throws EngineUnreachableException;
 
     /**
-     * Gives an order; returns once the engine has begun it.
+     * Sends an order; returns once the engine has started to execute it.
      *
-     * @throws EngineRefusedOrderException where the engine has seen a higher fencing number or is busy; it did nothing
-     * @throws EngineUnreachableException where no answer came; the order may have been begun
+     * @throws EngineRefusedOrderException if the engine has received a higher fencing number or is busy; the order had no
+     *     effect
+     * @throws EngineUnreachableException if no response was received; the engine may have started to execute the order
      */
     void order(NumberedOrder order) throws EngineRefusedOrderException, EngineUnreachableException;
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineLoad.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineLoad.java
@@ -1,14 +1,14 @@
 package org.aspenmoor.internal.engine;
 
 /**
- * An engine's load as it reported it.
+ * The load that an engine reported.
  *
- * @param sequence counts up with every report, so that an older report that arrives late is seen
- * @param queuedPrefillTokens prompt tokens that wait or are being computed
- * @param runningSequences requests that generate now
- * @param mostSequences how many may generate at once
- * @param freeCachePieces free pieces of cache memory
- * @param allCachePieces all pieces of cache memory
+ * @param sequence increases with every report, so that an outdated report that arrives late is detected
+ * @param queuedPrefillTokens the number of prompt tokens that are waiting or being computed
+ * @param runningSequences the number of requests that are generating
+ * @param mostSequences the maximum number of requests that can generate at the same time
+ * @param freeCachePieces the number of free pieces of cache memory
+ * @param allCachePieces the total number of pieces of cache memory
  */
 public record EngineLoad(
         long sequence,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineOrder.java
@@ -1,36 +1,36 @@
 package org.aspenmoor.internal.engine;
 
-/** An order to an engine. */
+/** An order to an engine, without its identification. */
 public sealed interface EngineOrder {
     /**
-     * Take another role; the engine is away for seconds.
+     * Changes the role; the engine is unavailable for seconds.
      *
-     * @param role the role to take
+     * @param role the new role
      */
     record ChangeRole(EngineRole role) implements EngineOrder {}
 
     /**
-     * Load a version of a model from the weight store.
+     * Loads a version of a model from the weight store.
      *
-     * @param model the model's name
+     * @param model the name of the model
      * @param version the version to load
      */
     record LoadModel(String model, String version) implements EngineOrder {}
 
     /**
-     * Load an adapter from the weight store.
+     * Loads a version of an adapter from the weight store.
      *
-     * @param model the model it belongs to
-     * @param adapter the adapter's name
+     * @param model the name of the adapter's base model
+     * @param adapter the name of the adapter
      * @param version the version to load
      */
     record LoadAdapter(String model, String adapter, String version) implements EngineOrder {}
 
     /**
-     * Give up an adapter's memory.
+     * Unloads an adapter and frees its memory.
      *
-     * @param model the model it belongs to
-     * @param adapter the adapter's name
+     * @param model the name of the adapter's base model
+     * @param adapter the name of the adapter
      */
     record UnloadAdapter(String model, String adapter) implements EngineOrder {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineRefusedOrderException.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineRefusedOrderException.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** An engine refused an order and did nothing. */
+/** An engine refused an order; the order had no effect. */
 public final class EngineRefusedOrderException extends AspenmoorException {
     private static final long serialVersionUID = 1L;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineRole.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineRole.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.engine;
 
-/** What an engine does with requests. */
+/** The phases of a request that an engine executes. */
 public enum EngineRole {
-    /** Computes prompts and hands the cache on. */
+    /** Computes prompts and hands their cache off to a decode engine. */
     PREFILL,
-    /** Takes over a cache and generates the answer. */
+    /** Receives the cache of a prompt and generates the answer. */
     DECODE,
-    /** Does both for the same request. */
+    /** Serves both prefill and decode of a request. */
     WHOLE
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineStatus.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineStatus.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * What an engine says about itself.
+ * The status that an engine reported.
  *
- * @param incarnation changes with every start of the engine
- * @param role the role it has
- * @param ready whether it takes requests
- * @param lastOrderId the last order it began, if any since its start
- * @param lastOrderState how far that order is
- * @param highestFencingNumber the highest fencing number it was given; 0 for an engine that ignores them
- * @param loaded models and adapters in memory, as {@code MODEL@VERSION} and {@code MODEL:ADAPTER@VERSION}
- * @param load its load
+ * @param incarnation an ID that changes with every start of the engine
+ * @param role the current role
+ * @param ready whether the engine accepts requests
+ * @param lastOrderId the ID of the last order it started to execute; empty if there is none since its start
+ * @param lastOrderState the state of that order
+ * @param highestFencingNumber the highest fencing number received; 0 for an engine that ignores fencing numbers
+ * @param loaded the models and adapters in memory, as {@code MODEL@VERSION} and {@code MODEL:ADAPTER@VERSION}
+ * @param load the current load
  */
 public record EngineStatus(
         String incarnation,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineUnreachableException.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineUnreachableException.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** No answer came from an engine; what was asked may have been begun. */
+/** An engine did not respond; it may have executed the call. */
 public final class EngineUnreachableException extends AspenmoorException {
     private static final long serialVersionUID = 1L;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/NumberedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/NumberedOrder.java
@@ -1,10 +1,11 @@
 package org.aspenmoor.internal.engine;
 
 /**
- * An order with what makes it refusable.
+ * An order with an ID and a fencing number, by which an engine can refuse outdated orders.
  *
- * @param orderId unique; the engine remembers the last one, so a lost answer is settled by asking
- * @param fencingNumber the term of the role plan that the order comes from
- * @param order what to do
+ * @param orderId unique; the engine reports the ID of its last order, which resolves the outcome after a lost response
+ * @param fencingNumber higher than that of every earlier order to the engine; the upper bits hold the term of the role
+ *     plan
+ * @param order the order
  */
 public record NumberedOrder(String orderId, long fencingNumber, EngineOrder order) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/OrderState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/OrderState.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.engine;
 
-/** How far an engine is with an order. */
+/** The state of an order as its engine reports it. */
 public enum OrderState {
-    /** The engine knows nothing of it. */
+    /** The engine has no record of the order. */
     NEVER_SEEN,
-    /** Being carried out; the engine serves nothing meanwhile. */
+    /** Being executed; the engine serves no requests meanwhile. */
     RUNNING,
-    /** Carried out. */
+    /** Executed. */
     DONE,
-    /** Given up halfway; the engine is in the state it reports. */
+    /** Aborted; the engine is in the state that it reports. */
     FAILED
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Engines as the rest of the system sees them: their roles, status, load, and the orders they take. */
+/** The interface to engines: roles, status, load and orders. */
 package org.aspenmoor.internal.engine;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
@@ -2,12 +2,12 @@
 
 import org.aspenmoor.internal.engine.NumberedOrder;
 
-/** Decides what goes wrong with the calls of one agent to its engine. */
+/** Injects faults into the calls of one agent to its engine. */
 public interface EngineCallFaults {
-    /** Nothing goes wrong. */
+    /** Injects no faults. */
     EngineCallFaults NONE = new EngineCallFaults() {};
 
-    /** Returns the fault of a question for the status. */
+    /** Returns the fault of a status query. */
     default EngineFault onStatus() {
         return EngineFault.NONE;
     }
@@ -17,6 +17,6 @@
         return EngineFault.NONE;
     }
 
-    /** Called after the agent decided to send an order and before its bytes leave. */
+    /** Called after the agent has decided to send an order and before the order is sent. */
     default void beforeSending(NumberedOrder order) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineFault.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineFault.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.fake;
 
-/** What may go wrong with one call to an engine. */
+/** A fault of one call to an engine. */
 public enum EngineFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
     /** The call never arrives. */
     CALL_LOST,
-    /** An order arrives and its answer is lost. */
+    /** An order arrives and its response is lost. */
     ANSWER_LOST,
-    /** An order arrives after its sender gave up. */
+    /** An order arrives after its sender has given up on the call. */
     ARRIVES_LATE
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.engine.NumberedOrder;
 import org.aspenmoor.internal.engine.OrderState;
 
-/** An engine that takes orders; it checks fencing numbers or ignores them, and crashes on demand. */
+/** An in-memory engine that executes orders; it checks or ignores fencing numbers, and crashes on demand. */
 public final class FakeEngine {
     private static final int CACHE_PIECES = 2000;
 
@@ -37,12 +37,12 @@
         this.checksNumbers = checksNumbers;
     }
 
-    /** Returns an agent's way to the engine. */
+    /** Returns a control interface for one agent, with its own faults. */
     public EngineControl control(EngineCallFaults faults) {
         return new FakeEngineControl(this, faults);
     }
 
-    /** Calls the listener with every order that arrives. */
+    /** Registers a listener that is called with every order that arrives. */
     public void onArrival(Consumer<OrderArrival> listener) {
         listeners.add(listener);
     }
@@ -52,22 +52,22 @@
         return checksNumbers;
     }
 
-    /** Returns its name. */
+    /** Returns the name of the engine. */
     public String name() {
         return name;
     }
 
-    /** Returns the role it has. */
+    /** Returns the current role. */
     public EngineRole role() {
         return role;
     }
 
-    /** Returns every order that arrived, oldest first. */
+    /** Returns all orders that arrived, oldest first. */
     public List<OrderArrival> arrivals() {
         return List.copyOf(arrivals);
     }
 
-    /** Returns the orders that were begun, oldest first. */
+    /** Returns the orders that the engine started to execute, oldest first. */
     public List<NumberedOrder> begun() {
         return arrivals.stream()
                 .filter(OrderArrival::begun)
@@ -75,22 +75,22 @@
                 .toList();
     }
 
-    /** Returns how many streams run. */
+    /** Returns the number of running streams. */
     public int runningStreams() {
         return runningStreams;
     }
 
-    /** Sets how many streams run. */
+    /** Sets the number of running streams. */
     public void setRunningStreams(int streams) {
         runningStreams = streams;
     }
 
-    /** Says whether an order is being carried out. */
+    /** Returns whether an order is being executed. */
     public boolean busy() {
         return lastState == OrderState.RUNNING;
     }
 
-    /** Finishes the order that is being carried out. */
+    /** Finishes the order that is being executed, if any. */
     public void finishOrder() {
         if (!busy()) {
             return;
@@ -105,14 +105,14 @@
         lastState = OrderState.DONE;
     }
 
-    /** Gives the order up halfway; the engine stays as it was. */
+    /** Aborts the order that is being executed, if any; the state of the engine does not change. */
     public void failOrder() {
         if (busy()) {
             lastState = OrderState.FAILED;
         }
     }
 
-    /** Crashes and starts again; it forgets its last order, but not the highest number. */
+    /** Crashes and restarts the engine, which loses its last order but keeps the highest fencing number. */
     public void crash() {
         starts++;
         runningStreams = 0;
@@ -121,7 +121,7 @@
         lastState = OrderState.NEVER_SEEN;
     }
 
-    /** Lets the oldest order that is still on its way arrive. */
+    /** Delivers the oldest order in transit; returns false if there is none. */
     public boolean deliverLate() {
         if (onTheWire.isEmpty()) {
             return false;
@@ -130,12 +130,12 @@
         return true;
     }
 
-    /** Returns the orders that are still on their way, oldest first. */
+    /** Returns the orders in transit, oldest first. */
     public List<NumberedOrder> onTheWire() {
         return List.copyOf(onTheWire);
     }
 
-    /** Lets one order that is still on its way arrive. */
+    /** Delivers the given order if it is in transit. */
     public void deliverLate(NumberedOrder order) {
         if (onTheWire.remove(order)) {
             receive(order);
@@ -161,7 +161,7 @@
 
     void order(NumberedOrder order) throws EngineRefusedOrderException {
         if (!receive(order)) {
-            throw new EngineRefusedOrderException("The engine refused the order.", name, "Ask for its status.");
+            throw new EngineRefusedOrderException("The engine refused the order.", name, "Query its status.");
         }
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.engine.EngineUnreachableException;
 import org.aspenmoor.internal.engine.NumberedOrder;
 
-/** One agent's way to a {@link FakeEngine}. */
+/** The control interface of a {@link FakeEngine} for one agent, with injected faults. */
 final class FakeEngineControl implements EngineControl {
     private final FakeEngine engine;
     private final EngineCallFaults faults;
@@ -42,6 +42,6 @@
     }
 
     private EngineUnreachableException unreachable() {
-        return new EngineUnreachableException("The engine does not answer.", engine.name(), "Ask for its status.");
+        return new EngineUnreachableException("The engine does not respond.", engine.name(), "Query its status.");
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.store.StoreConflictException;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** The contents of an object store in memory; processes reach it through clients with faults of their own. */
+/** An in-memory object store; each process accesses it through its own client with its own faults. */
 public final class FakeStore {
     private final Map<ObjectKey, StoredObject> objects = new HashMap<>();
     private final Map<ObjectKey, StoredObject> earlier = new HashMap<>();
@@ -21,17 +21,17 @@
     private long reads;
     private long writes;
 
-    /** Returns a process's way to the store. */
+    /** Returns a client for one process, with its own faults. */
     public ObjectStore client(StoreCallFaults faults) {
         return new FakeStoreClient(this, faults);
     }
 
-    /** Calls the listener with every write that takes effect. */
+    /** Registers a listener that is called with every write that takes effect. */
     public void onWrite(Consumer<StoreWrite> listener) {
         listeners.add(listener);
     }
 
-    /** Lets the oldest write that is still on its way arrive; its condition is checked then. */
+    /** Delivers the oldest write in transit and checks its condition then; returns false if there is none. */
     public boolean deliverLate() {
         if (onTheWire.isEmpty()) {
             return false;
@@ -40,13 +40,13 @@
         try {
             put(late.key(), late.base(), late.value());
         } catch (StoreConflictException outrun) {
-            // The store has moved on; nobody waits for this answer.
+            // The object has changed since; the sender no longer waits for the response.
             return true;
         }
         return true;
     }
 
-    /** Returns an object as it is, without counting a call. */
+    /** Returns the current state of an object, without counting a call. */
     public Optional<StoredObject> peek(ObjectKey key) {
         return Optional.ofNullable(objects.get(key));
     }
@@ -56,12 +56,12 @@
         return List.copyOf(objects.values());
     }
 
-    /** Returns how many reads arrived. */
+    /** Returns the number of reads that arrived. */
     public long reads() {
         return reads;
     }
 
-    /** Returns how many writes arrived, taken or refused. */
+    /** Returns the number of writes that arrived, whether accepted or refused. */
     public long writes() {
         return writes;
     }
@@ -82,7 +82,7 @@
         Optional<String> expected = base.map(StoredObject::version);
         if (!before.map(StoredObject::version).equals(expected)) {
             throw new StoreConflictException(
-                    "The object has another version than the one read.", key.toString(), "Read it and decide again.");
+                    "The object has changed since it was read.", key.toString(), "Read it and repeat the decision.");
         }
         version++;
         StoredObject after = new StoredObject(key, String.valueOf(version), value);
@@ -97,6 +97,6 @@
         onTheWire.add(new LateWrite(key, base, value));
     }
 
-    /** A write that is still on its way. */
+    /** A write in transit. */
     private record LateWrite(ObjectKey key, Optional<StoredObject> base, String value) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStoreClient.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStoreClient.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.store.StoreWatchListener;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** One process's way to a {@link FakeStore}. */
+/** The client of a {@link FakeStore} for one process, with injected faults. */
 final class FakeStoreClient implements ObjectStore {
     private final FakeStore store;
     private final StoreCallFaults faults;
@@ -65,29 +65,30 @@
 
     @Override
     public StoreListing list(ObjectKind kind) {
-        throw new UnsupportedOperationException("The fake store lists nothing.");
+        throw new UnsupportedOperationException("The fake store does not support lists.");
     }
 
     @Override
     public List<StoredObject> list(ObjectKind kind, String namespace) {
-        throw new UnsupportedOperationException("The fake store lists nothing.");
+        throw new UnsupportedOperationException("The fake store does not support lists.");
     }
 
     @Override
     public void delete(StoredObject read) {
-        throw new UnsupportedOperationException("The fake store deletes nothing.");
+        throw new UnsupportedOperationException("The fake store does not support deletions.");
     }
 
     @Override
     public StoreWatch watch(ObjectKind kind, String fromVersion, StoreWatchListener listener) {
-        throw new UnsupportedOperationException("The fake store has no watches.");
+        throw new UnsupportedOperationException("The fake store does not support watches.");
     }
 
     private static StoreUnavailableException unavailable(ObjectKey key) {
-        return new StoreUnavailableException("The store does not answer.", key.toString(), "Try again later.");
+        return new StoreUnavailableException("The store does not respond.", key.toString(), "Retry later.");
     }
 
     private static StoreOutcomeUnknownException unknown(ObjectKey key) {
-        return new StoreOutcomeUnknownException("The answer was lost.", key.toString(), "Settle by reading.");
+        return new StoreOutcomeUnknownException(
+                "The response was lost.", key.toString(), "Read the object to find out whether the write took effect.");
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
@@ -3,12 +3,12 @@
 import org.aspenmoor.internal.engine.NumberedOrder;
 
 /**
- * An order that reached an engine.
+ * An order that arrived at an engine.
  *
- * @param engine the engine's name
+ * @param engine the name of the engine
  * @param order the order
- * @param begun whether the engine began it
- * @param whileBusy whether another order was being carried out
- * @param streamsCut how many streams ran
+ * @param begun whether the engine started to execute it
+ * @param whileBusy whether another order was being executed at the time
+ * @param streamsCut the number of streams that were running at the time
  */
 public record OrderArrival(String engine, NumberedOrder order, boolean begun, boolean whileBusy, int streamsCut) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreCallFaults.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreCallFaults.java
@@ -2,9 +2,9 @@
 
 import org.aspenmoor.internal.store.ObjectKey;
 
-/** Decides what goes wrong with the calls of one process, and what else happens while a call is on its way. */
+/** Injects faults into the store calls of one process, and runs actions while a call is in transit. */
 public interface StoreCallFaults {
-    /** Nothing goes wrong. */
+    /** Injects no faults. */
     StoreCallFaults NONE = new StoreCallFaults() {};
 
     /** Returns the fault of a read. */
@@ -17,9 +17,9 @@
         return StoreFault.NONE;
     }
 
-    /** Called when a write has left its process and has not yet arrived; time may pass and others may act. */
+    /** Called when a write was sent and has not yet arrived; the clock may advance and other processes may act. */
     default void beforeEffect(ObjectKey key) {}
 
-    /** Called when a write has taken effect and its answer has not yet arrived. */
+    /** Called when a write has taken effect and its response has not yet arrived. */
     default void afterEffect(ObjectKey key) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreFault.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreFault.java
@@ -1,17 +1,17 @@
 package org.aspenmoor.internal.fake;
 
-/** What may go wrong with one call to the store. */
+/** A fault of one call to the store. */
 public enum StoreFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** The store says that it did nothing. */
+    /** The store reports that it did not execute the call. */
     UNAVAILABLE,
-    /** A write takes effect and its answer is lost. */
+    /** A write takes effect and its response is lost. */
     ANSWER_LOST,
-    /** A write never arrives, and its sender cannot tell. */
+    /** A write never arrives; its sender cannot distinguish this from a lost response. */
     REQUEST_LOST,
-    /** A write takes effect some time after its sender gave up. */
+    /** A write takes effect after its sender has given up on the call. */
     LANDS_LATE,
-    /** A read is answered by a replica that lags. */
+    /** A read is served by an outdated replica. */
     STALE_READ
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreWrite.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/StoreWrite.java
@@ -4,9 +4,9 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /**
- * One write that took effect.
+ * A write that took effect.
  *
- * @param before the object that it replaced, if there was one
+ * @param before the object that it replaced; empty if it created the object
  * @param after the object as written
  */
 public record StoreWrite(Optional<StoredObject> before, StoredObject after) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/package-info.java
@@ -1,2 +1,2 @@
-/** Small fakes of the store and of engines on a manual clock, for tests and the soak; they fail on demand. */
+/** Simple in-memory fakes of the store and of engines with fault injection, for tests and simulations on a manual clock. */
 package org.aspenmoor.internal.fake;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
@@ -3,9 +3,9 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * A token bucket: so many a second in the long run, and some more at once after a quiet time. It starts full.
+ * A token bucket that allows a sustained rate and, after an idle period, a burst up to its capacity. It starts full.
  *
- * <p>Used by one thread only.
+ * <p>Not thread-safe.
  */
 public final class TokenBucket {
     private static final double NANOSECONDS_OF_SECOND = 1e9;
@@ -24,7 +24,7 @@
         this.refilledAt = time.monotonicNanoseconds();
     }
 
-    /** Takes one if there is one left. */
+    /** Takes one token if available; returns whether one was taken. */
     public boolean take() {
         long now = time.monotonicNanoseconds();
         saved = Math.min(mostSaved, saved + (now - refilledAt) / NANOSECONDS_OF_SECOND * perSecond);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on how often something may be done. */
+/** Rate limits. */
 package org.aspenmoor.internal.limit;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembly.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembly.java
@@ -3,12 +3,12 @@
 import java.util.zip.CRC32C;
 
 /**
- * Puts one answer together from the frames of its attempts.
+ * Assembles one answer from the frames of its attempts.
  *
- * <p>An attempt that was given up may still send: its agent was paused, or its frames were under way when the link to it
- * was declared lost. Without the attempt number those frames would be mixed into the answer of the next attempt and the
- * caller would read tokens twice. Within an attempt the sequence number shows a doubled or missing chunk, and the last
- * frame's count and checksum show a truncated one.
+ * <p>An abandoned attempt may still deliver frames: its agent was paused, or the frames were in transit when the link was
+ * declared lost. Without the attempt number those frames would be mixed into the answer of the next attempt, and the
+ * caller would receive tokens twice. Within an attempt the sequence number detects a duplicate or missing chunk, and the
+ * count and checksum in the last frame detect truncated or corrupted data.
  */
 public final class AnswerAssembly {
     private static final int NO_ATTEMPT = 0;
@@ -20,7 +20,7 @@
     private long deliveredBytes;
     private boolean ended;
 
-    /** Begins the next attempt and returns its number, counted from 1; frames of earlier ones are dropped from now on. */
+    /** Begins the next attempt and returns its number, starting at 1; frames of earlier attempts are discarded. */
     public int beginAttempt() {
         attempt++;
         nextSequence = 0;
@@ -28,7 +28,7 @@
         return attempt;
     }
 
-    /** Judges a chunk; on {@link ChunkVerdict.Deliver} it counts as delivered. */
+    /** Decides what to do with a chunk; on {@link ChunkVerdict.Deliver} it counts as delivered. */
     public ChunkVerdict chunk(int chunkAttempt, int sequence, byte[] data, int tokens) {
         if (ended) {
             return new ChunkVerdict.Discard(DiscardReason.AFTER_THE_END);
@@ -49,7 +49,10 @@
         return new ChunkVerdict.Deliver();
     }
 
-    /** Judges the last frame of an attempt that says it is complete; on {@link EndVerdict.Whole} the answer has ended. */
+    /**
+     * Decides what to do with the last frame of an attempt that reports a complete answer; on {@link EndVerdict.Whole}
+     * the answer has ended.
+     */
     public EndVerdict complete(int lastAttempt, int count, int expectedChecksum) {
         if (ended) {
             return new EndVerdict.Discard(DiscardReason.AFTER_THE_END);
@@ -58,31 +61,31 @@
             return new EndVerdict.Discard(DiscardReason.OLD_ATTEMPT);
         }
         if (count != nextSequence) {
-            return new EndVerdict.Broken("the attempt had " + count + " chunks, " + nextSequence + " arrived");
+            return new EndVerdict.Broken("the attempt sent " + count + " chunks but " + nextSequence + " arrived");
         }
         if (expectedChecksum != (int) checksum.getValue()) {
-            return new EndVerdict.Broken("the checksum over " + count + " chunks does not hold");
+            return new EndVerdict.Broken("the checksum over " + count + " chunks does not match");
         }
         ended = true;
         return new EndVerdict.Whole();
     }
 
-    /** Says whether frames of the given attempt still matter. */
+    /** Returns whether frames of the given attempt are still processed. */
     public boolean isCurrent(int someAttempt) {
         return !ended && someAttempt == attempt;
     }
 
-    /** Returns the number of the current attempt; 0 before the first. */
+    /** Returns the number of the current attempt; 0 before the first attempt. */
     public int attempt() {
         return attempt;
     }
 
-    /** Returns how many tokens the caller has been given over all attempts; a resumed attempt goes on after them. */
+    /** Returns the number of tokens delivered to the caller over all attempts; a resumed attempt continues after them. */
     public int deliveredTokens() {
         return deliveredTokens;
     }
 
-    /** Returns how many bytes the caller has been given over all attempts. */
+    /** Returns the number of bytes delivered to the caller over all attempts. */
     public long deliveredBytes() {
         return deliveredBytes;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
@@ -2,12 +2,15 @@
 
 import java.util.zip.CRC32C;
 
-/** The sending side of {@link AnswerAssembly}: numbers the chunks of one attempt and sums them up for its last frame. */
+/**
+ * The sending side of {@link AnswerAssembly}: numbers the chunks of one attempt and computes the count and checksum for
+ * its last frame.
+ */
 public final class AttemptChecksum {
     private final CRC32C checksum = new CRC32C();
     private int count;
 
-    /** Takes the next chunk in and returns its sequence number. */
+    /** Adds the next chunk and returns its sequence number, starting at 0. */
     public int add(byte[] data) {
         checksum.update(data, 0, data.length);
         int sequence = count;
@@ -15,7 +18,7 @@
         return sequence;
     }
 
-    /** Returns how many chunks there were. */
+    /** Returns the number of chunks added. */
     public int count() {
         return count;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/ChunkVerdict.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/ChunkVerdict.java
@@ -1,21 +1,21 @@
 package org.aspenmoor.internal.stream;
 
-/** What becomes of a chunk that arrived. */
+/** The decision on a received chunk. */
 public sealed interface ChunkVerdict {
-    /** It is the next piece of the answer: give it to the caller. */
+    /** The chunk is the next part of the answer: deliver it to the caller. */
     record Deliver() implements ChunkVerdict {}
 
     /**
-     * It belongs to another attempt or was here before: drop it.
+     * The chunk must not be delivered, for example because it belongs to another attempt or is a duplicate.
      *
-     * @param reason why
+     * @param reason why it is discarded
      */
     record Discard(DiscardReason reason) implements ChunkVerdict {}
 
     /**
-     * Something before it is missing: the attempt cannot become whole.
+     * An earlier chunk is missing: the attempt cannot be completed.
      *
-     * @param detail what is missing
+     * @param detail which chunk is missing
      */
     record Broken(String detail) implements ChunkVerdict {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/DiscardReason.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/DiscardReason.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.stream;
 
-/** Why a frame was dropped. */
+/** The reason why a frame is discarded. */
 public enum DiscardReason {
-    /** It belongs to an attempt that was given up. */
+    /** The frame belongs to an abandoned attempt. */
     OLD_ATTEMPT,
-    /** Its sequence number was delivered before. */
+    /** A chunk with the same sequence number was already delivered. */
     DUPLICATE,
-    /** The answer had ended. */
+    /** The answer has already ended. */
     AFTER_THE_END
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/EndVerdict.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/EndVerdict.java
@@ -1,21 +1,21 @@
 package org.aspenmoor.internal.stream;
 
-/** What becomes of the last frame of an attempt. */
+/** The decision on the last frame of an attempt. */
 public sealed interface EndVerdict {
-    /** Count and checksum hold: the answer is whole. */
+    /** Count and checksum match: the answer is complete. */
     record Whole() implements EndVerdict {}
 
     /**
-     * It belongs to another attempt: drop it.
+     * The frame belongs to another attempt, or the answer has already ended.
      *
-     * @param reason why
+     * @param reason why it is discarded
      */
     record Discard(DiscardReason reason) implements EndVerdict {}
 
     /**
-     * Count or checksum do not hold.
+     * The count or the checksum does not match.
      *
-     * @param detail which
+     * @param detail what does not match
      */
     record Broken(String detail) implements EndVerdict {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/package-info.java
@@ -1,2 +1,2 @@
-/** Assembling a whole answer from the frames of one or more attempts. */
+/** Assembles complete answers from the frames of one or more attempts. */
 package org.aspenmoor.internal.stream;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A clock that moves only when told to, for tests and benches. */
+/** A clock that moves only when it is advanced, for tests and simulations. */
 public final class ManualTimeSource implements TimeSource {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
     private long nanoseconds;
 
-    /** Moves the clock forward. */
+    /** Advances the clock. */
     public void advance(Duration step) {
         advanceNanoseconds(step.toNanos());
     }
 
-    /** Moves the clock forward by nanoseconds. */
+    /** Advances the clock by the given nanoseconds. */
     public void advanceNanoseconds(long step) {
         nanoseconds += step;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/SystemTimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/SystemTimeSource.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** The clocks of the machine. */
+/** The clocks of the operating system. */
 public final class SystemTimeSource implements TimeSource {
     @Override
     public long monotonicNanoseconds() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/TimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/TimeSource.java
@@ -2,11 +2,11 @@
 
 import java.time.Instant;
 
-/** The two clocks of a process. */
+/** Provides the monotonic clock and the wall clock of a process. */
 public interface TimeSource {
-    /** Returns nanoseconds on a clock that never steps back; only differences mean anything. */
+    /** Returns the monotonic clock in nanoseconds; only differences between two readings are meaningful. */
     long monotonicNanoseconds();
 
-    /** Returns the time of day, which may step; it is only shown to people and written into records. */
+    /** Returns the wall clock, which may jump; only for display and for timestamps in records. */
     Instant timeOfDay();
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/package-info.java
@@ -1,2 +1,2 @@
-/** Time as the decisions see it: passed in, never read from the machine. */
+/** Clocks as an injected dependency; code that makes decisions never reads the system clocks directly. */
 package org.aspenmoor.internal.time;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
@@ -4,11 +4,11 @@
 import java.util.Deque;
 import org.aspenmoor.internal.engine.NumberedOrder;
 
-/** Engine faults in the order in which a test wants them. */
+/** Injects engine faults in the order given by a test. */
 public final class ScriptedEngineFaults implements EngineCallFaults {
     private final Deque<EngineFault> onOrders = new ArrayDeque<>();
 
-    /** Makes the next order without a fault yet end in this one. */
+    /** Adds a fault for the next order that has none yet. */
     public void nextOrder(EngineFault fault) {
         onOrders.add(fault);
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
@@ -4,29 +4,29 @@
 import java.util.Deque;
 import org.aspenmoor.internal.store.ObjectKey;
 
-/** Store faults in the order in which a test wants them. */
+/** Injects store faults in the order given by a test. */
 public final class ScriptedStoreFaults implements StoreCallFaults {
     private final Deque<StoreFault> onReads = new ArrayDeque<>();
     private final Deque<StoreFault> onWrites = new ArrayDeque<>();
     private Runnable beforeEffect = () -> {};
     private Runnable afterEffect = () -> {};
 
-    /** Makes the next read without a fault yet end in this one. */
+    /** Adds a fault for the next read that has none yet. */
     public void nextRead(StoreFault fault) {
         onReads.add(fault);
     }
 
-    /** Makes the next write without a fault yet end in this one. */
+    /** Adds a fault for the next write that has none yet. */
     public void nextWrite(StoreFault fault) {
         onWrites.add(fault);
     }
 
-    /** Does something once while the next write is on its way. */
+    /** Runs an action once while the next write is in transit. */
     public void beforeNextEffect(Runnable action) {
         beforeEffect = action;
     }
 
-    /** Does something once while the answer to the next write is on its way. */
+    /** Runs an action once while the response to the next write is in transit. */
     public void afterNextEffect(Runnable action) {
         afterEffect = action;
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/stream/AnswerAssemblyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/stream/AnswerAssemblyTest.java
@@ -27,7 +27,8 @@
         assertEquals(assembly.deliveredTokens(), 2);
     }
 
-    // An agent was paused, given up, and wakes. Its chunks would stand in the middle of the next attempt's answer.
+    // An agent was paused, its attempt was abandoned, and it resumes. Its chunks would be mixed into the answer of the
+    // next attempt.
     @Test
     public void should_drop_what_an_attempt_that_was_given_up_still_sends() {
         send(1, "rain");
@@ -38,7 +39,7 @@
         assertEquals(assembly.deliveredTokens(), 1);
     }
 
-    // A frame is delivered twice; the caller would read the token twice.
+    // A frame is delivered twice; the caller would receive the token twice.
     @Test
     public void should_drop_a_chunk_that_was_here_before() {
         send(1, "rain");
@@ -46,13 +47,14 @@
         assertEquals(assembly.chunk(1, 0, bytes("rain"), 1), new ChunkVerdict.Discard(DiscardReason.DUPLICATE));
     }
 
-    // A chunk is missing in the middle; the caller would read a sentence with a hole.
+    // A chunk is missing; the caller would receive an answer with a gap.
     @Test
     public void should_break_the_attempt_when_a_chunk_is_missing() {
         assertTrue(assembly.chunk(1, 1, bytes("falls"), 1) instanceof ChunkVerdict.Broken);
     }
 
-    // The end of an answer is lost and its last frame is not. Without the count it would pass as whole.
+    // The last chunks of an answer are lost but its last frame arrives. Without the count it would be accepted as
+    // complete.
     @Test
     public void should_not_be_whole_when_chunks_before_the_end_are_missing() {
         send(1, "rain");
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/FramePipeline.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/FramePipeline.java
@@ -8,19 +8,19 @@
 import io.netty.handler.flush.FlushConsolidationHandler;
 import org.aspenmoor.internal.wire.v1.Frame;
 
-/** Turns a byte stream into frames: a four-byte length, then a protobuf {@link Frame}. */
+/** The codec for frames on a link: a four-byte length, followed by a protobuf {@link Frame}. */
 public final class FramePipeline {
-    /** The version of the protocol; both ends must speak the same. */
+    /** The version of the protocol; both ends must use the same version. */
     public static final int PROTOCOL_VERSION = 1;
 
-    /** The longest frame in bytes; a longer one closes the link before anything is allocated for it. */
+    /** The maximum frame size in bytes; a larger frame closes the link before memory is allocated for it. */
     public static final int LONGEST_FRAME = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
     private FramePipeline() {}
 
-    /** Adds the codec's handlers to a pipeline. */
+    /** Adds the handlers of the codec to a pipeline. */
     public static void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(new FlushConsolidationHandler());
         pipeline.addLast(new LengthFieldBasedFrameDecoder(LONGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/package-info.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Frames between aspenmoor's own processes. */
+/** The framing of the protocol between aspenmoor processes. */
 package org.aspenmoor.internal.wire;
