--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecordCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecordCodec.java
@@ -37,11 +37,11 @@
         Optional<StoredFields> order = root.optionalObject("lastOrder");
         return new EngineRecord(
                 root.text("owner"),
-                root.number("slotTerm"),
+                root.nonNegativeLong("slotTerm"),
                 root.text("nonce"),
-                new PlanVersion(root.number("planTerm"), root.number("planRevision")),
+                new PlanVersion(root.nonNegativeLong("planTerm"), root.nonNegativeLong("planRevision")),
                 order.isEmpty() ? Optional.empty() : Optional.of(readOrder(order.get())),
-                root.number("highestAbandoned"));
+                root.nonNegativeLong("highestAbandoned"));
     }
 
     private static void writeOrder(ObjectNode node, RecordedOrder recorded) {
@@ -66,19 +66,19 @@
     private static RecordedOrder readOrder(StoredFields fields) throws StoreMalformedException {
         return new RecordedOrder(
                 fields.text("id"),
-                fields.number("fencingNumber"),
+                fields.nonNegativeLong("fencingNumber"),
                 readEngineOrder(fields),
-                fields.constant("state", RecordedOrderState.class));
+                fields.enumConstant("state", RecordedOrderState.class));
     }
 
     private static EngineOrder readEngineOrder(StoredFields fields) throws StoreMalformedException {
         return switch (fields.text("type")) {
-            case CHANGE_ROLE -> new EngineOrder.ChangeRole(fields.constant("role", EngineRole.class));
+            case CHANGE_ROLE -> new EngineOrder.ChangeRole(fields.enumConstant("role", EngineRole.class));
             case LOAD_MODEL -> new EngineOrder.LoadModel(fields.text("model"), fields.text("version"));
             case LOAD_ADAPTER ->
                 new EngineOrder.LoadAdapter(fields.text("model"), fields.text("adapter"), fields.text("version"));
             case UNLOAD_ADAPTER -> new EngineOrder.UnloadAdapter(fields.text("model"), fields.text("adapter"));
-            default -> throw fields.refuse("type", "The order type is not supported.");
+            default -> throw fields.invalid("type", "The order type is not supported.");
         };
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
@@ -45,10 +45,10 @@
         return new PlanRecord(
                 root.text("owner"),
                 root.text("nonce"),
-                new PlanVersion(root.number("term"), root.number("revision")),
-                Duration.ofMillis(root.number("leaseMilliseconds")),
+                new PlanVersion(root.nonNegativeLong("term"), root.nonNegativeLong("revision")),
+                Duration.ofMillis(root.nonNegativeLong("leaseMilliseconds")),
                 readExpiry(root),
-                root.truth("resigned"),
+                root.bool("resigned"),
                 engines);
     }
 
@@ -68,14 +68,14 @@
         for (StoredFields load : fields.objects("loads")) {
             loads.add(new LoadItem(load.text("model"), load.optionalText("adapter"), load.text("version")));
         }
-        return new EngineAssignment(fields.constant("role", EngineRole.class), loads);
+        return new EngineAssignment(fields.enumConstant("role", EngineRole.class), loads);
     }
 
     private static Instant readExpiry(StoredFields root) throws StoreMalformedException {
         try {
             return Instant.parse(root.text("expiry"));
         } catch (DateTimeParseException notADate) {
-            throw root.refuse("expiry", "The text is not an ISO 8601 instant.");
+            throw root.invalid("expiry", "The text is not an ISO 8601 instant.");
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCodec.java
@@ -36,7 +36,7 @@
                     claim.text("key"),
                     claim.text("bodyDigest"),
                     claim.text("nonce"),
-                    claim.number("claimedAt"),
+                    claim.nonNegativeLong("claimedAt"),
                     answer.isEmpty() ? Optional.empty() : Optional.of(readAnswer(answer.get()))));
         }
         return new ClaimBucket(entries);
@@ -51,7 +51,7 @@
 
     private static RecordedAnswer readAnswer(StoredFields fields) throws StoreMalformedException {
         return new RecordedAnswer(
-                Math.toIntExact(fields.number("status")),
+                Math.toIntExact(fields.nonNegativeLong("status")),
                 fields.text("contentType"),
                 fields.optionalText("body"),
                 fields.text("bodyDigest"));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/InMemoryObjectStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/InMemoryObjectStore.java
@@ -14,7 +14,7 @@
  */
 public final class InMemoryObjectStore implements ObjectStore {
     /** Spaces the version numbers of two generations so far apart that they never coincide. */
-    private static final long VERSIONS_OF_A_GENERATION = 1_000_000_000_000L;
+    private static final long VERSIONS_PER_GENERATION = 1_000_000_000_000L;
 
     private final Object lock = new Object();
     private final Map<ObjectKey, StoredObject> objects = new LinkedHashMap<>();
@@ -29,8 +29,8 @@
         }
     }
 
-    /** Returns a snapshot of all objects, for {@link #comeBackFrom}. */
-    public List<StoredObject> copy() {
+    /** Returns a snapshot of all objects, for {@link #restoreFrom}. */
+    public List<StoredObject> snapshot() {
         synchronized (lock) {
             return List.copyOf(objects.values());
         }
@@ -39,18 +39,18 @@
     /**
      * Restores the store from an older snapshot: later writes are lost, the generation increases, and all watches end.
      */
-    public void comeBackFrom(List<StoredObject> copy) {
+    public void restoreFrom(List<StoredObject> snapshot) {
         synchronized (lock) {
             generation++;
             objects.clear();
-            lastVersion = generation * VERSIONS_OF_A_GENERATION;
-            copy.forEach(object -> put(object.key(), object.value()));
+            lastVersion = generation * VERSIONS_PER_GENERATION;
+            snapshot.forEach(object -> put(object.key(), object.value()));
         }
         StoreUnavailableException cause = new StoreUnavailableException(
                 "The store was restored from an older snapshot.", "memory", "List the objects again.");
-        List<Subscription> ended = List.copyOf(subscriptions);
-        subscriptions.removeAll(ended);
-        ended.forEach(subscription -> subscription.listener.ended(cause));
+        List<Subscription> endedSubscriptions = List.copyOf(subscriptions);
+        subscriptions.removeAll(endedSubscriptions);
+        endedSubscriptions.forEach(subscription -> subscription.listener.ended(cause));
     }
 
     @Override
@@ -87,7 +87,7 @@
             }
             created = put(key, value);
         }
-        tellChanged(created);
+        notifyChanged(created);
         return created;
     }
 
@@ -98,7 +98,7 @@
             requireUnchanged(read);
             updated = put(read.key(), value);
         }
-        tellChanged(updated);
+        notifyChanged(updated);
         return updated;
     }
 
@@ -150,7 +150,7 @@
         }
     }
 
-    private void tellChanged(StoredObject object) {
+    private void notifyChanged(StoredObject object) {
         for (Subscription subscription : subscriptions) {
             if (subscription.kind == object.key().kind()) {
                 subscription.listener.changed(object);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/StoredFields.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/StoredFields.java
@@ -30,8 +30,8 @@
                 throw malformed("The stored object is not a JSON object.", place);
             }
             return new StoredFields(place, node);
-        } catch (JsonProcessingException broken) {
-            throw malformed("The stored object is not valid JSON: " + broken.getOriginalMessage() + ".", place);
+        } catch (JsonProcessingException invalidJson) {
+            throw malformed("The stored object is not valid JSON: " + invalidJson.getOriginalMessage() + ".", place);
         }
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Reads a required integer that is not negative. */
-    public long number(String name) throws StoreMalformedException {
+    public long nonNegativeLong(String name) throws StoreMalformedException {
         JsonNode value = node.path(name);
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
             throw malformed("The field is missing or not an integer of at least 0.", placeOf(name));
@@ -59,7 +59,7 @@
     }
 
     /** Reads a required boolean. */
-    public boolean truth(String name) throws StoreMalformedException {
+    public boolean bool(String name) throws StoreMalformedException {
         JsonNode value = node.path(name);
         if (!value.isBoolean()) {
             throw malformed("The field is missing or not a boolean.", placeOf(name));
@@ -68,7 +68,7 @@
     }
 
     /** Reads a required string that is the name of an enum constant. */
-    public <E extends Enum<E>> E constant(String name, Class<E> type) throws StoreMalformedException {
+    public <E extends Enum<E>> E enumConstant(String name, Class<E> type) throws StoreMalformedException {
         String text = text(name);
         for (E constant : type.getEnumConstants()) {
             if (constant.name().equals(text)) {
@@ -83,7 +83,7 @@
         if (!node.has(name)) {
             return Optional.empty();
         }
-        return Optional.of(inner(name, node.path(name)));
+        return Optional.of(nested(name, node.path(name)));
     }
 
     /** Reads a required array of objects. */
@@ -94,7 +94,7 @@
         }
         List<StoredFields> items = new ArrayList<>();
         for (JsonNode item : array) {
-            items.add(inner(name + "[" + items.size() + "]", item));
+            items.add(nested(name + "[" + items.size() + "]", item));
         }
         return items;
     }
@@ -107,17 +107,17 @@
         }
         Map<String, StoredFields> fields = new LinkedHashMap<>();
         for (Map.Entry<String, JsonNode> field : object.properties()) {
-            fields.put(field.getKey(), inner(name + "." + field.getKey(), field.getValue()));
+            fields.put(field.getKey(), nested(name + "." + field.getKey(), field.getValue()));
         }
         return fields;
     }
 
     /** Returns the exception for a field with an invalid value. */
-    public StoreMalformedException refuse(String name, String problem) {
+    public StoreMalformedException invalid(String name, String problem) {
         return malformed(problem, placeOf(name));
     }
 
-    private StoredFields inner(String name, JsonNode value) throws StoreMalformedException {
+    private StoredFields nested(String name, JsonNode value) throws StoreMalformedException {
         if (!value.isObject()) {
             throw malformed("The value is not an object.", placeOf(name));
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
@@ -148,9 +148,9 @@
     // Guards against a holder who goes on giving orders under a right that the store no longer knows of.
     @Test
     public void should_not_hold_once_the_store_has_come_back_older() throws StoreException {
-        List<StoredObject> copy = store.copy();
+        List<StoredObject> copy = store.snapshot();
         OrderRight right = granted("one");
-        store.comeBackFrom(copy);
+        store.restoreFrom(copy);
 
         assertFalse(right.holds());
         assertEquals(right.acquire(), Optional.empty(), "the record is missing, and settles first");
@@ -159,13 +159,13 @@
     // Guards against an engine that refuses the orders of a new holder, since it has seen higher numbers.
     @Test
     public void should_number_orders_above_those_that_the_store_has_forgotten() throws StoreException {
-        List<StoredObject> copy = store.copy();
+        List<StoredObject> copy = store.snapshot();
         long before = 0;
         OrderRight right = granted("one");
         for (int order = 0; order < 100; order++) {
             before = right.acquire().orElseThrow();
         }
-        store.comeBackFrom(copy);
+        store.restoreFrom(copy);
         OrderRight stranger = right("stranger");
         stranger.observe();
         time.advance(OrderRight.SETTLED);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
@@ -51,12 +51,12 @@
         long[] numbers = new long[rights.size()];
         for (int step = 0; step < STEPS; step++) {
             time.advance(Duration.ofMillis(random.nextInt(400)));
-            copies.addFirst(store.copy());
+            copies.addFirst(store.snapshot());
             if (copies.size() > COPIES) {
                 copies.removeLast();
             }
             if (random.nextInt(100) == 0) {
-                store.comeBackFrom(List.copyOf(copies).get(random.nextInt(copies.size())));
+                store.restoreFrom(List.copyOf(copies).get(random.nextInt(copies.size())));
                 copies.clear();
             }
             int index = random.nextInt(rights.size());
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
@@ -11,7 +11,7 @@
     }
 
     @Override
-    public void rose(long before, long now) {
+    public void generationIncreased(long before, long now) {
         log.notable("store-came-back-older")
                 .with("generation", now)
                 .with("before", before)
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void fell(long before, long told) {
+    public void generationDecreased(long before, long told) {
         log.notable("store-generation-not-believed")
                 .with("generation", before)
                 .with("told", told)
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void unreadable(String written) {
+    public void generationUnreadable(String written) {
         log.notable("store-generation-unreadable").with("written", written).write();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
@@ -51,10 +51,10 @@
                         "The name is no digest of a request.", object.key().toString(), "Delete the object."));
         List<ServerEnd> ends = new ArrayList<>();
         for (StoredFields end : StoredFields.of(object).objects(ENDS)) {
-            ServerStart server = new ServerStart(end.text(SERVER), end.number(STARTED_AT));
+            ServerStart server = new ServerStart(end.text(SERVER), end.nonNegativeLong(STARTED_AT));
             // Clocks differ by seconds; an end that seems to lie ahead was just now.
-            Duration age = Duration.ofMillis(Math.max(0, timeOfDay - end.number(ENDED_AT)));
-            ends.add(new ServerEnd(request, server, age, end.truth(EXCUSED)));
+            Duration age = Duration.ofMillis(Math.max(0, timeOfDay - end.nonNegativeLong(ENDED_AT)));
+            ends.add(new ServerEnd(request, server, age, end.bool(EXCUSED)));
         }
         return ends;
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/PeerExchangeTest.java
@@ -146,7 +146,7 @@
         PeerDirectory directory = new PeerDirectory(store, "one", address, heard -> {}, log);
         directory.step();
         for (int time = 0; time < 2; time++) {
-            store.comeBackFrom(List.of());
+            store.restoreFrom(List.of());
             directory.step();
 
             assertEquals(store.list(ObjectKind.ENTRY_REGISTRATION).objects().size(), 1);
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StoreCameBackOlderTest.java
@@ -36,11 +36,11 @@
     // Guards against servers that are dropped at once, though they live and will register again.
     @Test
     public void should_doubt_that_a_server_is_gone_which_the_store_has_lost() throws Exception {
-        List<StoredObject> before = gateway.store().copy();
+        List<StoredObject> before = gateway.store().snapshot();
         gateway.backend("one", SERVICE, StoreCameBackOlderTest::answer);
         gateway.publish();
 
-        gateway.store().comeBackFrom(before);
+        gateway.store().restoreFrom(before);
 
         assertTrue(gateway.awaitLogged("server-doubtful").contains("\"server\":\"one\""));
     }
@@ -49,10 +49,10 @@
     @Test
     public void should_go_on_by_the_configuration_in_force() throws Exception {
         gateway.backend("one", SERVICE, StoreCameBackOlderTest::answer);
-        List<StoredObject> servers = gateway.store().copy();
+        List<StoredObject> servers = gateway.store().snapshot();
         gateway.publish();
 
-        gateway.store().comeBackFrom(servers);
+        gateway.store().restoreFrom(servers);
         gateway.awaitLogged("configuration-deleted");
 
         try (TestCaller caller = gateway.caller()) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
@@ -7,19 +7,19 @@
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.store.client.HttpObjectStore;
-import org.aspenmoor.internal.store.client.SettledWrite;
-import org.aspenmoor.internal.store.client.SettledWrites;
+import org.aspenmoor.internal.store.client.OutcomeResolvingWriter;
 import org.aspenmoor.internal.store.client.StoreSettings;
+import org.aspenmoor.internal.store.client.WriteOutcome;
 import org.aspenmoor.internal.time.SystemTimeSource;
 
 /** Reads and writes single objects of a running store. */
 final class StoreAccess {
     private final HttpObjectStore store;
-    private final SettledWrites writes;
+    private final OutcomeResolvingWriter writes;
 
     StoreAccess(URI address) {
         this.store = new HttpObjectStore(address, new SystemTimeSource(), new Random(), StoreSettings.defaults());
-        this.writes = new SettledWrites(store);
+        this.writes = new OutcomeResolvingWriter(store);
     }
 
     Optional<StoredObject> read(ObjectKey key) throws AspenmoorException {
@@ -28,15 +28,15 @@
 
     /** Creates the object or replaces what was read. */
     void write(ObjectKey key, Optional<StoredObject> read, String value) throws AspenmoorException {
-        SettledWrite settled = read.isPresent() ? writes.update(read.get(), value) : writes.create(key, value);
+        WriteOutcome settled = read.isPresent() ? writes.update(read.get(), value) : writes.create(key, value);
         switch (settled) {
-            case SettledWrite.Applied applied -> {
+            case WriteOutcome.Applied applied -> {
                 // Nothing is left to do.
             }
-            case SettledWrite.Lost lost ->
+            case WriteOutcome.Superseded lost ->
                 throw new AspenmoorException(
                         "Somebody else changed the object at the same moment.", key.toString(), "Try again.");
-            case SettledWrite.StillUnknown unknown -> throw unknown.cause();
+            case WriteOutcome.Unknown unknown -> throw unknown.cause();
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLimits.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLimits.java
@@ -24,7 +24,7 @@
 
     private static boolean allow(CallBudget budget) {
         try {
-            budget.take("store stand-in");
+            budget.acquire("store stand-in");
             return true;
         } catch (StoreBudgetException spent) {
             return false;
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StoreStandinTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StoreStandinTest.java
@@ -20,10 +20,10 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.store.client.CollectionListener;
 import org.aspenmoor.internal.store.client.HttpObjectStore;
-import org.aspenmoor.internal.store.client.SettledWrite;
-import org.aspenmoor.internal.store.client.SettledWrites;
+import org.aspenmoor.internal.store.client.OutcomeResolvingWriter;
 import org.aspenmoor.internal.store.client.StoreSettings;
 import org.aspenmoor.internal.store.client.WatchedCollection;
+import org.aspenmoor.internal.store.client.WriteOutcome;
 import org.aspenmoor.internal.time.ManualTimeSource;
 import org.aspenmoor.internal.time.SystemTimeSource;
 import org.testng.annotations.AfterMethod;
@@ -77,7 +77,7 @@
         // operator would be told of a failure while the change is in force everywhere.
         fault("{\"loseAnswers\":1}");
 
-        assertTrue(new SettledWrites(store).create(KEY, "{\"revision\":1}") instanceof SettledWrite.Applied);
+        assertTrue(new OutcomeResolvingWriter(store).create(KEY, "{\"revision\":1}") instanceof WriteOutcome.Applied);
         assertEquals(ledger("writes"), 1);
     }
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
@@ -13,12 +13,12 @@
 public final class CallBudget {
     private final TokenBucket bucket;
 
-    public CallBudget(TimeSource time, double callsPerSecond, int mostCallsAtOnce) {
-        this.bucket = new TokenBucket(time, callsPerSecond, mostCallsAtOnce);
+    public CallBudget(TimeSource time, double callsPerSecond, int maxBurstCalls) {
+        this.bucket = new TokenBucket(time, callsPerSecond, maxBurstCalls);
     }
 
     /** Takes one call out of the budget; fails if the budget is used up. */
-    public synchronized void take(String place) throws StoreBudgetException {
+    public synchronized void acquire(String place) throws StoreBudgetException {
         if (!bucket.take()) {
             throw new StoreBudgetException(
                     "The call budget of the process is used up; nothing was sent.",
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallCounters.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallCounters.java
@@ -14,10 +14,10 @@
     private final LongAdder reads = new LongAdder();
     private final LongAdder writes = new LongAdder();
     private final LongAdder watchesOpened = new LongAdder();
-    private final AtomicInteger watchesWaiting = new AtomicInteger();
+    private final AtomicInteger openWatches = new AtomicInteger();
     private final LongAdder conflicts = new LongAdder();
     private final LongAdder unavailable = new LongAdder();
-    private final LongAdder unknown = new LongAdder();
+    private final LongAdder unknownOutcomes = new LongAdder();
     private final LongAdder overBudget = new LongAdder();
 
     void readSent() {
@@ -30,19 +30,19 @@
 
     void watchOpened() {
         watchesOpened.increment();
-        watchesWaiting.incrementAndGet();
+        openWatches.incrementAndGet();
     }
 
     void watchEnded() {
-        watchesWaiting.decrementAndGet();
+        openWatches.decrementAndGet();
     }
 
-    void failed(StoreException failure) {
+    void recordFailure(StoreException failure) {
         switch (failure) {
             case StoreConflictException conflict -> conflicts.increment();
-            case StoreUnavailableException away -> unavailable.increment();
-            case StoreOutcomeUnknownException lost -> unknown.increment();
-            case StoreBudgetException spent -> overBudget.increment();
+            case StoreUnavailableException unreachable -> unavailable.increment();
+            case StoreOutcomeUnknownException outcomeUnknown -> unknownOutcomes.increment();
+            case StoreBudgetException budgetUsedUp -> overBudget.increment();
             case StoreMalformedException malformed -> {
                 // Not counted: this is an error in the data, which is logged.
             }
@@ -54,10 +54,10 @@
                 reads.sum(),
                 writes.sum(),
                 watchesOpened.sum(),
-                watchesWaiting.get(),
+                openWatches.get(),
                 conflicts.sum(),
                 unavailable.sum(),
-                unknown.sum(),
+                unknownOutcomes.sum(),
                 overBudget.sum());
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallCounts.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallCounts.java
@@ -6,18 +6,18 @@
  * @param reads reads and lists sent, including retries
  * @param writes creates, updates and deletes sent
  * @param watchesOpened watches opened
- * @param watchesWaiting watches that are open now
+ * @param openWatches watches that are open now
  * @param conflicts writes whose condition did not hold
  * @param unavailable calls to which the store did not respond, or which it reported as not executed
- * @param unknown writes whose response was lost
+ * @param unknownOutcomes writes whose response was lost
  * @param overBudget calls not sent because the call budget was used up
  */
 public record CallCounts(
         long reads,
         long writes,
         long watchesOpened,
-        long watchesWaiting,
+        long openWatches,
         long conflicts,
         long unavailable,
-        long unknown,
+        long unknownOutcomes,
         long overBudget) {}
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpObjectStore.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpObjectStore.java
@@ -22,10 +22,10 @@
 /**
  * An {@link ObjectStore} that calls the HTTP API of the store.
  *
- * <p>If the response to a write is lost, the writer has to find out its outcome; {@link SettledWrites} does this.
+ * <p>If the response to a write is lost, the writer has to find out its outcome; {@link OutcomeResolvingWriter} does this.
  */
 public final class HttpObjectStore implements ObjectStore {
-    private static final int MOST_VALUE_BYTES = 1024 * 1024;
+    private static final int MAX_VALUE_BYTES = 1024 * 1024;
     private static final int OK = 200;
 
     private final ObjectPaths paths;
@@ -36,8 +36,8 @@
         this(base, settings, new StoreCalls(time, random, settings, StoreGeneration.none()));
     }
 
-    HttpObjectStore(URI base, TimeSource time, RandomGenerator random, StoreSettings settings, Pauser pauser) {
-        this(base, settings, new StoreCalls(time, random, settings, StoreGeneration.none(), pauser));
+    HttpObjectStore(URI base, TimeSource time, RandomGenerator random, StoreSettings settings, Sleeper sleeper) {
+        this(base, settings, new StoreCalls(time, random, settings, StoreGeneration.none(), sleeper));
     }
 
     private HttpObjectStore(URI base, StoreSettings settings, StoreCalls calls) {
@@ -53,7 +53,7 @@
 
     @Override
     public Optional<StoredObject> read(ObjectKey key) throws StoreException {
-        Optional<String> body = calls.read(paths.object(key)).map(StoreReply::body);
+        Optional<String> body = calls.read(paths.object(key)).map(StoreResponse::body);
         if (body.isEmpty()) {
             return Optional.empty();
         }
@@ -72,14 +72,14 @@
 
     @Override
     public StoredObject create(ObjectKey key, String value) throws StoreException {
-        refuseTooLarge(key, value);
+        requireAllowedSize(key, value);
         String body = ObjectCodec.write(key, "", value);
         return write("POST", paths.namespace(key.kind(), key.namespace()), key, body);
     }
 
     @Override
     public StoredObject update(StoredObject read, String value) throws StoreException {
-        refuseTooLarge(read.key(), value);
+        requireAllowedSize(read.key(), value);
         String body = ObjectCodec.write(read.key(), read.version(), value);
         return write("PUT", paths.object(read.key()), read.key(), body);
     }
@@ -94,25 +94,27 @@
     public StoreWatch watch(ObjectKind kind, String fromVersion, StoreWatchListener listener) throws StoreException {
         try {
             URI uri = paths.watch(kind, fromVersion);
-            calls.budget().take(uri.toString());
+            calls.budget().acquire(uri.toString());
             HttpResponse<Flow.Publisher<List<ByteBuffer>>> response =
-                    calls.transport().open(uri);
+                    calls.transport().openStream(uri);
             if (response.statusCode() != OK) {
                 response.body().subscribe(new DiscardingSubscriber());
-                StoreAnswer answer = new StoreAnswer(response.statusCode(), "", StoreTransport.retryAfter(response), 0);
-                throw StoreAnswers.toWatch(answer, uri.toString());
+                StoreHttpResponse errorResponse =
+                        new StoreHttpResponse(response.statusCode(), "", StoreTransport.retryAfter(response), 0);
+                throw ResponseMapper.mapWatchFailure(errorResponse, uri.toString());
             }
-            HttpStoreWatch watch = new HttpStoreWatch(kind, uri, settings.watchSilence(), listener, calls.counters());
+            HttpStoreWatch watch =
+                    new HttpStoreWatch(kind, uri, settings.watchIdleTimeout(), listener, calls.counters());
             watch.start(response.body());
             return watch;
         } catch (StoreException failure) {
-            calls.counters().failed(failure);
+            calls.counters().recordFailure(failure);
             throw failure;
         }
     }
 
     private StoreListing listAt(URI uri, ObjectKind kind) throws StoreException {
-        Optional<String> body = calls.read(uri).map(StoreReply::body);
+        Optional<String> body = calls.read(uri).map(StoreResponse::body);
         if (body.isEmpty()) {
             throw new StoreMalformedException(
                     "The store has no resource for this kind of object.",
@@ -123,12 +125,12 @@
     }
 
     private StoredObject write(String method, URI uri, ObjectKey key, String body) throws StoreException {
-        String answer = calls.write(method, uri, key.toString(), body).body();
-        return ObjectCodec.read(key.kind(), key.toString(), answer);
+        String responseBody = calls.write(method, uri, key.toString(), body).body();
+        return ObjectCodec.read(key.kind(), key.toString(), responseBody);
     }
 
-    private static void refuseTooLarge(ObjectKey key, String value) throws StoreMalformedException {
-        if (value.getBytes(StandardCharsets.UTF_8).length > MOST_VALUE_BYTES) {
+    private static void requireAllowedSize(ObjectKey key, String value) throws StoreMalformedException {
+        if (value.getBytes(StandardCharsets.UTF_8).length > MAX_VALUE_BYTES) {
             throw new StoreMalformedException(
                     "The value is larger than 1 MiB, the limit of the store; nothing was sent.",
                     key.toString(),
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpStoreWatch.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpStoreWatch.java
@@ -21,17 +21,17 @@
 
     private final ObjectKind kind;
     private final URI uri;
-    private final Duration silence;
+    private final Duration idleTimeout;
     private final StoreWatchListener listener;
     private final CallCounters counters;
-    private final WatchLines lines = new WatchLines();
+    private final LineSubscriber lines = new LineSubscriber();
     private final Thread thread;
     private volatile boolean closed;
 
-    HttpStoreWatch(ObjectKind kind, URI uri, Duration silence, StoreWatchListener listener, CallCounters counters) {
+    HttpStoreWatch(ObjectKind kind, URI uri, Duration idleTimeout, StoreWatchListener listener, CallCounters counters) {
         this.kind = kind;
         this.uri = uri;
-        this.silence = silence;
+        this.idleTimeout = idleTimeout;
         this.listener = listener;
         this.counters = counters;
         this.thread = Thread.ofPlatform()
@@ -57,7 +57,7 @@
         try {
             StoreException cause = readUntilEnd();
             if (!closed) {
-                counters.failed(cause);
+                counters.recordFailure(cause);
                 listener.ended(cause);
             }
         } finally {
@@ -69,12 +69,12 @@
     private StoreException readUntilEnd() {
         try {
             while (!closed) {
-                Optional<String> line = lines.next(silence);
+                Optional<String> line = lines.next(idleTimeout);
                 // After a network partition the connection can stay open on this side without ever delivering data.
                 // The store sends periodic bookmarks, so an idle connection means that changes may be missed; listing
                 // again finds them.
                 if (line == null) {
-                    return ended("The watch received nothing for " + silence.toMillis() + " ms.");
+                    return ended("The watch received nothing for " + idleTimeout.toMillis() + " ms.");
                 }
                 if (line.isEmpty()) {
                     return ended(lines.failure()
@@ -82,19 +82,19 @@
                             .orElse("The store ended the watch."));
                 }
                 deliver(line.get());
-                lines.askForNext();
+                lines.requestNext();
             }
             return ended("The watch was closed.");
         } catch (InterruptedException closing) {
             Thread.currentThread().interrupt();
             return ended("The watch was closed.");
-        } catch (StoreException broken) {
-            return broken;
-        } catch (RuntimeException mistake) {
+        } catch (StoreException failed) {
+            return failed;
+        } catch (RuntimeException unexpected) {
             // A failing listener must not end this thread without an event: the owner of the watch would wait for
             // changes that never arrive.
             return new StoreMalformedException(
-                    "Processing a change failed: " + mistake, uri.toString(), LIST_AGAIN, mistake);
+                    "Processing a change failed: " + unexpected, uri.toString(), LIST_AGAIN, unexpected);
         }
     }
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchLines.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/LineSubscriber.java
@@ -13,7 +13,7 @@
  *
  * <p>Lines are requested one at a time, so that a slow listener slows the store down instead of filling the memory.
  */
-final class WatchLines implements Flow.Subscriber<String> {
+final class LineSubscriber implements Flow.Subscriber<String> {
     private final BlockingQueue<Optional<String>> ready = new ArrayBlockingQueue<>(2);
     private final AtomicReference<Flow.Subscription> subscription = new AtomicReference<>();
     private volatile Throwable failure;
@@ -41,11 +41,11 @@
     }
 
     /** Waits for the next line; null if none arrives within the given time, empty at the end of the stream. */
-    Optional<String> next(Duration silence) throws InterruptedException {
-        return ready.poll(silence.toNanos(), TimeUnit.NANOSECONDS);
+    Optional<String> next(Duration timeout) throws InterruptedException {
+        return ready.poll(timeout.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    void askForNext() {
+    void requestNext() {
         subscription.get().request(1);
     }
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/SettledWrites.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriter.java
@@ -18,17 +18,17 @@
  * marker of the writer, such as a nonce. An unchanged object proves nothing, since the write may still arrive. In that
  * case the same write is sent again with the same condition; at most one of the two can take effect.
  */
-public final class SettledWrites {
-    private static final int MOST_REPETITIONS = 2;
+public final class OutcomeResolvingWriter {
+    private static final int MAX_RETRIES = 2;
 
     private final ObjectStore store;
 
-    public SettledWrites(ObjectStore store) {
+    public OutcomeResolvingWriter(ObjectStore store) {
         this.store = store;
     }
 
     /** Creates an object; recognises its own write by comparing the complete value. */
-    public SettledWrite create(ObjectKey key, String value) throws StoreException {
+    public WriteOutcome create(ObjectKey key, String value) throws StoreException {
         return create(key, value, sameValue(key, value));
     }
 
@@ -38,12 +38,12 @@
      * @param ours recognises an object that contains this write
      * @throws StoreException if nothing was written
      */
-    public SettledWrite create(ObjectKey key, String value, Predicate<StoredObject> ours) throws StoreException {
-        return settle(() -> store.create(key, value), key, Optional.empty(), ours);
+    public WriteOutcome create(ObjectKey key, String value, Predicate<StoredObject> isOwnWrite) throws StoreException {
+        return resolve(() -> store.create(key, value), key, Optional.empty(), isOwnWrite);
     }
 
     /** Replaces an object; recognises its own write by comparing the complete value. */
-    public SettledWrite update(StoredObject read, String value) throws StoreException {
+    public WriteOutcome update(StoredObject read, String value) throws StoreException {
         return update(read, value, sameValue(read.key(), value));
     }
 
@@ -53,72 +53,73 @@
      * @param ours recognises an object that contains this write
      * @throws StoreException if nothing was written
      */
-    public SettledWrite update(StoredObject read, String value, Predicate<StoredObject> ours) throws StoreException {
-        return settle(() -> store.update(read, value), read.key(), Optional.of(read.version()), ours);
+    public WriteOutcome update(StoredObject read, String value, Predicate<StoredObject> isOwnWrite)
+            throws StoreException {
+        return resolve(() -> store.update(read, value), read.key(), Optional.of(read.version()), isOwnWrite);
     }
 
-    private SettledWrite settle(
-            ConditionalWrite write, ObjectKey key, Optional<String> condition, Predicate<StoredObject> ours)
+    private WriteOutcome resolve(
+            ConditionalWrite write, ObjectKey key, Optional<String> condition, Predicate<StoredObject> isOwnWrite)
             throws StoreException {
         try {
-            return new SettledWrite.Applied(write.send());
-        } catch (StoreConflictException moved) {
-            return new SettledWrite.Lost(Optional.empty());
+            return new WriteOutcome.Applied(write.send());
+        } catch (StoreConflictException conflict) {
+            return new WriteOutcome.Superseded(Optional.empty());
         } catch (StoreOutcomeUnknownException lost) {
-            return settleByReading(write, key, condition, ours, lost);
+            return resolveByReading(write, key, condition, isOwnWrite, lost);
         }
     }
 
     // The first write may still arrive, so no exception that means "nothing was written" may leave this method.
-    private SettledWrite settleByReading(
+    private WriteOutcome resolveByReading(
             ConditionalWrite write,
             ObjectKey key,
             Optional<String> condition,
-            Predicate<StoredObject> ours,
+            Predicate<StoredObject> isOwnWrite,
             StoreOutcomeUnknownException lost) {
         StoreException cause = lost;
-        for (int repetition = 0; repetition < MOST_REPETITIONS; repetition++) {
+        for (int retry = 0; retry < MAX_RETRIES; retry++) {
             try {
                 Optional<StoredObject> current = store.read(key);
-                if (current.filter(ours).isPresent()) {
-                    return new SettledWrite.Applied(current.get());
+                if (current.filter(isOwnWrite).isPresent()) {
+                    return new WriteOutcome.Applied(current.get());
                 }
                 if (!current.map(StoredObject::version).equals(condition)) {
-                    return new SettledWrite.Lost(current);
+                    return new WriteOutcome.Superseded(current);
                 }
-                return new SettledWrite.Applied(write.send());
-            } catch (StoreConflictException moved) {
-                cause = moved;
+                return new WriteOutcome.Applied(write.send());
+            } catch (StoreConflictException conflict) {
+                cause = conflict;
             } catch (StoreOutcomeUnknownException lostAgain) {
                 cause = lostAgain;
             } catch (StoreException unreadable) {
-                return new SettledWrite.StillUnknown(unreadable);
+                return new WriteOutcome.Unknown(unreadable);
             }
         }
-        return lastLook(key, condition, ours, cause);
+        return readOnceMore(key, condition, isOwnWrite, cause);
     }
 
-    private SettledWrite lastLook(
-            ObjectKey key, Optional<String> condition, Predicate<StoredObject> ours, StoreException cause) {
+    private WriteOutcome readOnceMore(
+            ObjectKey key, Optional<String> condition, Predicate<StoredObject> isOwnWrite, StoreException cause) {
         try {
             Optional<StoredObject> current = store.read(key);
-            if (current.filter(ours).isPresent()) {
-                return new SettledWrite.Applied(current.get());
+            if (current.filter(isOwnWrite).isPresent()) {
+                return new WriteOutcome.Applied(current.get());
             }
             if (!current.map(StoredObject::version).equals(condition)) {
-                return new SettledWrite.Lost(current);
+                return new WriteOutcome.Superseded(current);
             }
-            return new SettledWrite.StillUnknown(cause);
+            return new WriteOutcome.Unknown(cause);
         } catch (StoreException unreadable) {
-            return new SettledWrite.StillUnknown(unreadable);
+            return new WriteOutcome.Unknown(unreadable);
         }
     }
 
     private static Predicate<StoredObject> sameValue(ObjectKey key, String value) throws StoreMalformedException {
-        JsonNode wanted = ObjectCodec.tree(key.toString(), value);
+        JsonNode expected = ObjectCodec.tree(key.toString(), value);
         return object -> {
             try {
-                return ObjectCodec.tree(key.toString(), object.value()).equals(wanted);
+                return ObjectCodec.tree(key.toString(), object.value()).equals(expected);
             } catch (StoreMalformedException unreadable) {
                 return false;
             }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/EventQueue.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/QueueingWatchListener.java
@@ -6,10 +6,10 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /** Passes the events of a watch to the thread of a collection; blocks the watch while the queue is full. */
-final class EventQueue implements StoreWatchListener {
+final class QueueingWatchListener implements StoreWatchListener {
     private final BlockingQueue<CollectionEvent> events;
 
-    EventQueue(BlockingQueue<CollectionEvent> events) {
+    QueueingWatchListener(BlockingQueue<CollectionEvent> events) {
         this.events = events;
     }
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Pauser.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Sleeper.java
@@ -4,7 +4,7 @@
 
 /** Waits between retries; tests advance a manual clock instead. */
 @FunctionalInterface
-interface Pauser {
+interface Sleeper {
     /** Waits for about the given time, or less if the thread is interrupted. */
-    void pause(Duration duration);
+    void sleep(Duration duration);
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
@@ -13,14 +13,14 @@
  * Sends calls to the store with a call budget, timeouts and counters, independently of the API's paths and formats.
  *
  * <p>Reads are retried with jittered delays until their deadline. Writes are sent once: if the response is lost, the
- * writer has to find out the outcome; {@link SettledWrites} does this.
+ * writer has to find out the outcome; {@link OutcomeResolvingWriter} does this.
  */
 public final class StoreCalls {
-    private static final int MOST_READ_ATTEMPTS = 8;
+    private static final int MAX_READ_ATTEMPTS = 8;
 
     private final TimeSource time;
     private final StoreSettings settings;
-    private final Pauser pauser;
+    private final Sleeper sleeper;
     private final StoreTransport transport;
     private final CallBudget budget;
     private final StoreGeneration generation;
@@ -36,48 +36,48 @@
             RandomGenerator random,
             StoreSettings settings,
             StoreGeneration generation,
-            Pauser pauser) {
+            Sleeper sleeper) {
         this.generation = generation;
         this.time = time;
         this.settings = settings;
-        this.pauser = pauser;
+        this.sleeper = sleeper;
         this.transport = new StoreTransport(settings, generation);
-        this.budget = new CallBudget(time, settings.callsPerSecond(), settings.mostCallsAtOnce());
-        this.backoff = new Backoff(random, settings.firstBackoff(), settings.mostBackoff());
+        this.budget = new CallBudget(time, settings.callsPerSecond(), settings.maxBurstCalls());
+        this.backoff = new Backoff(random, settings.initialBackoff(), settings.maxBackoff());
     }
 
     /** Reads, with retries while the store is unavailable; empty if the object does not exist. */
-    public Optional<StoreReply> read(URI uri) throws StoreException {
+    public Optional<StoreResponse> read(URI uri) throws StoreException {
         long deadline = time.monotonicNanoseconds() + settings.readDeadline().toNanos();
         for (int attempt = 0; ; attempt++) {
             try {
                 return readOnce(uri, settings.callTimeout());
             } catch (StoreUnavailableException unavailable) {
-                Duration pause = backoff.pauseBefore(attempt);
-                boolean late = time.monotonicNanoseconds() + pause.toNanos() - deadline >= 0;
-                if (late
-                        || attempt + 1 >= MOST_READ_ATTEMPTS
+                Duration delay = backoff.delayBeforeRetry(attempt);
+                boolean pastDeadline = time.monotonicNanoseconds() + delay.toNanos() - deadline >= 0;
+                if (pastDeadline
+                        || attempt + 1 >= MAX_READ_ATTEMPTS
                         || Thread.currentThread().isInterrupted()) {
                     throw unavailable;
                 }
-                pauser.pause(pause);
+                sleeper.sleep(delay);
             }
         }
     }
 
     /** Makes one long-polling read, to which the store responds within the given time. */
-    public Optional<StoreReply> poll(URI uri, Duration waiting) throws StoreException {
-        return readOnce(uri, waiting.plus(settings.callTimeout()));
+    public Optional<StoreResponse> poll(URI uri, Duration maxWait) throws StoreException {
+        return readOnce(uri, maxWait.plus(settings.callTimeout()));
     }
 
     /** Sends a write once and returns the response. */
-    public StoreReply write(String method, URI uri, String place, String body) throws StoreException {
+    public StoreResponse write(String method, URI uri, String place, String body) throws StoreException {
         try {
-            budget.take(place);
+            budget.acquire(place);
             counters.writeSent();
-            return StoreAnswers.toWrite(transport.write(method, uri, body), place);
+            return ResponseMapper.mapWrite(transport.write(method, uri, body), place);
         } catch (StoreException failure) {
-            counters.failed(failure);
+            counters.recordFailure(failure);
             throw failure;
         }
     }
@@ -104,13 +104,13 @@
         return transport;
     }
 
-    private Optional<StoreReply> readOnce(URI uri, Duration timeout) throws StoreException {
+    private Optional<StoreResponse> readOnce(URI uri, Duration timeout) throws StoreException {
         try {
-            budget.take(uri.toString());
+            budget.acquire(uri.toString());
             counters.readSent();
-            return StoreAnswers.toRead(transport.read(uri, timeout), uri.toString());
+            return ResponseMapper.mapRead(transport.read(uri, timeout), uri.toString());
         } catch (StoreException failure) {
-            counters.failed(failure);
+            counters.recordFailure(failure);
             throw failure;
         }
     }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
@@ -14,8 +14,8 @@
     private final String header;
     private final Listener listener;
     private long highest;
-    private boolean known;
-    private boolean complained;
+    private boolean seen;
+    private boolean unreadableReported;
 
     /**
      * Creates a tracker that has not seen any generation.
@@ -43,42 +43,42 @@
     }
 
     /** Processes the header value of a response and returns the generation that the response belongs to. */
-    synchronized long observe(Optional<String> written) {
+    synchronized long observe(Optional<String> headerValue) {
         if (header.isEmpty()) {
             return 0;
         }
-        OptionalLong read = read(written);
-        if (read.isEmpty()) {
-            complain(written);
+        OptionalLong parsed = parse(headerValue);
+        if (parsed.isEmpty()) {
+            reportUnreadable(headerValue);
             return highest;
         }
-        long told = read.getAsLong();
-        if (known && told < highest) {
-            listener.fell(highest, told);
+        long received = parsed.getAsLong();
+        if (seen && received < highest) {
+            listener.generationDecreased(highest, received);
             return highest;
         }
-        boolean rose = known && told > highest;
+        boolean increased = seen && received > highest;
         long before = highest;
-        highest = told;
-        known = true;
-        if (rose) {
-            listener.rose(before, told);
+        highest = received;
+        seen = true;
+        if (increased) {
+            listener.generationIncreased(before, received);
         }
-        return told;
+        return received;
     }
 
-    private void complain(Optional<String> written) {
-        if (!complained) {
-            complained = true;
-            listener.unreadable(written.orElse(""));
+    private void reportUnreadable(Optional<String> headerValue) {
+        if (!unreadableReported) {
+            unreadableReported = true;
+            listener.generationUnreadable(headerValue.orElse(""));
         }
     }
 
-    private static OptionalLong read(Optional<String> written) {
+    private static OptionalLong parse(Optional<String> headerValue) {
         try {
-            long number = Long.parseLong(written.orElse("").strip());
+            long number = Long.parseLong(headerValue.orElse("").strip());
             return number < 0 ? OptionalLong.empty() : OptionalLong.of(number);
-        } catch (NumberFormatException noNumber) {
+        } catch (NumberFormatException notANumber) {
             return OptionalLong.empty();
         }
     }
@@ -86,12 +86,12 @@
     /** Is notified of changes of the generation, on the thread of the call. */
     public interface Listener {
         /** The store was restored from an older snapshot. */
-        default void rose(long before, long now) {}
+        default void generationIncreased(long before, long now) {}
 
         /** A response contained a lower generation than an earlier response; it is ignored. */
-        default void fell(long before, long told) {}
+        default void generationDecreased(long before, long received) {}
 
         /** A response contained no valid generation; reported once. */
-        default void unreadable(String written) {}
+        default void generationUnreadable(String headerValue) {}
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreAnswer.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreHttpResponse.java
@@ -10,4 +10,4 @@
  * @param retryAfter the wait that the store requests before a retry; zero if it requests none
  * @param generation the generation of the store's history that the response belongs to
  */
-record StoreAnswer(int status, String body, Duration retryAfter, long generation) {}
+record StoreHttpResponse(int status, String body, Duration retryAfter, long generation) {}
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreReply.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreResponse.java
@@ -6,4 +6,4 @@
  * @param body the body
  * @param generation the generation of the store's history that the response belongs to
  */
-public record StoreReply(String body, long generation) {}
+public record StoreResponse(String body, long generation) {}
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreSettings.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreSettings.java
@@ -8,21 +8,21 @@
  * @param connectTimeout the maximum time to connect; nothing was sent when it expires
  * @param callTimeout the maximum time of one call, from connecting to the last byte of the response
  * @param readDeadline the maximum time of a read over all its attempts
- * @param firstBackoff the upper bound of the delay before the first retry; it doubles with each retry
- * @param mostBackoff the upper bound of the delay before any retry
- * @param watchSilence the time without any data, not even a bookmark, after which a watch counts as broken
+ * @param initialBackoff the upper bound of the delay before the first retry; it doubles with each retry
+ * @param maxBackoff the upper bound of the delay before any retry
+ * @param watchIdleTimeout the time without any data, not even a bookmark, after which a watch counts as broken
  * @param callsPerSecond the sustained rate of calls
- * @param mostCallsAtOnce the number of calls allowed in a burst after an idle period
+ * @param maxBurstCalls the number of calls allowed in a burst after an idle period
  */
 public record StoreSettings(
         Duration connectTimeout,
         Duration callTimeout,
         Duration readDeadline,
-        Duration firstBackoff,
-        Duration mostBackoff,
-        Duration watchSilence,
+        Duration initialBackoff,
+        Duration maxBackoff,
+        Duration watchIdleTimeout,
         double callsPerSecond,
-        int mostCallsAtOnce) {
+        int maxBurstCalls) {
 
     /** Returns settings for a store that responds within milliseconds. */
     public static StoreSettings defaults() {
@@ -38,15 +38,15 @@
     }
 
     /** Returns a copy of these settings with another call budget. */
-    public StoreSettings withBudget(double newCallsPerSecond, int newMostCallsAtOnce) {
+    public StoreSettings withBudget(double newCallsPerSecond, int newMaxBurstCalls) {
         return new StoreSettings(
                 connectTimeout,
                 callTimeout,
                 readDeadline,
-                firstBackoff,
-                mostBackoff,
-                watchSilence,
+                initialBackoff,
+                maxBackoff,
+                watchIdleTimeout,
                 newCallsPerSecond,
-                newMostCallsAtOnce);
+                newMaxBurstCalls);
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreTransport.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreTransport.java
@@ -26,8 +26,9 @@
  * <p>The JDK's HTTP client retries only GET requests on its own, so a write is sent at most once.
  */
 final class StoreTransport {
-    private static final String REPEAT = "Retry later; nothing was written.";
-    private static final String SETTLE = "Read the object before doing anything else; the write may have taken effect.";
+    private static final String RETRY_LATER = "Retry later; nothing was written.";
+    private static final String READ_FIRST =
+            "Read the object before doing anything else; the write may have taken effect.";
 
     private final HttpClient client;
     private final StoreSettings settings;
@@ -43,12 +44,12 @@
                 .build();
     }
 
-    StoreAnswer read(URI uri, Duration timeout) throws StoreException {
+    StoreHttpResponse read(URI uri, Duration timeout) throws StoreException {
         HttpRequest request = HttpRequest.newBuilder(uri).GET().build();
         return send(request, false, timeout);
     }
 
-    StoreAnswer write(String method, URI uri, String body) throws StoreException {
+    StoreHttpResponse write(String method, URI uri, String body) throws StoreException {
         HttpRequest request = HttpRequest.newBuilder(uri)
                 .method(method, HttpRequest.BodyPublishers.ofString(body, StandardCharsets.UTF_8))
                 .header("Content-Type", "application/json")
@@ -57,17 +58,17 @@
     }
 
     /** Opens a stream; returns as soon as the response headers have arrived. */
-    HttpResponse<Flow.Publisher<List<ByteBuffer>>> open(URI uri) throws StoreException {
+    HttpResponse<Flow.Publisher<List<ByteBuffer>>> openStream(URI uri) throws StoreException {
         HttpRequest request = HttpRequest.newBuilder(uri).GET().build();
         return await(
                 client.sendAsync(request, HttpResponse.BodyHandlers.ofPublisher()), uri, false, settings.callTimeout());
     }
 
-    private StoreAnswer send(HttpRequest request, boolean writes, Duration timeout) throws StoreException {
+    private StoreHttpResponse send(HttpRequest request, boolean isWrite, Duration timeout) throws StoreException {
         CompletableFuture<HttpResponse<String>> pending =
                 client.sendAsync(request, HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8));
-        HttpResponse<String> response = await(pending, request.uri(), writes, timeout);
-        return new StoreAnswer(response.statusCode(), response.body(), retryAfter(response), observe(response));
+        HttpResponse<String> response = await(pending, request.uri(), isWrite, timeout);
+        return new StoreHttpResponse(response.statusCode(), response.body(), retryAfter(response), observe(response));
     }
 
     private long observe(HttpResponse<?> response) {
@@ -80,22 +81,23 @@
     // The request timeout of the HTTP client covers only the response headers; a store that stalls within the body
     // would
     // block the calling thread for ever. Waiting on the future limits the complete call.
-    private <T> T await(CompletableFuture<T> pending, URI uri, boolean writes, Duration timeout) throws StoreException {
+    private <T> T await(CompletableFuture<T> pending, URI uri, boolean isWrite, Duration timeout)
+            throws StoreException {
         try {
             return pending.get(timeout.toNanos(), TimeUnit.NANOSECONDS);
-        } catch (TimeoutException late) {
+        } catch (TimeoutException timedOut) {
             pending.cancel(true);
-            throw lost("The store did not respond within the time limit.", uri, writes, late);
+            throw responseLost("The store did not respond within the time limit.", uri, isWrite, timedOut);
         } catch (InterruptedException interrupted) {
             pending.cancel(true);
             Thread.currentThread().interrupt();
-            throw lost("The thread was interrupted while waiting for the store.", uri, writes, interrupted);
+            throw responseLost("The thread was interrupted while waiting for the store.", uri, isWrite, interrupted);
         } catch (ExecutionException failed) {
             Throwable cause = failed.getCause();
             if (neverSent(cause)) {
-                throw new StoreUnavailableException("The store cannot be reached.", uri.toString(), REPEAT, cause);
+                throw new StoreUnavailableException("The store cannot be reached.", uri.toString(), RETRY_LATER, cause);
             }
-            throw lost("The connection to the store was lost: " + cause.getMessage(), uri, writes, cause);
+            throw responseLost("The connection to the store was lost: " + cause.getMessage(), uri, isWrite, cause);
         }
     }
 
@@ -110,18 +112,18 @@
         return false;
     }
 
-    private static StoreException lost(String problem, URI uri, boolean writes, Throwable cause) {
-        if (writes) {
-            return new StoreOutcomeUnknownException(problem, uri.toString(), SETTLE, cause);
+    private static StoreException responseLost(String problem, URI uri, boolean isWrite, Throwable cause) {
+        if (isWrite) {
+            return new StoreOutcomeUnknownException(problem, uri.toString(), READ_FIRST, cause);
         }
-        return new StoreUnavailableException(problem, uri.toString(), REPEAT, cause);
+        return new StoreUnavailableException(problem, uri.toString(), RETRY_LATER, cause);
     }
 
     static Duration retryAfter(HttpResponse<?> response) {
         String text = response.headers().firstValue("Retry-After").orElse("0");
         try {
             return Duration.ofMillis(Math.max(0, Math.round(Double.parseDouble(text) * 1000)));
-        } catch (NumberFormatException date) {
+        } catch (NumberFormatException notANumber) {
             return Duration.ZERO;
         }
     }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
@@ -27,7 +27,7 @@
  */
 public final class WatchedCollection implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(WatchedCollection.class);
-    private static final int MOST_WAITING_EVENTS = 256;
+    private static final int MAX_QUEUED_EVENTS = 256;
 
     private final ObjectStore store;
     private final ObjectKind kind;
@@ -46,7 +46,7 @@
         this.store = store;
         this.kind = kind;
         this.listener = listener;
-        this.backoff = new Backoff(random, settings.firstBackoff(), settings.mostBackoff());
+        this.backoff = new Backoff(random, settings.initialBackoff(), settings.maxBackoff());
         this.thread = Thread.ofPlatform()
                 .daemon()
                 .name("store-collection-" + kind.resource())
@@ -67,47 +67,47 @@
     private void run() {
         int failures = 0;
         while (!closed) {
-            Duration pause;
+            Duration delay;
             try {
-                listAndFollow();
+                listAndWatch();
                 failures = 0;
                 // A restart of the store ends the watches of all processes at the same time. If all of them listed
                 // again immediately, they would exceed the store's rate limit just as it becomes available.
-                pause = backoff.spread();
+                delay = backoff.delayUpToMax();
             } catch (StoreException failure) {
-                interrupted(failure);
-                pause = backoff.pauseBefore(failures);
+                reportInterruption(failure);
+                delay = backoff.delayBeforeRetry(failures);
                 failures++;
-            } catch (RuntimeException mistake) {
-                LOG.errorf(mistake, "store: processing a change of %s failed, listing again", kind.resource());
-                pause = backoff.pauseBefore(failures);
+            } catch (RuntimeException unexpected) {
+                LOG.errorf(unexpected, "store: processing a change of %s failed, listing again", kind.resource());
+                delay = backoff.delayBeforeRetry(failures);
                 failures++;
             } catch (InterruptedException closing) {
                 return;
             }
-            if (!pauseFor(pause)) {
+            if (!sleepFor(delay)) {
                 return;
             }
         }
     }
 
-    private void listAndFollow() throws StoreException, InterruptedException {
+    private void listAndWatch() throws StoreException, InterruptedException {
         StoreListing listing = store.list(kind);
-        takeOver(listing);
+        applyListing(listing);
         listener.synchronised();
-        follow(listing.version());
+        processWatch(listing.version());
     }
 
     /** Processes the events of one watch until it ends. */
-    private void follow(String version) throws StoreException, InterruptedException {
-        BlockingQueue<CollectionEvent> events = new ArrayBlockingQueue<>(MOST_WAITING_EVENTS);
-        try (StoreWatch watch = store.watch(kind, version, new EventQueue(events))) {
+    private void processWatch(String version) throws StoreException, InterruptedException {
+        BlockingQueue<CollectionEvent> events = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
+        try (StoreWatch watch = store.watch(kind, version, new QueueingWatchListener(events))) {
             while (true) {
                 switch (events.take()) {
-                    case CollectionEvent.Changed changed -> change(changed.object());
-                    case CollectionEvent.Deleted deleted -> delete(deleted.object());
+                    case CollectionEvent.Changed changed -> applyChange(changed.object());
+                    case CollectionEvent.Deleted deleted -> applyDeletion(deleted.object());
                     case CollectionEvent.Ended ended -> {
-                        interrupted(ended.cause());
+                        reportInterruption(ended.cause());
                         return;
                     }
                 }
@@ -115,7 +115,7 @@
         }
     }
 
-    private void takeOver(StoreListing listing) {
+    private void applyListing(StoreListing listing) {
         Map<ObjectKey, StoredObject> listed = new HashMap<>();
         for (StoredObject object : listing.objects()) {
             listed.put(object.key(), object);
@@ -126,13 +126,13 @@
                 missing.add(object);
             }
         }
-        missing.forEach(this::delete);
-        listed.values().forEach(this::change);
+        missing.forEach(this::applyDeletion);
+        listed.values().forEach(this::applyChange);
     }
 
     // An object counts as known only after the listener has processed it, so that the next listing reports it again
     // otherwise.
-    private void change(StoredObject object) {
+    private void applyChange(StoredObject object) {
         StoredObject before = known.get(object.key());
         if (before != null && before.version().equals(object.version())) {
             return;
@@ -141,14 +141,14 @@
         known.put(object.key(), object);
     }
 
-    private void delete(StoredObject object) {
+    private void applyDeletion(StoredObject object) {
         if (known.containsKey(object.key())) {
             listener.deleted(object);
             known.remove(object.key());
         }
     }
 
-    private void interrupted(StoreException cause) {
+    private void reportInterruption(StoreException cause) {
         if (closed) {
             return;
         }
@@ -156,9 +156,9 @@
         listener.interrupted(cause);
     }
 
-    private boolean pauseFor(Duration pause) {
+    private boolean sleepFor(Duration delay) {
         try {
-            TimeUnit.NANOSECONDS.sleep(pause.toNanos());
+            TimeUnit.NANOSECONDS.sleep(delay.toNanos());
             return !closed;
         } catch (InterruptedException closing) {
             return false;
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/SettledWrite.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WriteOutcome.java
@@ -5,13 +5,13 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /** The outcome of a conditional write. */
-public sealed interface SettledWrite {
+public sealed interface WriteOutcome {
     /**
      * The write took effect.
      *
      * @param object the object that contains the write, possibly with later changes
      */
-    record Applied(StoredObject object) implements SettledWrite {}
+    record Applied(StoredObject object) implements WriteOutcome {}
 
     /**
      * The object does not contain the write, and this call can no longer change it.
@@ -21,12 +21,12 @@
      *
      * @param current the object as last read; empty if it does not exist or was not read
      */
-    record Lost(Optional<StoredObject> current) implements SettledWrite {}
+    record Superseded(Optional<StoredObject> current) implements WriteOutcome {}
 
     /**
      * The outcome is unknown: the response was lost, and reading the object did not resolve it.
      *
      * @param cause why the outcome could not be resolved
      */
-    record StillUnknown(StoreException cause) implements SettledWrite {}
+    record Unknown(StoreException cause) implements WriteOutcome {}
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/CallBudgetTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/CallBudgetTest.java
@@ -26,7 +26,7 @@
         int calls = 0;
         while (true) {
             try {
-                budget.take("test");
+                budget.acquire("test");
                 calls++;
             } catch (StoreBudgetException spent) {
                 return calls;
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
@@ -127,7 +127,7 @@
         for (int call = 0; call < 3; call++) {
             assertThrows(StoreOutcomeUnknownException.class, () -> store.create(TestObjects.PLAN, "{}"));
         }
-        assertEquals(store.counts().unknown(), 3);
+        assertEquals(store.counts().unknownOutcomes(), 3);
     }
 
     @Test
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpStoreWatchTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpStoreWatchTest.java
@@ -42,19 +42,19 @@
         server.then(new ScriptedStore.Step.Stream(lines, false));
         HttpObjectStore store = store(TestObjects.patient());
 
-        store.watch(ObjectKind.ROLE_PLAN, "0", new EventQueue(events));
+        store.watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertEquals(next(), new CollectionEvent.Changed(TestObjects.plan("1", "{}")));
         assertEquals(next(), new CollectionEvent.Changed(TestObjects.plan("2", "{}")));
         assertEquals(next(), new CollectionEvent.Deleted(TestObjects.plan("3", "{}")));
-        assertEquals(store.counts().watchesWaiting(), 1);
+        assertEquals(store.counts().openWatches(), 1);
     }
 
     @Test
     public void should_end_where_the_store_ends_the_stream() throws Exception {
         server.then(new ScriptedStore.Step.Stream(List.of(), true));
 
-        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new EventQueue(events));
+        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended);
     }
@@ -65,7 +65,7 @@
         // the process would treat its documents as current for ever.
         server.then(new ScriptedStore.Step.Stream(List.of(), false));
 
-        store(TestObjects.impatientInSilence()).watch(ObjectKind.ROLE_PLAN, "0", new EventQueue(events));
+        store(TestObjects.impatientInSilence()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended ended
                 && ended.cause().problem().contains("received nothing"));
@@ -75,7 +75,7 @@
     public void should_end_where_the_store_reports_an_error_in_the_stream() throws Exception {
         server.then(new ScriptedStore.Step.Stream(List.of(TestObjects.event("ERROR", "{\"code\":410}")), false));
 
-        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new EventQueue(events));
+        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended ended
                 && ended.cause().problem().contains("410"));
@@ -87,8 +87,9 @@
         HttpObjectStore store = store(TestObjects.patient());
 
         assertThrows(
-                StoreUnavailableException.class, () -> store.watch(ObjectKind.ROLE_PLAN, "1", new EventQueue(events)));
-        assertEquals(store.counts().watchesWaiting(), 0);
+                StoreUnavailableException.class,
+                () -> store.watch(ObjectKind.ROLE_PLAN, "1", new QueueingWatchListener(events)));
+        assertEquals(store.counts().openWatches(), 0);
     }
 
     private HttpObjectStore store(StoreSettings settings) {
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/SettledWritesTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/SettledWritesTest.java
@@ -13,13 +13,13 @@
     private static final String THEIRS = "{\"owner\":\"them\",\"nonce\":7}";
 
     private final FakeStore store = new FakeStore();
-    private final SettledWrites writes = new SettledWrites(store);
+    private final OutcomeResolvingWriter writes = new OutcomeResolvingWriter(store);
 
     @Test
     public void should_apply_a_write_whose_answer_comes() throws StoreException {
         store.remove(TestObjects.PLAN);
 
-        assertTrue(writes.create(TestObjects.PLAN, OURS) instanceof SettledWrite.Applied);
+        assertTrue(writes.create(TestObjects.PLAN, OURS) instanceof WriteOutcome.Applied);
     }
 
     @Test
@@ -30,7 +30,7 @@
         store.nextWrites(WriteFault.APPLIED_ANSWER_LOST);
         int before = store.writesSent();
 
-        assertTrue(writes.create(TestObjects.PLAN, OURS) instanceof SettledWrite.Applied);
+        assertTrue(writes.create(TestObjects.PLAN, OURS) instanceof WriteOutcome.Applied);
         assertEquals(store.writesSent() - before, 1);
     }
 
@@ -39,9 +39,9 @@
         StoredObject read = store.put(TestObjects.PLAN, THEIRS);
         store.nextWrites(WriteFault.NEVER_ARRIVED);
 
-        SettledWrite settled = writes.update(read, OURS);
+        WriteOutcome settled = writes.update(read, OURS);
 
-        assertTrue(settled instanceof SettledWrite.Applied applied
+        assertTrue(settled instanceof WriteOutcome.Applied applied
                 && applied.object().value().equals(OURS));
     }
 
@@ -50,7 +50,7 @@
         StoredObject read = store.put(TestObjects.PLAN, THEIRS);
         store.nextWrites(WriteFault.NEVER_ARRIVED, WriteFault.APPLIED_ANSWER_LOST);
 
-        assertTrue(writes.update(read, OURS) instanceof SettledWrite.Applied);
+        assertTrue(writes.update(read, OURS) instanceof WriteOutcome.Applied);
     }
 
     @Test
@@ -61,9 +61,9 @@
         StoredObject theirs = store.put(TestObjects.PLAN, THEIRS);
         store.nextWrites(WriteFault.NEVER_ARRIVED);
 
-        SettledWrite settled = writes.update(read, OURS);
+        WriteOutcome settled = writes.update(read, OURS);
 
-        assertTrue(settled instanceof SettledWrite.Lost lost
+        assertTrue(settled instanceof WriteOutcome.Superseded lost
                 && lost.current().orElseThrow().equals(theirs));
     }
 
@@ -74,7 +74,7 @@
         store.nextWrites(WriteFault.APPLIED_ANSWER_LOST);
         store.failReads(1);
 
-        assertTrue(writes.update(read, OURS) instanceof SettledWrite.StillUnknown);
+        assertTrue(writes.update(read, OURS) instanceof WriteOutcome.Unknown);
     }
 
     @Test
@@ -82,7 +82,7 @@
         StoredObject read = store.put(TestObjects.PLAN, THEIRS);
         store.nextWrites(WriteFault.NEVER_ARRIVED, WriteFault.NEVER_ARRIVED, WriteFault.NEVER_ARRIVED);
 
-        assertTrue(writes.update(read, OURS) instanceof SettledWrite.StillUnknown);
+        assertTrue(writes.update(read, OURS) instanceof WriteOutcome.Unknown);
     }
 
     @Test
@@ -93,9 +93,9 @@
         store.put(TestObjects.PLAN, "{\"claims\":[\"ours\",\"theirs\"]}");
         store.nextWrites(WriteFault.NEVER_ARRIVED);
 
-        SettledWrite settled = writes.update(
+        WriteOutcome settled = writes.update(
                 read, "{\"claims\":[\"ours\"]}", object -> object.value().contains("\"ours\""));
 
-        assertTrue(settled instanceof SettledWrite.Applied);
+        assertTrue(settled instanceof WriteOutcome.Applied);
     }
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
@@ -51,10 +51,10 @@
                 patient.connectTimeout(),
                 callTimeout,
                 patient.readDeadline(),
-                patient.firstBackoff(),
-                patient.mostBackoff(),
+                patient.initialBackoff(),
+                patient.maxBackoff(),
                 watchSilence,
                 patient.callsPerSecond(),
-                patient.mostCallsAtOnce());
+                patient.maxBurstCalls());
     }
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/WatchedCollectionTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/WatchedCollectionTest.java
@@ -36,7 +36,7 @@
                 defaults.readDeadline(),
                 Duration.ofNanos(1),
                 Duration.ofNanos(1),
-                defaults.watchSilence(),
+                defaults.watchIdleTimeout(),
                 1,
                 1);
         collection = new WatchedCollection(store, ObjectKind.ROLE_PLAN, heard, new Random(1), quick);
