--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationTrial.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationTrial.java
@@ -246,7 +246,7 @@
 
     private void step() {
         TrialEvent event = events.remove();
-        long nanoseconds = (long) (event.at() * NANOSECONDS) - time.monotonicNanoseconds();
+        long nanoseconds = (long) (event.at() * NANOSECONDS) - time.monotonicNanos();
         if (nanoseconds > 0) {
             time.advance(Duration.ofNanos(nanoseconds));
         }
@@ -254,7 +254,7 @@
     }
 
     private double now() {
-        return time.monotonicNanoseconds() / NANOSECONDS;
+        return time.monotonicNanos() / NANOSECONDS;
     }
 
     private double mostInOneSecond() {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/ProcessorSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/ProcessorSlopes.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.document.DocumentReader;
 import org.aspenmoor.internal.document.DocumentWriter;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.stream.AnswerAssembly;
+import org.aspenmoor.internal.stream.AnswerAssembler;
 import org.aspenmoor.internal.wire.v1.Chunk;
 import org.aspenmoor.internal.wire.v1.Frame;
 
@@ -73,10 +73,10 @@
     }
 
     private void assemble(Chunk chunk, int chunks) {
-        AnswerAssembly assembly = new AnswerAssembly();
+        AnswerAssembler assembly = new AnswerAssembler();
         int attempt = assembly.beginAttempt();
         for (int sequence = 0; sequence < chunks; sequence++) {
-            assembly.chunk(attempt, sequence, chunk.getData().toByteArray(), 1);
+            assembly.onChunk(attempt, sequence, chunk.getData().toByteArray(), 1);
         }
         consumed += assembly.deliveredTokens();
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.routing.RouterSettings;
 import org.aspenmoor.internal.routing.RoutingDecision;
 import org.aspenmoor.internal.routing.RoutingRequest;
-import org.aspenmoor.internal.stream.AnswerAssembly;
+import org.aspenmoor.internal.stream.AnswerAssembler;
 
 /** Memory and processor time of routing and admission. */
 final class RoutingSlopes {
@@ -86,7 +86,7 @@
         for (int stream = 0; stream < streams; stream++) {
             RoutingRequest request = request(random);
             router.sent(request, decision(router, request, 0), 0);
-            AnswerAssembly assembly = new AnswerAssembly();
+            AnswerAssembler assembly = new AnswerAssembler();
             assembly.beginAttempt();
             held.add(assembly);
         }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
@@ -15,7 +15,7 @@
 
     /** Returns the present moment in nanoseconds. */
     public long now() {
-        return clock.monotonicNanoseconds();
+        return clock.monotonicNanos();
     }
 
     /** Returns the present moment in seconds. */
@@ -34,7 +34,7 @@
         long end = (long) (seconds * NANOSECONDS);
         while (!events.isEmpty() && events.peek().atNanoseconds() <= end) {
             Event event = events.poll();
-            clock.advanceNanoseconds(event.atNanoseconds() - now());
+            clock.advanceNanos(event.atNanoseconds() - now());
             event.action().run();
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
@@ -58,7 +58,7 @@
                 prefillEngines++;
             }
             if (engine.role() != EngineRole.PREFILL) {
-                occupied += (double) load.runningSequences() / load.mostSequences();
+                occupied += (double) load.runningSequences() / load.maxSequences();
                 decodeEngines++;
             }
         }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
@@ -103,7 +103,7 @@
     private double loadSeconds(Reported engine) {
         EngineLoad load = engine.load();
         return speed.prefillSeconds((double) load.queuedPrefillTokens())
-                + (double) load.runningSequences() / Math.max(1, load.mostSequences());
+                + (double) load.runningSequences() / Math.max(1, load.maxSequences());
     }
 
     private RoutingDecision decision(RoutingRequest request, String answer, Optional<String> prompt) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryStreams.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryStreams.java
@@ -10,13 +10,13 @@
 import org.aspenmoor.Outcome;
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.RequestId;
-import org.aspenmoor.internal.accounting.ChunkAccount;
-import org.aspenmoor.internal.accounting.RequestAccount;
+import org.aspenmoor.internal.accounting.ChunkCounters;
+import org.aspenmoor.internal.accounting.RequestCounters;
 import org.aspenmoor.internal.retry.RetryBudget;
 import org.aspenmoor.internal.retry.RetryDecision;
-import org.aspenmoor.internal.stream.AnswerAssembly;
-import org.aspenmoor.internal.stream.ChunkVerdict;
-import org.aspenmoor.internal.stream.EndVerdict;
+import org.aspenmoor.internal.stream.AnswerAssembler;
+import org.aspenmoor.internal.stream.ChunkDecision;
+import org.aspenmoor.internal.stream.EndDecision;
 
 /** The streams of one entry: what each caller was given is compared, piece by piece, with the whole answer. */
 final class EntryStreams {
@@ -27,8 +27,8 @@
 
     private final SoakWorld world;
     private final EntryProcess entry;
-    private final RequestAccount requests = new RequestAccount();
-    private final ChunkAccount chunks = new ChunkAccount();
+    private final RequestCounters requests = new RequestCounters();
+    private final ChunkCounters chunks = new ChunkCounters();
     private final RetryBudget budget = new RetryBudget(0.5, 20, Duration.ofSeconds(1));
     private final Map<RequestId, Open> open = new LinkedHashMap<>();
 
@@ -44,7 +44,7 @@
         }
         StreamRequest request = new StreamRequest(
                 RequestId.draw(world.random()), 1 + world.random().nextInt(MOST_TOKENS));
-        requests.received();
+        requests.countReceived();
         budget.firstAttempt();
         Open stream = new Open(request);
         open.put(request.id(), stream);
@@ -64,12 +64,12 @@
 
     void received(StreamFrame frame) {
         if (frame instanceof StreamFrame.Piece) {
-            chunks.received();
+            chunks.countReceived();
         }
         Open stream = open.get(frame.request());
         if (stream == null) {
             if (frame instanceof StreamFrame.Piece) {
-                chunks.discarded();
+                chunks.countDiscarded();
             }
             return;
         }
@@ -82,16 +82,16 @@
 
     private void piece(Open stream, StreamFrame.Piece piece) {
         int before = stream.assembly.deliveredTokens();
-        ChunkVerdict verdict =
-                stream.assembly.chunk(piece.attempt(), piece.sequence(), piece.data(), piece.data().length);
-        chunks.judged(verdict);
+        ChunkDecision verdict =
+                stream.assembly.onChunk(piece.attempt(), piece.sequence(), piece.data(), piece.data().length);
+        chunks.countDecision(verdict);
         switch (verdict) {
-            case ChunkVerdict.Deliver deliver -> {
+            case ChunkDecision.Deliver deliver -> {
                 stream.lastHeard = world.now();
                 checkDelivered(stream, before, piece.data());
             }
-            case ChunkVerdict.Discard discard -> world.streams().discarded();
-            case ChunkVerdict.Broken broken -> retry(stream);
+            case ChunkDecision.Discard discard -> world.streams().discarded();
+            case ChunkDecision.Broken broken -> retry(stream);
         }
     }
 
@@ -108,16 +108,16 @@
     }
 
     private void end(Open stream, StreamFrame.End end) {
-        switch (stream.assembly.complete(end.attempt(), end.count(), end.checksum())) {
-            case EndVerdict.Whole whole -> {
+        switch (stream.assembly.onLastFrame(end.attempt(), end.count(), end.checksum())) {
+            case EndDecision.Complete whole -> {
                 if (stream.assembly.deliveredTokens() != stream.request.tokens()) {
                     world.violations().report("request " + stream.request.id() + " was called whole and is cut");
                 }
                 world.streams().whole(stream.assembly.attempt());
                 finish(stream, new Outcome.Answered(200));
             }
-            case EndVerdict.Discard discard -> world.streams().discarded();
-            case EndVerdict.Broken broken -> retry(stream);
+            case EndDecision.Discard discard -> world.streams().discarded();
+            case EndDecision.Broken broken -> retry(stream);
         }
     }
 
@@ -153,7 +153,7 @@
 
     private void finish(Open stream, Outcome outcome) {
         open.remove(stream.request.id());
-        requests.ended(outcome);
+        requests.countFinished(outcome);
     }
 
     private void dispatch(Open stream) {
@@ -171,7 +171,7 @@
     /** A request that has not ended. */
     private static final class Open {
         private final StreamRequest request;
-        private final AnswerAssembly assembly = new AnswerAssembly();
+        private final AnswerAssembler assembly = new AnswerAssembler();
         private final Set<Integer> mayHaveStarted = new HashSet<>();
         private long lastHeard;
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/OrderWatch.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/OrderWatch.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.authority.PlanVersion;
 import org.aspenmoor.internal.authority.RecordedOrder;
 import org.aspenmoor.internal.authority.SlotTerms;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.FakeStore;
 import org.aspenmoor.internal.fake.OrderArrival;
 import org.aspenmoor.internal.fake.StoreWrite;
@@ -50,7 +50,7 @@
     }
 
     /** Notes when an order was sent, right after the last check of its sender. */
-    void sent(NumberedOrder order) {
+    void sent(FencedOrder order) {
         sentAtNanoseconds.put(order.orderId(), world.now());
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/ProcessFaults.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/ProcessFaults.java
@@ -5,7 +5,7 @@
 import java.util.EnumSet;
 import java.util.Map;
 import java.util.Set;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.EngineCallFaults;
 import org.aspenmoor.internal.fake.EngineFault;
 import org.aspenmoor.internal.fake.StoreCallFaults;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public EngineFault onOrder(NumberedOrder order) {
+    public EngineFault onOrder(FencedOrder order) {
         if (engineUnreachable() || strikes(FaultKind.ORDER_LOST)) {
             return EngineFault.CALL_LOST;
         }
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public void beforeSending(NumberedOrder order) {
+    public void beforeSending(FencedOrder order) {
         boolean beyond = armed.containsKey(FaultKind.ORDER_BEYOND_WINDOW) && !armed.containsKey(FaultKind.ORDER_LATE);
         world.orders().sent(order);
         world.scheduleLateOrder(order, beyond);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakEvents.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakEvents.java
@@ -18,11 +18,11 @@
 
     void schedule(Duration delay, Runnable action) {
         sequence++;
-        events.add(new Event(time.monotonicNanoseconds() + delay.toNanos(), sequence, action));
+        events.add(new Event(time.monotonicNanos() + delay.toNanos(), sequence, action));
     }
 
     void advance(Duration step) {
-        long target = time.monotonicNanoseconds() + step.toNanos();
+        long target = time.monotonicNanos() + step.toNanos();
         while (!events.isEmpty() && events.peek().atNanoseconds() <= target) {
             Event next = events.remove();
             moveTo(next.atNanoseconds());
@@ -32,9 +32,9 @@
     }
 
     private void moveTo(long nanoseconds) {
-        long step = nanoseconds - time.monotonicNanoseconds();
+        long step = nanoseconds - time.monotonicNanos();
         if (step > 0) {
-            time.advanceNanoseconds(step);
+            time.advanceNanos(step);
         }
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.authority.SlotTerms;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.FakeStore;
 import org.aspenmoor.internal.membership.HostListEntry;
 import org.aspenmoor.internal.time.ManualTimeSource;
@@ -90,7 +90,7 @@
     }
 
     /** Lets an order that is held up arrive, within its longest time on the wire or after it. */
-    void scheduleLateOrder(NumberedOrder order, boolean beyondWindow) {
+    void scheduleLateOrder(FencedOrder order, boolean beyondWindow) {
         long longest = SlotTerms.DEFAULT.longestOnTheWire().toMillis();
         long delay = beyondWindow ? longest + 1 + random.nextLong(3 * longest) : random.nextLong(longest + 1);
         events.schedule(
@@ -157,7 +157,7 @@
     }
 
     long now() {
-        return time.monotonicNanoseconds();
+        return time.monotonicNanos();
     }
 
     ManualTimeSource time() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkAccount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkCounters.java
@@ -1,35 +1,35 @@
 package org.aspenmoor.internal.accounting;
 
 import java.util.Optional;
-import org.aspenmoor.internal.stream.ChunkVerdict;
+import org.aspenmoor.internal.stream.ChunkDecision;
 
-/** Counts the chunks received by a process and their outcomes; see {@link RequestAccount} for the purpose. */
-public final class ChunkAccount {
+/** Counts the chunks received by a process and their outcomes; see {@link RequestCounters} for the purpose. */
+public final class ChunkCounters {
     private long received;
     private long delivered;
     private long discarded;
     private long broken;
 
     /** Counts a received chunk. */
-    public void received() {
+    public void countReceived() {
         received++;
     }
 
     /** Counts the decision on a received chunk. */
-    public void judged(ChunkVerdict verdict) {
-        switch (verdict) {
-            case ChunkVerdict.Deliver ignored -> delivered++;
-            case ChunkVerdict.Discard ignored -> discarded++;
-            case ChunkVerdict.Broken ignored -> broken++;
+    public void countDecision(ChunkDecision decision) {
+        switch (decision) {
+            case ChunkDecision.Deliver ignored -> delivered++;
+            case ChunkDecision.Discard ignored -> discarded++;
+            case ChunkDecision.Broken ignored -> broken++;
         }
     }
 
     /** Counts a received chunk that was discarded because its request is no longer in flight. */
-    public void discarded() {
+    public void countDiscarded() {
         discarded++;
     }
 
-    /** Checks {@code received = delivered + discarded + broken}; returns a description of the difference, if any. */
+    /** Checks {@code countReceived = delivered + discarded + broken}; returns a description of the difference, if any. */
     public Optional<String> imbalance() {
         if (received == delivered + discarded + broken) {
             return Optional.empty();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestAccount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestCounters.java
@@ -7,10 +7,10 @@
  * Counts the requests of one process and their outcomes.
  *
  * <p>A request that is lost because of a bug is not visible otherwise: the caller waits until its timeout, and all other
- * metrics look healthy. The equation {@code received = answered + not run + unknown + cancelled + in flight} reveals it
+ * metrics look healthy. The equation {@code countReceived = answered + not run + unknown + cancelled + in flight} reveals it
  * immediately. The equation and checking it at run time follow EventStream (Sharma, 2026).
  */
-public final class RequestAccount {
+public final class RequestCounters {
     private long received;
     private long answered;
     private long notRun;
@@ -18,12 +18,12 @@
     private long cancelled;
 
     /** Counts a received request. */
-    public void received() {
+    public void countReceived() {
         received++;
     }
 
     /** Counts a finished request by its outcome. */
-    public void ended(Outcome outcome) {
+    public void countFinished(Outcome outcome) {
         switch (outcome) {
             case Outcome.Answered ignored -> answered++;
             case Outcome.NotRun ignored -> notRun++;
@@ -32,7 +32,7 @@
     }
 
     /** Counts a request whose caller disconnected before it finished. */
-    public void cancelled() {
+    public void countCancelled() {
         cancelled++;
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.store.StoreException;
 
 /** The result of one step of an {@link OrderExecutor}. */
@@ -39,7 +39,7 @@
      *
      * @param order the order as sent
      */
-    record Ordered(NumberedOrder order) implements ExecutorStep {}
+    record Ordered(FencedOrder order) implements ExecutorStep {}
 
     /**
      * The engine is executing the recorded order.
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -181,7 +181,7 @@
         ownSlotTerm = Optional.of(slotTerm);
         boolean hadPredecessor = slotTerm > 1;
         ordersFromNanoseconds =
-                time.monotonicNanoseconds() + (hadPredecessor ? terms.handover().toNanos() : 0);
+                time.monotonicNanos() + (hadPredecessor ? terms.handover().toNanos() : 0);
         mustProve = false;
     }
 
@@ -264,7 +264,7 @@
         if (status.lastOrderState() == OrderState.RUNNING || !status.ready()) {
             return new ExecutorStep.Waiting("the engine to become ready");
         }
-        if (time.monotonicNanoseconds() - ordersFromNanoseconds < 0) {
+        if (time.monotonicNanos() - ordersFromNanoseconds < 0) {
             return new ExecutorStep.Waiting("the previous agent to detect that it was replaced");
         }
         if (failedAtNanoseconds.isPresent()
@@ -307,7 +307,7 @@
         // Until it is sent, this order counts as never sent, even if its record write takes effect after a lost
         // response.
         unsentOrderId = Optional.of(id);
-        long recordSentAt = time.monotonicNanoseconds();
+        long recordSentAt = time.monotonicNanos();
         KnownRecord started = write(current, current.record().started(writer.drawNonce(), plans.version(), recorded));
         if (since(recordSentAt).compareTo(terms.sendable()) >= 0) {
             // Writing the record took too long. Another agent may already treat this order as unable to arrive.
@@ -327,7 +327,7 @@
             return settleAs(started, recorded, RecordedOrderState.FAILED);
         } finally {
             // Taken at the end of the call, because a pause during the call delays the sending itself.
-            sentAtNanoseconds = time.monotonicNanoseconds();
+            sentAtNanoseconds = time.monotonicNanos();
         }
     }
 
@@ -362,7 +362,7 @@
             throws StoreException {
         write(current, current.record().settled(writer.drawNonce(), state));
         failedAtNanoseconds =
-                state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanoseconds()) : Optional.empty();
+                state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanos()) : Optional.empty();
         return new ExecutorStep.Settled(order.id(), state);
     }
 
@@ -395,18 +395,18 @@
 
     private KnownRecord remember(KnownRecord seen) {
         known = Optional.of(seen);
-        confirmedNanoseconds = time.monotonicNanoseconds();
+        confirmedNanoseconds = time.monotonicNanos();
         highestNumberSeen = Math.max(highestNumberSeen, seen.record().lastFencingNumber());
         Optional<String> unsettled = seen.record().unsettled().map(RecordedOrder::id);
         if (unsettled.isPresent() && !unsettled.equals(firstSeenOrderId)) {
             firstSeenOrderId = unsettled;
-            firstSeenNanoseconds = time.monotonicNanoseconds();
+            firstSeenNanoseconds = time.monotonicNanos();
         }
         return seen;
     }
 
     private Duration since(long nanoseconds) {
-        return Duration.ofNanos(time.monotonicNanoseconds() - nanoseconds);
+        return Duration.ofNanos(time.monotonicNanos() - nanoseconds);
     }
 
     /** The record as last read or written; unconfirmed after a failed store call. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseWatch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseWatch.java
@@ -19,12 +19,12 @@
     public PauseWatch(TimeSource time, Duration noticed) {
         this.time = time;
         this.noticed = noticed;
-        this.lastTickNanoseconds = time.monotonicNanoseconds();
+        this.lastTickNanoseconds = time.monotonicNanos();
     }
 
     /** Returns whether the process was paused since the last tick; to be called several times a second, before any work. */
     public boolean tick() {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         Duration gap = Duration.ofNanos(now - lastTickNanoseconds);
         lastTickNanoseconds = now;
         return gap.compareTo(noticed) >= 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
@@ -98,7 +98,7 @@
 
     private HolderStep observe() throws StoreException {
         Optional<StoredObject> stored = store.read(key);
-        long seenAt = time.monotonicNanoseconds();
+        long seenAt = time.monotonicNanos();
         if (stored.isEmpty()) {
             return create();
         }
@@ -154,7 +154,7 @@
     }
 
     private void write(Optional<StoredObject> base, PlanRecord plan) throws StoreException {
-        long sentAt = time.monotonicNanoseconds();
+        long sentAt = time.monotonicNanos();
         try {
             StoredObject stored = writer.write(key, base, plan.nonce(), PlanCodec.write(plan));
             tenure = Optional.of(new Tenure(stored, plan, sentAt));
@@ -171,11 +171,11 @@
     }
 
     private Duration age(Tenure held) {
-        return Duration.ofNanos(time.monotonicNanoseconds() - held.sentAtNanoseconds());
+        return Duration.ofNanos(time.monotonicNanos() - held.sentAtNanoseconds());
     }
 
     private Instant expiry() {
-        return time.timeOfDay().plus(terms.length());
+        return time.wallClockTime().plus(terms.length());
     }
 
     /** The lease while this process holds it. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.authority;
 
 import org.aspenmoor.internal.engine.EngineOrder;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /**
  * An order as stored in the record of its engine.
@@ -13,8 +13,8 @@
  */
 public record RecordedOrder(String id, long fencingNumber, EngineOrder order, RecordedOrderState state) {
     /** Returns the order in the form sent to the engine. */
-    NumberedOrder numbered() {
-        return new NumberedOrder(id, fencingNumber, order);
+    FencedOrder numbered() {
+        return new FencedOrder(id, fencingNumber, order);
     }
 
     /** Returns the order with another state. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
@@ -120,7 +120,7 @@
     }
 
     private BucketDraft draft(BucketCache.Known known, BucketWork work) {
-        BucketDraft draft = new BucketDraft(known.bucket(), settings, time.timeOfDay());
+        BucketDraft draft = new BucketDraft(known.bucket(), settings, time.wallClockTime());
         draft.apply(work);
         return draft;
     }
@@ -163,7 +163,7 @@
     private BucketWork workOf(ClaimKey key) {
         int bucket = Math.floorMod(key.hash().hashCode(), settings.bucketsPerTeam());
         ObjectKey object = new ObjectKey(ObjectKind.CLAIM_BUCKET, key.team(), "bucket-" + bucket);
-        return waiting.computeIfAbsent(object, unused -> new BucketWork(time.monotonicNanoseconds()));
+        return waiting.computeIfAbsent(object, unused -> new BucketWork(time.monotonicNanos()));
     }
 
     private Optional<ObjectKey> nextDue() {
@@ -177,7 +177,7 @@
         if (!work.claims().isEmpty()) {
             return true;
         }
-        long age = time.monotonicNanoseconds() - work.sinceNanoseconds();
+        long age = time.monotonicNanos() - work.sinceNanoseconds();
         return age >= settings.outcomeDelay().toNanos();
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
@@ -42,7 +42,7 @@
         this.random = random;
         this.listener = listener;
         this.asks = new AskWindow(settings);
-        this.nextComparisonAt = time.monotonicNanoseconds();
+        this.nextComparisonAt = time.monotonicNanos();
         this.nextPartner = random.nextInt(Short.MAX_VALUE);
     }
 
@@ -72,7 +72,7 @@
     /** Notes that the watch has just shown that it missed nothing so far. */
     public void storeConfirmed() {
         if (storeAgreement.holds()) {
-            confirmedAt = Optional.of(time.monotonicNanoseconds());
+            confirmedAt = Optional.of(time.monotonicNanos());
         }
     }
 
@@ -100,7 +100,7 @@
 
     /** Does what is due by now; to be called a few times a second. */
     public List<Outgoing> tick() {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         asks.expire(now);
         List<Outgoing> outgoing = new ArrayList<>(takeAsks());
         long answerTimeout = settings.answerTimeout().toNanos();
@@ -128,7 +128,7 @@
 
     /** Returns how long ago this process was last known to hold every accepted document; empty for never. */
     public Optional<Duration> confirmedAge() {
-        return confirmedAt.map(moment -> Duration.ofNanos(time.monotonicNanoseconds() - moment));
+        return confirmedAt.map(moment -> Duration.ofNanos(time.monotonicNanos() - moment));
     }
 
     /** Returns how many documents wait to be fetched; bounded by the settings. */
@@ -233,7 +233,7 @@
     }
 
     private List<Outgoing> takeAsks() {
-        return asks.take(time.monotonicNanoseconds()).stream()
+        return asks.take(time.monotonicNanos()).stream()
                 .map(wanted -> new Outgoing(wanted.peer(), ask(wanted.key())))
                 .toList();
     }
@@ -274,7 +274,7 @@
     }
 
     private Outgoing compareWith(String peer) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         double factor = LEAST_PERIOD_FACTOR + PERIOD_SPREAD * random.nextDouble();
         nextComparisonAt = now + (long) (settings.comparePeriod().toNanos() * factor);
         progressSinceComparison = false;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentAcceptance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentAcceptance.java
@@ -132,7 +132,7 @@
         }
         ServiceDocument next = document.withRevision(readRevision + 1);
         String nonce = RequestId.draw(random).toString();
-        Acceptance acceptance = new Acceptance(operator, timeSource.timeOfDay(), nonce, difference.sentences());
+        Acceptance acceptance = new Acceptance(operator, timeSource.wallClockTime(), nonce, difference.sentences());
         StoredDocument written = write(current, next, acceptance);
         return new AcceptedDocument(written, difference, recordQuietly(written));
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentRegistry.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentRegistry.java
@@ -27,7 +27,7 @@
         documents.compute(ServiceName.of(document), (name, held) -> {
             result.value = compare(held, document);
             return result.value == OfferResult.APPLIED
-                    ? new DocumentInForce(document, timeSource.timeOfDay(), timeSource.monotonicNanoseconds())
+                    ? new DocumentInForce(document, timeSource.wallClockTime(), timeSource.monotonicNanos())
                     : held;
         });
         return result.value;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
@@ -12,5 +12,5 @@
      *     effect
      * @throws EngineUnreachableException if no response was received; the engine may have started to execute the order
      */
-    void order(NumberedOrder order) throws EngineRefusedOrderException, EngineUnreachableException;
+    void order(FencedOrder order) throws EngineRefusedOrderException, EngineUnreachableException;
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/NumberedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/FencedOrder.java
@@ -8,4 +8,4 @@
  *     plan
  * @param order the order
  */
-public record NumberedOrder(String orderId, long fencingNumber, EngineOrder order) {}
+public record FencedOrder(String orderId, long fencingNumber, EngineOrder order) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.fake;
 
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /** Injects faults into the calls of one agent to its engine. */
 public interface EngineCallFaults {
@@ -13,10 +13,10 @@
     }
 
     /** Returns the fault of an order. */
-    default EngineFault onOrder(NumberedOrder order) {
+    default EngineFault onOrder(FencedOrder order) {
         return EngineFault.NONE;
     }
 
     /** Called after the agent has decided to send an order and before the order is sent. */
-    default void beforeSending(NumberedOrder order) {}
+    default void beforeSending(FencedOrder order) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.engine.EngineRefusedOrderException;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.engine.EngineStatus;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.engine.OrderState;
 
 /** An in-memory engine that executes orders; it checks or ignores fencing numbers, and crashes on demand. */
@@ -22,14 +22,14 @@
     private final String name;
     private final boolean checksNumbers;
     private final List<OrderArrival> arrivals = new ArrayList<>();
-    private final List<NumberedOrder> onTheWire = new ArrayList<>();
+    private final List<FencedOrder> onTheWire = new ArrayList<>();
     private final List<Consumer<OrderArrival>> listeners = new ArrayList<>();
     private final Set<String> loaded = new HashSet<>();
     private int starts = 1;
     private int runningStreams;
     private long highestNumber;
     private EngineRole role = EngineRole.WHOLE;
-    private Optional<NumberedOrder> lastOrder = Optional.empty();
+    private Optional<FencedOrder> lastOrder = Optional.empty();
     private OrderState lastState = OrderState.NEVER_SEEN;
 
     public FakeEngine(String name, boolean checksNumbers) {
@@ -68,7 +68,7 @@
     }
 
     /** Returns the orders that the engine started to execute, oldest first. */
-    public List<NumberedOrder> begun() {
+    public List<FencedOrder> begun() {
         return arrivals.stream()
                 .filter(OrderArrival::begun)
                 .map(OrderArrival::order)
@@ -131,18 +131,18 @@
     }
 
     /** Returns the orders in transit, oldest first. */
-    public List<NumberedOrder> onTheWire() {
+    public List<FencedOrder> onTheWire() {
         return List.copyOf(onTheWire);
     }
 
     /** Delivers the given order if it is in transit. */
-    public void deliverLate(NumberedOrder order) {
+    public void deliverLate(FencedOrder order) {
         if (onTheWire.remove(order)) {
             receive(order);
         }
     }
 
-    void receiveLater(NumberedOrder order) {
+    void receiveLater(FencedOrder order) {
         onTheWire.add(order);
     }
 
@@ -152,21 +152,21 @@
                 name + "#" + starts,
                 role,
                 !busy(),
-                lastOrder.map(NumberedOrder::orderId),
+                lastOrder.map(FencedOrder::orderId),
                 lastState,
                 checksNumbers ? highestNumber : 0,
                 loaded,
                 load);
     }
 
-    void order(NumberedOrder order) throws EngineRefusedOrderException {
+    void order(FencedOrder order) throws EngineRefusedOrderException {
         if (!receive(order)) {
             throw new EngineRefusedOrderException("The engine refused the order.", name, "Query its status.");
         }
     }
 
-    private boolean receive(NumberedOrder order) {
-        boolean repeated = lastOrder.map(NumberedOrder::orderId).equals(Optional.of(order.orderId()));
+    private boolean receive(FencedOrder order) {
+        boolean repeated = lastOrder.map(FencedOrder::orderId).equals(Optional.of(order.orderId()));
         if (repeated) {
             return true;
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.engine.EngineRefusedOrderException;
 import org.aspenmoor.internal.engine.EngineStatus;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /** The control interface of a {@link FakeEngine} for one agent, with injected faults. */
 final class FakeEngineControl implements EngineControl {
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void order(NumberedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
+    public void order(FencedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
         faults.beforeSending(order);
         switch (faults.onOrder(order)) {
             case NONE -> engine.order(order);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.fake;
 
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /**
  * An order that arrived at an engine.
@@ -11,4 +11,4 @@
  * @param whileBusy whether another order was being executed at the time
  * @param streamsCut the number of streams that were running at the time
  */
-public record OrderArrival(String engine, NumberedOrder order, boolean begun, boolean whileBusy, int streamsCut) {}
+public record OrderArrival(String engine, FencedOrder order, boolean begun, boolean whileBusy, int streamsCut) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
@@ -8,31 +8,32 @@
  * <p>Not thread-safe.
  */
 public final class TokenBucket {
-    private static final double NANOSECONDS_OF_SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final TimeSource time;
-    private final double perSecond;
-    private final double mostSaved;
-    private double saved;
-    private long refilledAt;
+    private final double tokensPerSecond;
+    private final double capacity;
+    private double availableTokens;
+    private long lastRefillNanos;
 
-    public TokenBucket(TimeSource time, double perSecond, double mostSaved) {
+    public TokenBucket(TimeSource time, double tokensPerSecond, double capacity) {
         this.time = time;
-        this.perSecond = perSecond;
-        this.mostSaved = mostSaved;
-        this.saved = mostSaved;
-        this.refilledAt = time.monotonicNanoseconds();
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = capacity;
+        this.availableTokens = capacity;
+        this.lastRefillNanos = time.monotonicNanos();
     }
 
     /** Takes one token if available; returns whether one was taken. */
-    public boolean take() {
-        long now = time.monotonicNanoseconds();
-        saved = Math.min(mostSaved, saved + (now - refilledAt) / NANOSECONDS_OF_SECOND * perSecond);
-        refilledAt = now;
-        if (saved < 1) {
+    public boolean tryAcquire() {
+        long now = time.monotonicNanos();
+        availableTokens =
+                Math.min(capacity, availableTokens + (now - lastRefillNanos) / NANOS_PER_SECOND * tokensPerSecond);
+        lastRefillNanos = now;
+        if (availableTokens < 1) {
             return false;
         }
-        saved -= 1;
+        availableTokens -= 1;
         return true;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/MembershipView.java
@@ -79,7 +79,7 @@
 
     /** Returns how a backend server stands at this moment. */
     public Standing standing(String backend) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         long silence = settings.silenceAllowed().toNanos();
         return find(backend).map(member -> member.standing(now, silence)).orElseGet(Standing.Unmet::new);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
@@ -56,16 +56,16 @@
     }
 
     private BreakerDecision askOpened(State.Opened opened) {
-        long remaining = opened.untilNanoseconds() - time.monotonicNanoseconds();
+        long remaining = opened.untilNanoseconds() - time.monotonicNanos();
         if (remaining > 0) {
             return new BreakerDecision.Open(Duration.ofNanos(remaining));
         }
-        state = new State.Trying(opened.pause(), time.monotonicNanoseconds());
+        state = new State.Trying(opened.pause(), time.monotonicNanos());
         return new BreakerDecision.Trial();
     }
 
     private BreakerDecision askTrying(State.Trying trying) {
-        Duration age = Duration.ofNanos(time.monotonicNanoseconds() - trying.sinceNanoseconds());
+        Duration age = Duration.ofNanos(time.monotonicNanos() - trying.sinceNanoseconds());
         if (age.compareTo(settings.trialTimeout()) < 0) {
             return new BreakerDecision.Open(settings.trialTimeout().minus(age));
         }
@@ -76,7 +76,7 @@
     private void open(Duration pause) {
         double share = SHORTEST_SHARE + VARYING_SHARE * random.nextDouble();
         long varied = (long) (pause.toNanos() * share);
-        state = new State.Opened(pause, time.monotonicNanoseconds() + varied);
+        state = new State.Opened(pause, time.monotonicNanos() + varied);
     }
 
     private Duration longer(Duration pause) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
@@ -18,6 +18,6 @@
 
     /** Takes one load if there is room for it now. */
     boolean take() {
-        return bucket.take();
+        return bucket.tryAcquire();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
@@ -66,7 +66,7 @@
     /** Decode steps at the batch the engine has; those that fall together with a prompt chunk take longer. */
     private double answerSeconds(EngineView engine, RoutingRequest request, long now) {
         double sequences =
-                Math.min(engine.sequences(now) + 1, Math.max(1, engine.load().mostSequences()));
+                Math.min(engine.sequences(now) + 1, Math.max(1, engine.load().maxSequences()));
         double steps = request.expectedOutputTokens() * speed.stepSeconds(sequences);
         if (engine.role() != EngineRole.WHOLE) {
             return steps;
@@ -83,7 +83,7 @@
      * would keep a heavy request waiting for seconds, though it goes first.
      */
     private double slotSeconds(EngineView engine, RoutingRequest request, long now) {
-        int most = Math.max(1, engine.load().mostSequences());
+        int most = Math.max(1, engine.load().maxSequences());
         double open = request.weight() < heaviest.weight() ? most * (1 - RESERVED_SHARE) : most;
         double tooMany = engine.sequences(now) + 1 - Math.max(1, open);
         if (tooMany <= 0) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RepeatAllowance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RepeatAllowance.java
@@ -39,7 +39,7 @@
         this.ratio = ratio;
         this.slack = slack;
         this.bucketNanoseconds = window.toNanos() / BUCKETS;
-        this.current = time.monotonicNanoseconds() / bucketNanoseconds;
+        this.current = time.monotonicNanos() / bucketNanoseconds;
     }
 
     /** Notes a request for the service. */
@@ -60,7 +60,7 @@
     }
 
     private void roll() {
-        long now = time.monotonicNanoseconds() / bucketNanoseconds;
+        long now = time.monotonicNanos() / bucketNanoseconds;
         long steps = Math.min(BUCKETS, now - current);
         for (long step = 1; step <= steps; step++) {
             requests[index(current + step)] = 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderRight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderRight.java
@@ -73,14 +73,14 @@
      * for answers that was lost stayed unreplaced for six seconds more, in which one engine answered everybody.
      */
     public void observe() throws StoreException {
-        settled(versionOf(store.read(key)), time.monotonicNanoseconds());
+        settled(versionOf(store.read(key)), time.monotonicNanos());
     }
 
     /** Tries to get the right; returns the number to give orders under. */
     public Optional<Long> acquire() throws StoreException {
         granted = false;
-        long asked = time.monotonicNanoseconds();
-        long askedTimeOfDay = time.timeOfDay().toEpochMilli();
+        long asked = time.monotonicNanos();
+        long askedTimeOfDay = time.wallClockTime().toEpochMilli();
         Optional<StoredObject> record = store.read(key);
         long generation = store.generation();
         long term = nextTerm(record, generation);
@@ -111,8 +111,8 @@
 
     /** Returns whether an order may still be given; to be asked right before each. */
     public boolean holds() {
-        long elapsed = time.monotonicNanoseconds() - grantedAt;
-        long elapsedByDay = Duration.ofMillis(time.timeOfDay().toEpochMilli() - grantedAtTimeOfDay)
+        long elapsed = time.monotonicNanos() - grantedAt;
+        long elapsedByDay = Duration.ofMillis(time.wallClockTime().toEpochMilli() - grantedAtTimeOfDay)
                 .toNanos();
         boolean suspended = Math.abs(elapsedByDay - elapsed) > SUSPENDED.toNanos();
         boolean sameGeneration = store.generation() == grantedGeneration;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembly.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembler.java
@@ -10,7 +10,7 @@
  * caller would receive tokens twice. Within an attempt the sequence number detects a duplicate or missing chunk, and the
  * count and checksum in the last frame detect truncated or corrupted data.
  */
-public final class AnswerAssembly {
+public final class AnswerAssembler {
     private static final int NO_ATTEMPT = 0;
 
     private final CRC32C checksum = new CRC32C();
@@ -28,51 +28,51 @@
         return attempt;
     }
 
-    /** Decides what to do with a chunk; on {@link ChunkVerdict.Deliver} it counts as delivered. */
-    public ChunkVerdict chunk(int chunkAttempt, int sequence, byte[] data, int tokens) {
+    /** Decides what to do with a chunk; on {@link ChunkDecision.Deliver} it counts as delivered. */
+    public ChunkDecision onChunk(int chunkAttempt, int sequence, byte[] data, int tokens) {
         if (ended) {
-            return new ChunkVerdict.Discard(DiscardReason.AFTER_THE_END);
+            return new ChunkDecision.Discard(DiscardReason.AFTER_THE_END);
         }
         if (chunkAttempt != attempt) {
-            return new ChunkVerdict.Discard(DiscardReason.OLD_ATTEMPT);
+            return new ChunkDecision.Discard(DiscardReason.OLD_ATTEMPT);
         }
         if (sequence < nextSequence) {
-            return new ChunkVerdict.Discard(DiscardReason.DUPLICATE);
+            return new ChunkDecision.Discard(DiscardReason.DUPLICATE);
         }
         if (sequence > nextSequence) {
-            return new ChunkVerdict.Broken("chunk " + nextSequence + " is missing before chunk " + sequence);
+            return new ChunkDecision.Broken("chunk " + nextSequence + " is missing before chunk " + sequence);
         }
         nextSequence++;
         checksum.update(data, 0, data.length);
         deliveredTokens += tokens;
         deliveredBytes += data.length;
-        return new ChunkVerdict.Deliver();
+        return new ChunkDecision.Deliver();
     }
 
     /**
-     * Decides what to do with the last frame of an attempt that reports a complete answer; on {@link EndVerdict.Whole}
+     * Decides what to do with the last frame of an attempt that reports a complete answer; on {@link EndDecision.Complete}
      * the answer has ended.
      */
-    public EndVerdict complete(int lastAttempt, int count, int expectedChecksum) {
+    public EndDecision onLastFrame(int lastAttempt, int count, int expectedChecksum) {
         if (ended) {
-            return new EndVerdict.Discard(DiscardReason.AFTER_THE_END);
+            return new EndDecision.Discard(DiscardReason.AFTER_THE_END);
         }
         if (lastAttempt != attempt) {
-            return new EndVerdict.Discard(DiscardReason.OLD_ATTEMPT);
+            return new EndDecision.Discard(DiscardReason.OLD_ATTEMPT);
         }
         if (count != nextSequence) {
-            return new EndVerdict.Broken("the attempt sent " + count + " chunks but " + nextSequence + " arrived");
+            return new EndDecision.Broken("the attempt sent " + count + " chunks but " + nextSequence + " arrived");
         }
         if (expectedChecksum != (int) checksum.getValue()) {
-            return new EndVerdict.Broken("the checksum over " + count + " chunks does not match");
+            return new EndDecision.Broken("the checksum over " + count + " chunks does not match");
         }
         ended = true;
-        return new EndVerdict.Whole();
+        return new EndDecision.Complete();
     }
 
     /** Returns whether frames of the given attempt are still processed. */
-    public boolean isCurrent(int someAttempt) {
-        return !ended && someAttempt == attempt;
+    public boolean isCurrent(int otherAttempt) {
+        return !ended && otherAttempt == attempt;
     }
 
     /** Returns the number of the current attempt; 0 before the first attempt. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
@@ -3,7 +3,7 @@
 import java.util.zip.CRC32C;
 
 /**
- * The sending side of {@link AnswerAssembly}: numbers the chunks of one attempt and computes the count and checksum for
+ * The sending side of {@link AnswerAssembler}: numbers the chunks of one attempt and computes the count and checksum for
  * its last frame.
  */
 public final class AttemptChecksum {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
@@ -7,25 +7,25 @@
 public final class ManualTimeSource implements TimeSource {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-    private long nanoseconds;
+    private long elapsedNanos;
 
     /** Advances the clock. */
     public void advance(Duration step) {
-        advanceNanoseconds(step.toNanos());
+        advanceNanos(step.toNanos());
     }
 
     /** Advances the clock by the given nanoseconds. */
-    public void advanceNanoseconds(long step) {
-        nanoseconds += step;
+    public void advanceNanos(long nanos) {
+        elapsedNanos += nanos;
     }
 
     @Override
-    public long monotonicNanoseconds() {
-        return nanoseconds;
+    public long monotonicNanos() {
+        return elapsedNanos;
     }
 
     @Override
-    public Instant timeOfDay() {
-        return START.plusNanos(nanoseconds);
+    public Instant wallClockTime() {
+        return START.plusNanos(elapsedNanos);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/SystemTimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/SystemTimeSource.java
@@ -5,12 +5,12 @@
 /** The clocks of the operating system. */
 public final class SystemTimeSource implements TimeSource {
     @Override
-    public long monotonicNanoseconds() {
+    public long monotonicNanos() {
         return System.nanoTime();
     }
 
     @Override
-    public Instant timeOfDay() {
+    public Instant wallClockTime() {
         return Instant.now();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
@@ -43,7 +43,7 @@
         assertEquals(history.size(), 2);
         Acceptance recorded = acceptance.revision(NAME, 2).acceptance().orElseThrow();
         assertEquals(recorded.by(), "bolat");
-        assertEquals(recorded.at(), new ManualTimeSource().timeOfDay());
+        assertEquals(recorded.at(), new ManualTimeSource().wallClockTime());
         assertEquals(recorded.changes(), List.of("Model scene-drafter goes from version 3 to 4."));
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentRegistryTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentRegistryTest.java
@@ -47,7 +47,7 @@
         assertEquals(registry.offer(document.withRevision(2)), OfferResult.OLDER);
 
         DocumentInForce inForce = registry.inForce(name).orElseThrow();
-        assertEquals(Duration.between(inForce.since(), timeSource.timeOfDay()), Duration.ofSeconds(5));
+        assertEquals(Duration.between(inForce.since(), timeSource.wallClockTime()), Duration.ofSeconds(5));
     }
 
     @Test
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /** Injects engine faults in the order given by a test. */
 public final class ScriptedEngineFaults implements EngineCallFaults {
@@ -14,7 +14,7 @@
     }
 
     @Override
-    public EngineFault onOrder(NumberedOrder order) {
+    public EngineFault onOrder(FencedOrder order) {
         return onOrders.isEmpty() ? EngineFault.NONE : onOrders.remove();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/membership/MembershipViewTest.java
@@ -22,7 +22,7 @@
         time = new ManualTimeSource();
         view = new MembershipView(MembershipSettings.DEFAULT, time);
         view.hostList(List.of(new HostListEntry(DESK, false)));
-        view.hello(DESK, "agent#1", 1, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#1", 1, time.monotonicNanos());
     }
 
     // The agent is told to stop and says so; the platform's list will name the host as live for a minute more. Work
@@ -60,21 +60,21 @@
     public void should_send_nothing_within_the_bound_when_cut_off_from_a_leaving_agent() {
         for (int heartbeat = 0; heartbeat < 10; heartbeat++) {
             time.advance(Duration.ofMillis(500));
-            view.probeAnswered(DESK, 1, time.monotonicNanoseconds());
+            view.probeAnswered(DESK, 1, time.monotonicNanos());
         }
         assertTrue(view.takesNewWork(DESK));
 
         time.advance(MembershipSettings.DEFAULT.silenceAllowed());
 
         assertEquals(view.standing(DESK), new Standing.Silent());
-        view.probeAnswered(DESK, 1, time.monotonicNanoseconds());
+        view.probeAnswered(DESK, 1, time.monotonicNanos());
         assertTrue(view.takesNewWork(DESK));
     }
 
     // A link is slow: answers to old probes go on arriving after the agent has said that it leaves, before its word.
     @Test
     public void should_not_count_the_late_answer_to_an_old_probe() {
-        long probeSent = time.monotonicNanoseconds();
+        long probeSent = time.monotonicNanos();
         time.advance(MembershipSettings.DEFAULT.silenceAllowed());
 
         view.probeAnswered(DESK, 1, probeSent);
@@ -88,7 +88,7 @@
         view.leaving(DESK, "agent#1");
         view.hostList(List.of(new HostListEntry(DESK, true)));
         view.linkLost(DESK, 1);
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#2", 2, time.monotonicNanos());
 
         assertTrue(view.takesNewWork(DESK));
         view.hostList(List.of());
@@ -100,7 +100,7 @@
     @Test
     public void should_let_a_returned_host_leave_again() {
         view.hostList(List.of(new HostListEntry(DESK, true)));
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#2", 2, time.monotonicNanos());
         view.hostList(List.of(new HostListEntry(DESK, false)));
         view.hostList(List.of(new HostListEntry(DESK, true)));
 
@@ -111,9 +111,9 @@
     // of the old connection. The new agent must go on serving.
     @Test
     public void should_ignore_late_words_about_an_earlier_incarnation() {
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#2", 2, time.monotonicNanos());
         view.leaving(DESK, "agent#1");
-        view.hello(DESK, "agent#1", 1, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#1", 1, time.monotonicNanos());
         view.linkLost(DESK, 1);
 
         assertTrue(view.takesNewWork(DESK));
@@ -123,14 +123,14 @@
     @Test
     public void should_not_serve_an_incarnation_that_has_already_left() {
         view.leaving(DESK, "agent#2");
-        view.hello(DESK, "agent#2", 2, time.monotonicNanoseconds());
+        view.hello(DESK, "agent#2", 2, time.monotonicNanos());
 
         assertFalse(view.takesNewWork(DESK));
     }
 
     @Test
     public void should_serve_a_new_host_that_the_list_does_not_name_yet() {
-        view.hello("desk-2", "agent#9", 3, time.monotonicNanoseconds());
+        view.hello("desk-2", "agent#9", 3, time.monotonicNanos());
         view.hostList(List.of(new HostListEntry(DESK, false)));
 
         assertTrue(view.takesNewWork("desk-2"));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/OrderRightTest.java
@@ -135,7 +135,7 @@
                 lastNumber = number.orElse(lastNumber);
             }
             if (right.holds()) {
-                long now = time.monotonicNanoseconds();
+                long now = time.monotonicNanos();
                 boolean apart = right == lastHolder || now - lastOrderAt >= ENGINES_PAUSE.toNanos();
                 assertTrue(lastHolder == null || apart, "two holders at " + now);
                 lastHolder = right;
@@ -190,12 +190,12 @@
         private Duration slept = Duration.ZERO;
 
         @Override
-        public long monotonicNanoseconds() {
+        public long monotonicNanos() {
             return run.toNanos();
         }
 
         @Override
-        public Instant timeOfDay() {
+        public Instant wallClockTime() {
             return Instant.EPOCH.plus(run).plus(slept);
         }
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/RewoundOrderRightTest.java
@@ -70,7 +70,7 @@
                 numbers[index] = number.orElse(0L);
             }
             if (right.holds()) {
-                long now = time.monotonicNanoseconds();
+                long now = time.monotonicNanos();
                 boolean apart = right == lastHolder || now - lastOrderAt >= ENGINES_PAUSE.toNanos();
                 assertTrue(apart, "seed " + seed + ": two holders at step " + step);
                 assertTrue(numbers[index] >= lastNumber, "seed " + seed + ": a lower number at step " + step);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusAnswers.java
@@ -38,10 +38,10 @@
         node.put("outstanding", backend.outstanding());
         backend.load()
                 .ifPresent(load -> node.put("running", load.runningSequences())
-                        .put("mostRunning", load.mostSequences())
+                        .put("mostRunning", load.maxSequences())
                         .put("queuedPrefillTokens", load.queuedPrefillTokens())
                         .put("freeCachePieces", load.freeCachePieces())
-                        .put("allCachePieces", load.allCachePieces()));
+                        .put("allCachePieces", load.totalCachePieces()));
         backend.loaded().forEach(node.putArray("loaded")::add);
         return node;
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
@@ -22,7 +22,7 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.engine.EngineStatus;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.engine.OrderState;
 
 /** The control side of the backend server over HTTP. */
@@ -58,7 +58,7 @@
     }
 
     @Override
-    public void order(NumberedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
+    public void order(FencedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
         HttpRequest request = HttpRequest.newBuilder(backend.resolve("/control/orders"))
                 .timeout(TIMEOUT)
                 .header("Content-Type", "application/json")
@@ -113,7 +113,7 @@
                         load.path("allCachePieces").asInt()));
     }
 
-    private static String writeOrder(NumberedOrder order) {
+    private static String writeOrder(FencedOrder order) {
         ObjectNode body = MAPPER.createObjectNode();
         body.put("orderId", order.orderId());
         body.put("fencingNumber", order.fencingNumber());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReports.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReports.java
@@ -74,7 +74,7 @@
     private Optional<Frame> remember(EngineStatus status, boolean ready) {
         sent = Optional.of(status);
         sentReady = ready;
-        sentAt = time.monotonicNanoseconds();
+        sentAt = time.monotonicNanos();
         latest = Optional.of(frameOf(status, ready));
         return latest;
     }
@@ -87,7 +87,7 @@
         if (before.role() != status.role() || !before.loaded().equals(status.loaded())) {
             return true;
         }
-        if (time.monotonicNanoseconds() - sentAt > QUIET_PERIOD.toNanos()) {
+        if (time.monotonicNanos() - sentAt > QUIET_PERIOD.toNanos()) {
             return true;
         }
         return loadMoved(before.load(), status.load());
@@ -96,7 +96,7 @@
     private static boolean loadMoved(EngineLoad before, EngineLoad now) {
         long tokens = Math.abs(now.queuedPrefillTokens() - before.queuedPrefillTokens());
         double sequences = Math.abs(now.runningSequences() - before.runningSequences());
-        return tokens >= WORTHWHILE_TOKENS || sequences >= Math.max(1, WORTHWHILE_SHARE * before.mostSequences());
+        return tokens >= WORTHWHILE_TOKENS || sequences >= Math.max(1, WORTHWHILE_SHARE * before.maxSequences());
     }
 
     private Frame frameOf(EngineStatus status, boolean ready) {
@@ -109,9 +109,9 @@
                         .setReady(ready)
                         .setQueuedPrefillTokens(load.queuedPrefillTokens())
                         .setRunningSequences(load.runningSequences())
-                        .setMostSequences(load.mostSequences())
+                        .setMostSequences(load.maxSequences())
                         .setFreeCachePieces(load.freeCachePieces())
-                        .setAllCachePieces(load.allCachePieces())
+                        .setAllCachePieces(load.totalCachePieces())
                         .addAllLoaded(status.loaded()))
                 .build();
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
@@ -115,7 +115,7 @@
     }
 
     private void readPlanIfDue(OrderExecutor executor) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         boolean due =
                 planReadAt.map(readAt -> now - readAt >= PLAN_PERIOD.toNanos()).orElse(true);
         if (!due) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -62,7 +62,7 @@
         this.settings = settings;
         this.storeBreaker = storeBreaker;
         this.time = time;
-        this.commitsRestUntil = time.monotonicNanoseconds();
+        this.commitsRestUntil = time.monotonicNanos();
         this.pace = new TokenBucket(time, commitsPerSecond, Math.max(1, commitsPerSecond));
         this.verdicts = verdicts;
     }
@@ -81,7 +81,7 @@
     @Override
     public void batchEnded() {
         while (committer.hasDueWork() && mayCommit()) {
-            long began = time.monotonicNanoseconds();
+            long began = time.monotonicNanos();
             committer.commitBatch().forEach(this::judged);
             restIfSlow(began);
         }
@@ -93,13 +93,13 @@
     // go
     // out at once; beyond them each waits for its turn.
     private boolean mayCommit() {
-        return time.monotonicNanoseconds() - commitsRestUntil >= 0 && pace.take();
+        return time.monotonicNanos() - commitsRestUntil >= 0 && pace.tryAcquire();
     }
 
     // Outcomes that could not be written wait for the next commit. With a silent store this thread would go on from one
     // time-out to the next, and calls that come meanwhile would wait in its ring for a refusal that is certain.
     private void restIfSlow(long began) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         if (now - began >= SLOW_COMMIT.toNanos()) {
             storeBreaker.failed();
             commitsRestUntil = now + REST_AFTER_SLOW_COMMIT.toNanos();
@@ -143,12 +143,12 @@
         if (done >= MOST_LOOKS) {
             return false;
         }
-        lookAgain.add(new LookAgain(request, time.monotonicNanoseconds() + LOOK_AGAIN_AFTER.toNanos()));
+        lookAgain.add(new LookAgain(request, time.monotonicNanos() + LOOK_AGAIN_AFTER.toNanos()));
         return true;
     }
 
     private void submitDueLooks() {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         List<LookAgain> due =
                 lookAgain.stream().filter(look -> look.dueAt() - now <= 0).toList();
         lookAgain.removeAll(due);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.claim.ClaimTicket;
 import org.aspenmoor.internal.document.RequestKind;
 import org.aspenmoor.internal.document.ServiceDocument;
-import org.aspenmoor.internal.stream.AnswerAssembly;
+import org.aspenmoor.internal.stream.AnswerAssembler;
 import org.aspenmoor.internal.wire.v1.Header;
 
 /** A request that the entry holds. */
@@ -19,7 +19,7 @@
     private final ServiceDocument document;
     private final RequestKind kind;
     private final long receivedAt;
-    private final AnswerAssembly assembly = new AnswerAssembly();
+    private final AnswerAssembler assembly = new AnswerAssembler();
     private final StringBuilder deliveredText = new StringBuilder();
     private final ByteArrayOutputStream plainBody = new ByteArrayOutputStream();
     private final Set<String> tried = new HashSet<>();
@@ -96,7 +96,7 @@
         return receivedAt + kind.deadline().toNanos();
     }
 
-    AnswerAssembly assembly() {
+    AnswerAssembler assembly() {
         return assembly;
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
@@ -2,10 +2,10 @@
 
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import org.aspenmoor.internal.accounting.ChunkAccount;
+import org.aspenmoor.internal.accounting.ChunkCounters;
 import org.aspenmoor.internal.settings.CallerLimits;
-import org.aspenmoor.internal.stream.ChunkVerdict;
-import org.aspenmoor.internal.stream.EndVerdict;
+import org.aspenmoor.internal.stream.ChunkDecision;
+import org.aspenmoor.internal.stream.EndDecision;
 import org.aspenmoor.internal.wire.v1.Chunk;
 import org.aspenmoor.internal.wire.v1.Last;
 import org.aspenmoor.internal.wire.v1.Refused;
@@ -20,7 +20,7 @@
     private final CallerLimits limits;
     private final EntryMetrics metrics;
     private final Claims claims;
-    private final ChunkAccount chunks = new ChunkAccount();
+    private final ChunkCounters chunks = new ChunkCounters();
 
     AnswerReceiver(
             RequestTable requestTable, AttemptDriver driver, CallerLimits limits, EntryMetrics metrics, Claims claims) {
@@ -31,7 +31,7 @@
         this.metrics = metrics;
     }
 
-    ChunkAccount chunks() {
+    ChunkCounters chunks() {
         return chunks;
     }
 
@@ -43,23 +43,23 @@
     }
 
     void chunk(Chunk chunk, long now) {
-        chunks.received();
+        chunks.countReceived();
         Optional<ActiveRequest> found = requestTable.findCurrent(chunk.getId());
         if (found.isEmpty()) {
-            chunks.discarded();
+            chunks.countDiscarded();
             metrics.chunkDiscarded();
             return;
         }
         ActiveRequest request = found.get();
         byte[] data = chunk.getData().toByteArray();
         boolean first = request.assembly().deliveredBytes() == 0;
-        ChunkVerdict verdict =
-                request.assembly().chunk(chunk.getId().getAttempt(), chunk.getSequence(), data, chunk.getTokens());
-        chunks.judged(verdict);
+        ChunkDecision verdict =
+                request.assembly().onChunk(chunk.getId().getAttempt(), chunk.getSequence(), data, chunk.getTokens());
+        chunks.countDecision(verdict);
         switch (verdict) {
-            case ChunkVerdict.Deliver ignored -> deliver(request, chunk, data, first, now);
-            case ChunkVerdict.Discard ignored -> metrics.chunkDiscarded();
-            case ChunkVerdict.Broken broken -> abandon(request, broken.detail(), now);
+            case ChunkDecision.Deliver ignored -> deliver(request, chunk, data, first, now);
+            case ChunkDecision.Discard ignored -> metrics.chunkDiscarded();
+            case ChunkDecision.Broken broken -> abandon(request, broken.detail(), now);
         }
     }
 
@@ -73,12 +73,12 @@
             driver.lost(request, last.getDetail(), now);
             return;
         }
-        EndVerdict verdict =
-                request.assembly().complete(last.getId().getAttempt(), last.getCount(), last.getChecksum());
+        EndDecision verdict =
+                request.assembly().onLastFrame(last.getId().getAttempt(), last.getCount(), last.getChecksum());
         switch (verdict) {
-            case EndVerdict.Whole ignored -> whole(request, last, now);
-            case EndVerdict.Discard ignored -> metrics.chunkDiscarded();
-            case EndVerdict.Broken broken -> driver.lost(request, broken.detail(), now);
+            case EndDecision.Complete ignored -> whole(request, last, now);
+            case EndDecision.Discard ignored -> metrics.chunkDiscarded();
+            case EndDecision.Broken broken -> driver.lost(request, broken.detail(), now);
         }
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.Outcome;
 import org.aspenmoor.RefusalReason;
-import org.aspenmoor.internal.accounting.ChunkAccount;
-import org.aspenmoor.internal.accounting.RequestAccount;
+import org.aspenmoor.internal.accounting.ChunkCounters;
+import org.aspenmoor.internal.accounting.RequestCounters;
 import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.duty.DutyHandler;
@@ -77,7 +77,7 @@
 
     @Override
     public void handle(EntryMessage message) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         switch (message) {
             case EntryMessage.RequestCame came -> requestCame(came.request(), now);
             case EntryMessage.CallerTook took -> requestTable.find(took.id()).ifPresent(receiver::returnCredit);
@@ -284,7 +284,7 @@
 
     private ObjectNode dump() {
         ObjectNode dump = JsonNodeFactory.instance.objectNode();
-        RequestAccount.Totals totals = requestTable.totals();
+        RequestCounters.Totals totals = requestTable.totals();
         dump.putObject("requests")
                 .put("received", totals.received())
                 .put("answered", totals.answered())
@@ -293,7 +293,7 @@
                 .put("cancelled", totals.cancelled())
                 .put("inFlight", requestTable.size())
                 .put("waiting", waitingRequests.size());
-        ChunkAccount.Totals chunkTotals = receiver.chunks().totals();
+        ChunkCounters.Totals chunkTotals = receiver.chunks().totals();
         dump.putObject("chunks")
                 .put("received", chunkTotals.received())
                 .put("delivered", chunkTotals.delivered())
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.Outcome;
 import org.aspenmoor.RequestId;
-import org.aspenmoor.internal.accounting.RequestAccount;
+import org.aspenmoor.internal.accounting.RequestCounters;
 import org.aspenmoor.internal.wire.v1.AttemptId;
 import org.jboss.logging.Logger;
 
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger("entry");
 
     private final Map<RequestId, ActiveRequest> active = new HashMap<>();
-    private final RequestAccount account = new RequestAccount();
+    private final RequestCounters account = new RequestCounters();
     private final TraceLog traces;
     private final EntryMetrics metrics;
 
@@ -27,14 +27,14 @@
     }
 
     void put(ActiveRequest request) {
-        account.received();
+        account.countReceived();
         active.put(request.id(), request);
     }
 
     /** Counts a request that was refused before it belonged to a service. */
     void refusedAtOnce(IncomingRequest request, Outcome.NotRun refusal) {
-        account.received();
-        account.ended(refusal);
+        account.countReceived();
+        account.countFinished(refusal);
         metrics.refusedUnmatched(refusal);
         traces.add(request.id(), 0, "refused, not run: " + refusal.detail());
         request.sink().refused(refusal);
@@ -80,7 +80,7 @@
         if (active.remove(request.id()) == null) {
             return;
         }
-        account.cancelled();
+        account.countCancelled();
         metrics.cancelled(request.document(), request.kind());
         trace(request, now, "cancelled, the caller has gone away");
     }
@@ -89,7 +89,7 @@
         traces.add(request.id(), TimeUnit.NANOSECONDS.toMillis(now - request.receivedAt()), sentence);
     }
 
-    RequestAccount.Totals totals() {
+    RequestCounters.Totals totals() {
         return account.totals();
     }
 
@@ -106,7 +106,7 @@
 
     private void leave(ActiveRequest request, Outcome outcome, long now) {
         active.remove(request.id());
-        account.ended(outcome);
+        account.countFinished(outcome);
         metrics.ended(request.document(), request.kind(), outcome, now <= request.deadlineAt());
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
@@ -43,7 +43,7 @@
             return;
         }
         CompletionEvents events =
-                new CompletionEvents(id, request.get(), time.timeOfDay().getEpochSecond());
+                new CompletionEvents(id, request.get(), time.wallClockTime().getEpochSecond());
         if (request.get().stream()) {
             answerStream(context, id, request.get(), events);
         } else {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerDuty.java
@@ -170,7 +170,7 @@
     }
 
     private boolean isTimeToLook(ServiceName name) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         Long last = lookedAt.get(name);
         if (last != null && now - last < LOOK_PERIOD.toNanos()) {
             return false;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
@@ -58,7 +58,7 @@
         EmbeddedLink link = EmbeddedLink.bytes();
         link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
 
-        link.channel().writeInbound(Unpooled.buffer().writeInt(FramePipeline.LONGEST_FRAME + 1));
+        link.channel().writeInbound(Unpooled.buffer().writeInt(FramePipeline.MAX_FRAME_BYTES + 1));
 
         assertFalse(link.channel().isOpen());
         assertTrue(link.closeCauses().getFirst().startsWith("TooLongFrameException"));
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -185,7 +185,7 @@
 
     /** Begins a planned stop. */
     public void stop() {
-        eventLoop.execute(() -> stop.begin(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> stop.begin(time.monotonicNanos()));
     }
 
     /** Waits for the end of a planned stop. */
@@ -217,7 +217,7 @@
     }
 
     private void heard(PeerReport report) {
-        state.peerHeard(report, time.monotonicNanoseconds());
+        state.peerHeard(report, time.monotonicNanos());
         fatalRequests.heard(report.ends(), report.entry());
     }
 
@@ -234,7 +234,7 @@
     }
 
     private void check() {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         state.expirePeers(now);
         fatalRequests.check();
         state.samplePressure(lines::anyFor);
@@ -255,7 +255,7 @@
                         .write();
                 return;
             }
-            state.cacheListed(engine, backendProtocol.readCache(told.body()), time.monotonicNanoseconds());
+            state.cacheListed(engine, backendProtocol.readCache(told.body()), time.monotonicNanos());
         });
         connections.send(engine, "", backendProtocol.askCache(engine.id()), answer);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnections.java
@@ -74,7 +74,7 @@
     }
 
     long now() {
-        return time.monotonicNanoseconds();
+        return time.monotonicNanos();
     }
 
     /** Closes connections that the server would soon close itself. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -55,14 +55,14 @@
         this.channel = channel;
         this.service = service;
         this.time = time;
-        this.quietSince = time.monotonicNanoseconds();
+        this.quietSince = time.monotonicNanos();
     }
 
     /** Notes bytes of a request that is not complete yet. */
     void bytesArrived() {
         if (!receiving && !serving) {
             receiving = true;
-            quietSince = time.monotonicNanoseconds();
+            quietSince = time.monotonicNanos();
         }
     }
 
@@ -189,7 +189,7 @@
     }
 
     private void takeHead(HttpRequest request) {
-        quietSince = time.monotonicNanoseconds();
+        quietSince = time.monotonicNanos();
         headArrivedAt = quietSince;
         receiving = true;
         if (request.decoderResult().isFailure()) {
@@ -213,7 +213,7 @@
     }
 
     private void takeContent(HttpContent content) {
-        quietSince = time.monotonicNanoseconds();
+        quietSince = time.monotonicNanos();
         if (content.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "The request's body cannot be read.");
             return;
@@ -271,7 +271,7 @@
         serving = false;
         service.release(reserved);
         reserved = 0;
-        quietSince = time.monotonicNanoseconds();
+        quietSince = time.monotonicNanos();
         if (!kept) {
             closing = true;
             written.addListener(ChannelFutureListener.CLOSE);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -73,14 +73,14 @@
     private LogLine line(String event, TokenBucket bucket) {
         boolean granted;
         synchronized (bucket) {
-            granted = bucket.take();
+            granted = bucket.tryAcquire();
         }
         if (!granted) {
             leftOut.incrementAndGet();
             return new LogLine(null, this::offer);
         }
         LogLine line = new LogLine(JsonNodeFactory.instance.objectNode(), this::offer)
-                .with("time", time.timeOfDay().toString())
+                .with("time", time.wallClockTime().toString())
                 .with("process", process)
                 .with("event", event);
         long missing = leftOut.get();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
@@ -75,13 +75,13 @@
         registrations.back();
         noteGeneration();
         synchronisedBefore = true;
-        eventLoop.execute(() -> state.serversSynchronised(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> state.serversSynchronised(time.monotonicNanos()));
     }
 
     @Override
     public void interrupted(StoreException cause) {
         registrations.lost(cause.problem());
-        eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanos()));
     }
 
     /** A server may be missing because the store has lost its last seconds, and not because it has left. */
@@ -90,7 +90,7 @@
         boolean rose = synchronisedBefore && now > knownGeneration;
         knownGeneration = now;
         if (rose) {
-            eventLoop.execute(() -> state.storeCameBackOlder(time.monotonicNanoseconds()));
+            eventLoop.execute(() -> state.storeCameBackOlder(time.monotonicNanos()));
         }
     }
 
@@ -98,7 +98,7 @@
         String id = object.key().name();
         noteGeneration();
         eventLoop.execute(() -> {
-            if (state.serverMissing(id, time.monotonicNanoseconds())) {
+            if (state.serverMissing(id, time.monotonicNanos())) {
                 connections.forget(id);
             }
         });
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -57,7 +57,7 @@
         this.eventLoop = eventLoop;
         this.log = log;
         this.listener = listener;
-        this.start = time.timeOfDay().toEpochMilli();
+        this.start = time.wallClockTime().toEpochMilli();
     }
 
     /** Opens the port. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeper.java
@@ -211,6 +211,6 @@
     }
 
     private long timeOfDay() {
-        return time.timeOfDay().toEpochMilli();
+        return time.wallClockTime().toEpochMilli();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequests.java
@@ -27,7 +27,7 @@
     public FatalRequests(TimeSource time, DecisionLog log) {
         this.time = time;
         this.log = log;
-        this.expiredAt = time.monotonicNanoseconds();
+        this.expiredAt = time.monotonicNanos();
     }
 
     /** Sets what runs when something has changed that belongs into the store. */
@@ -131,7 +131,7 @@
     }
 
     private long now() {
-        return time.monotonicNanoseconds();
+        return time.monotonicNanos();
     }
 
     /** Hears that something has changed that belongs into the store; whether this entry saw a server end itself. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -22,7 +22,7 @@
 
     /** Notes that an attempt begins. */
     PlacedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
-        long now = tools.state().time().monotonicNanoseconds();
+        long now = tools.state().time().monotonicNanos();
         work = tools.state().placer().placed(server, kind, promptSeconds, objective, now);
         return work;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/LinePlace.java
@@ -40,6 +40,6 @@
     }
 
     private long now() {
-        return tools.state().time().monotonicNanoseconds();
+        return tools.state().time().monotonicNanos();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -96,7 +96,7 @@
     }
 
     private void lookAtStarting() {
-        long now = tools.state().time().monotonicNanoseconds();
+        long now = tools.state().time().monotonicNanos();
         boolean ready = ready();
         starting.removeIf(each -> each.settled(ready, now));
         if (starting.isEmpty()) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -445,6 +445,6 @@
     }
 
     long now() {
-        return tools.state().time().monotonicNanoseconds();
+        return tools.state().time().monotonicNanos();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServerEnds.java
@@ -76,7 +76,7 @@
      * @param told how long the answer had been told
      */
     void connectionBroke(BackendServer server, PlacedWork work, Duration told) {
-        Duration asked = Duration.ofNanos(tools.state().time().monotonicNanoseconds() - work.atNanoseconds());
+        Duration asked = Duration.ofNanos(tools.state().time().monotonicNanos() - work.atNanoseconds());
         BrokenRun run = new BrokenRun(request, digest(), server, asked, told);
         unconfirmed++;
         tools.connections().probe(server, ended -> probed(run, ended));
@@ -102,7 +102,7 @@
 
     private void write(BrokenRun run, boolean planned) {
         BackendServer server = run.server();
-        long now = tools.state().time().monotonicNanoseconds();
+        long now = tools.state().time().monotonicNanos();
         long requests = Math.round(tools.state().placer().load(server.id(), now).requests());
         tools.state()
                 .log()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -66,7 +66,7 @@
         this.time = time;
         this.random = random;
         this.repeats = repeats;
-        this.lastRequestAt = time.monotonicNanoseconds() - IDLE_AFTER.toNanos();
+        this.lastRequestAt = time.monotonicNanos() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
         this.placer = new Placer(placement, peers, random);
@@ -177,19 +177,19 @@
     /** Notes that an engine has accepted this entry's order to change its role. */
     public void roleOrdered(RoleChange change) {
         ordered.put(change.server(), change);
-        placer.roleChanging(change, time.monotonicNanoseconds());
+        placer.roleChanging(change, time.monotonicNanos());
     }
 
     /** Returns the orders of this entry that engines are still carrying out, for the other entries. */
     public List<RoleChange> roleChanges() {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         ordered.keySet().removeIf(server -> !placer.changing(server, now));
         return List.copyOf(ordered.values());
     }
 
     /** Samples how much prompts press on the engines, given whether requests of a service wait at this entry. */
     public void samplePressure(Predicate<String> waiting) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         modelServices().forEach(service -> placer.samplePressure(service, waiting.test(service), now));
     }
 
@@ -210,7 +210,7 @@
 
     /** Returns this entry's own part of the load. */
     public Map<String, PeerShare> ownShares() {
-        return placer.ownShares(time.monotonicNanoseconds());
+        return placer.ownShares(time.monotonicNanos());
     }
 
     /** Returns the prompts that this entry has placed since it was last asked. */
@@ -247,7 +247,7 @@
 
     /** Returns what is believed of each backend server. */
     public List<ServerSummary> servers() {
-        return placer.summaries(time.monotonicNanoseconds());
+        return placer.summaries(time.monotonicNanos());
     }
 
     /** Returns the configuration in force. */
@@ -284,7 +284,7 @@
 
     /** Returns what the role duty needs to know, given the name of this entry. */
     public FleetSnapshot snapshot(String entry) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         List<ServiceLoad> services = modelServices().stream()
                 .map(service -> placer.serviceLoad(service, now))
                 .toList();
@@ -304,7 +304,7 @@
 
     /** Notes a request for a service, which earns a part of a repeat. */
     void requested(String service) {
-        lastRequestAt = time.monotonicNanoseconds();
+        lastRequestAt = time.monotonicNanos();
         allowance(service).requested();
     }
 
@@ -315,7 +315,7 @@
 
     /** Notes what the end of an attempt says of its server. */
     void attemptEnded(PlacedWork work, AttemptEnd end) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         switch (end) {
             case AttemptEnd.NeverSent neverSent -> placer.unreachable(work, now);
             case AttemptEnd.Misdirected misdirected -> placer.unreachable(work, now);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallWatch.java
@@ -100,7 +100,7 @@
      * answer this entry itself has stopped to read, since the caller takes nothing, is not dark.
      */
     private void checkTelling(AnswerAttempt answer) {
-        long now = tools.state().time().monotonicNanoseconds();
+        long now = tools.state().time().monotonicNanos();
         unreadAt = reading.getAsBoolean() ? unreadAt : now;
         long heardAt = Math.max(answer.heardAt(), unreadAt);
         long quietFrom = now - tellingPatience.toNanos();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitingRequests.java
@@ -65,7 +65,7 @@
         }
         moving = true;
         try {
-            line.move(time::monotonicNanoseconds, ServedRequest::giveUp, ServedRequest::goOn);
+            line.move(time::monotonicNanos, ServedRequest::giveUp, ServedRequest::goOn);
         } finally {
             moving = false;
         }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeperTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestKeeperTest.java
@@ -170,7 +170,7 @@
     }
 
     private List<ServerEnd> ends(StoredObject object) throws StoreException {
-        return FatalRequestCodec.read(object, time.timeOfDay().toEpochMilli());
+        return FatalRequestCodec.read(object, time.wallClockTime().toEpochMilli());
     }
 
     private DecisionLog log() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
@@ -186,6 +186,6 @@
     }
 
     private long second() {
-        return TimeUnit.NANOSECONDS.toSeconds(time.monotonicNanoseconds());
+        return TimeUnit.NANOSECONDS.toSeconds(time.monotonicNanos());
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
@@ -19,7 +19,7 @@
 
     /** Takes one call out of the budget; fails if the budget is used up. */
     public synchronized void acquire(String place) throws StoreBudgetException {
-        if (!bucket.take()) {
+        if (!bucket.tryAcquire()) {
             throw new StoreBudgetException(
                     "The call budget of the process is used up; nothing was sent.",
                     place,
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
@@ -48,13 +48,13 @@
 
     /** Reads, with retries while the store is unavailable; empty if the object does not exist. */
     public Optional<StoreResponse> read(URI uri) throws StoreException {
-        long deadline = time.monotonicNanoseconds() + settings.readDeadline().toNanos();
+        long deadline = time.monotonicNanos() + settings.readDeadline().toNanos();
         for (int attempt = 0; ; attempt++) {
             try {
                 return readOnce(uri, settings.callTimeout());
             } catch (StoreUnavailableException unavailable) {
                 Duration delay = backoff.delayBeforeRetry(attempt);
-                boolean pastDeadline = time.monotonicNanoseconds() + delay.toNanos() - deadline >= 0;
+                boolean pastDeadline = time.monotonicNanos() + delay.toNanos() - deadline >= 0;
                 if (pastDeadline
                         || attempt + 1 >= MAX_READ_ATTEMPTS
                         || Thread.currentThread().isInterrupted()) {
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
@@ -167,10 +167,10 @@
             server.thenAnswer(503, "");
         }
         HttpObjectStore store = store();
-        long before = time.monotonicNanoseconds();
+        long before = time.monotonicNanos();
 
         assertThrows(StoreUnavailableException.class, () -> store.read(TestObjects.PLAN));
-        assertTrue(time.monotonicNanoseconds() - before
+        assertTrue(time.monotonicNanos() - before
                 <= TestObjects.patient().readDeadline().toNanos());
         assertTrue(server.calls().size() > 1);
     }
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/FramePipeline.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/FramePipeline.java
@@ -14,7 +14,7 @@
     public static final int PROTOCOL_VERSION = 1;
 
     /** The maximum frame size in bytes; a larger frame closes the link before memory is allocated for it. */
-    public static final int LONGEST_FRAME = 4 * 1024 * 1024;
+    public static final int MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
     private static final int LENGTH_BYTES = 4;
 
@@ -23,7 +23,7 @@
     /** Adds the handlers of the codec to a pipeline. */
     public static void addTo(ChannelPipeline pipeline) {
         pipeline.addLast(new FlushConsolidationHandler());
-        pipeline.addLast(new LengthFieldBasedFrameDecoder(LONGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+        pipeline.addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         pipeline.addLast(new ProtobufDecoder(Frame.getDefaultInstance()));
         pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
         pipeline.addLast(new ProtobufEncoder());
