--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/AgentProcess.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/AgentProcess.java
@@ -4,11 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.aspenmoor.internal.authority.OrderExecutor;
-import org.aspenmoor.internal.authority.PauseWatch;
+import org.aspenmoor.internal.authority.PauseDetector;
 import org.aspenmoor.internal.authority.PlanRecord;
 import org.aspenmoor.internal.authority.PlanVersion;
 import org.aspenmoor.internal.authority.SlotIdentity;
-import org.aspenmoor.internal.authority.SlotTerms;
+import org.aspenmoor.internal.authority.SlotTimings;
 import org.aspenmoor.internal.authority.StreamDrain;
 import org.aspenmoor.internal.store.ObjectStore;
 import org.aspenmoor.internal.store.StoreException;
@@ -24,7 +24,7 @@
     private final ObjectStore store;
     private final OrderExecutor executor;
     private final List<StreamAttempt> streams = new ArrayList<>();
-    private final PauseWatch pauses;
+    private final PauseDetector pauses;
     private PlanVersion lastObeyed = PlanVersion.NONE;
 
     AgentProcess(SoakWorld world, SoakEngine site, String incarnation) {
@@ -38,14 +38,14 @@
                 incarnation,
                 OrderWatch.recordKey(site.engine().name()),
                 site.house().planKey(),
-                site.engine().checksNumbers());
-        this.pauses = new PauseWatch(world.time(), SlotTerms.DEFAULT.noticedPause());
+                site.engine().checksFencingNumbers());
+        this.pauses = new PauseDetector(world.time(), SlotTimings.DEFAULT.pauseThreshold());
         this.executor = new OrderExecutor(
                 slot,
                 store,
                 site.engine().control(faults),
                 new Drain(),
-                SlotTerms.DEFAULT,
+                SlotTimings.DEFAULT,
                 world.time(),
                 world.newRandom());
     }
@@ -70,7 +70,7 @@
 
     /** Takes a dispatch from an entry. */
     void dispatched(StreamRequest request, int attempt, int deliveredTokens, EntryProcess entry) {
-        if (!executor.mayServe() || site.engine().busy()) {
+        if (!executor.mayServe() || site.engine().isBusy()) {
             send(entry, new StreamFrame.Refusal(request.id(), attempt));
             return;
         }
@@ -81,8 +81,8 @@
 
     @Override
     void wake() {
-        if (pauses.tick()) {
-            executor.wokeFromPause();
+        if (pauses.pausedSinceLastTick()) {
+            executor.onPauseDetected();
         }
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryProcess.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryProcess.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.aspenmoor.internal.authority.EngineAssignment;
-import org.aspenmoor.internal.authority.LeaseTerms;
+import org.aspenmoor.internal.authority.LeaseTimings;
 import org.aspenmoor.internal.authority.PlanHolder;
 import org.aspenmoor.internal.claim.ClaimCommitter;
 import org.aspenmoor.internal.claim.ClaimSettings;
@@ -35,7 +35,7 @@
         this.faults = new ProcessFaults(world);
         var store = world.store().client(faults);
         this.planner = new PlanHolder(
-                store, house.planKey(), incarnation, LeaseTerms.DEFAULT, world.time(), world.newRandom());
+                store, house.planKey(), incarnation, LeaseTimings.DEFAULT, world.time(), world.newRandom());
         ClaimCommitter committer = new ClaimCommitter(store, CLAIMS, world.time(), world.newRandom());
         this.bookings = new EntryBookings(world, this, committer);
         this.streams = new EntryStreams(world, this);
@@ -88,7 +88,7 @@
 
     private void plan() {
         try {
-            planner.tend();
+            planner.maintainLease();
             if (planner.mayDecide() && world.chance(PUBLISHES)) {
                 planner.publish(anyPlan());
             }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/OrderWatch.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/OrderWatch.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.authority.PlanRecord;
 import org.aspenmoor.internal.authority.PlanVersion;
 import org.aspenmoor.internal.authority.RecordedOrder;
-import org.aspenmoor.internal.authority.SlotTerms;
+import org.aspenmoor.internal.authority.SlotTimings;
 import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.FakeStore;
 import org.aspenmoor.internal.fake.OrderArrival;
@@ -61,17 +61,17 @@
             return;
         }
         Duration onTheWire = Duration.ofNanos(world.now() - sent);
-        boolean beyond = onTheWire.compareTo(SlotTerms.DEFAULT.longestOnTheWire()) > 0;
-        if (!arrival.begun()) {
+        boolean beyond = onTheWire.compareTo(SlotTimings.DEFAULT.maxTransitTime()) > 0;
+        if (!arrival.started()) {
             refused++;
             refusedBeyondWindow += beyond ? 1 : 0;
             return;
         }
         begun++;
         long number = arrival.order().fencingNumber();
-        boolean interrupts = arrival.whileBusy() && !runsOrderBeyondWindow.contains(arrival.engine());
+        boolean interrupts = arrival.engineBusy() && !runsOrderBeyondWindow.contains(arrival.engine());
         boolean conflicts = interrupts
-                || arrival.streamsCut() > 0
+                || arrival.runningStreams() > 0
                 || number <= highestBegun.getOrDefault(arrival.engine(), 0L)
                 || !recordNames(arrival);
         highestBegun.merge(arrival.engine(), number, Math::max);
@@ -86,7 +86,8 @@
         if (conflicts) {
             world.violations()
                     .report(arrival.engine() + " began an order " + onTheWire + " after it was sent, while busy: "
-                            + arrival.whileBusy() + ", streams cut: " + arrival.streamsCut() + ", named by its record: "
+                            + arrival.engineBusy() + ", streams cut: " + arrival.runningStreams()
+                            + ", named by its record: "
                             + recordNames(arrival));
         }
     }
@@ -95,17 +96,18 @@
     private void checkBeyondWindow(OrderArrival arrival) {
         boolean checks = world.engines().stream()
                 .anyMatch(site -> site.engine().name().equals(arrival.engine())
-                        && site.engine().checksNumbers());
-        if (checks && (arrival.streamsCut() > 0 || arrival.whileBusy())) {
+                        && site.engine().checksFencingNumbers());
+        if (checks && (arrival.runningStreams() > 0 || arrival.engineBusy())) {
             world.violations()
                     .report(arrival.engine() + " checks numbers and began an order beyond the window, streams cut: "
-                            + arrival.streamsCut());
+                            + arrival.runningStreams());
         }
     }
 
     private boolean recordNames(OrderArrival arrival) {
         Optional<EngineRecord> record = record(arrival.engine());
-        Optional<String> unsettled = record.flatMap(EngineRecord::unsettled).map(RecordedOrder::id);
+        Optional<String> unsettled =
+                record.flatMap(EngineRecord::unresolvedOrder).map(RecordedOrder::id);
         return unsettled.equals(Optional.of(arrival.order().orderId()));
     }
 
@@ -173,7 +175,7 @@
             return;
         }
         EngineRecord before = EngineRecordCodec.read(write.before().get());
-        Optional<String> unsettled = before.unsettled().map(RecordedOrder::id);
+        Optional<String> unsettled = before.unresolvedOrder().map(RecordedOrder::id);
         Optional<String> named = after.lastOrder().map(RecordedOrder::id);
         if (unsettled.isPresent() && !unsettled.equals(named)) {
             world.violations().report(engine + " was given an order while another was unsettled");
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakHouse.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakHouse.java
@@ -24,7 +24,7 @@
     void start(int entryCount, int engineCount, int serviceCount) {
         for (int index = 0; index < engineCount; index++) {
             FakeEngine engine = new FakeEngine(team + "-engine-" + index, index % 2 == 0);
-            engine.onArrival(world.orders()::arrived);
+            engine.addArrivalListener(world.orders()::arrived);
             engines.add(new SoakEngine(world, this, engine));
         }
         for (int index = 0; index < serviceCount; index++) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import org.aspenmoor.internal.authority.SlotTerms;
+import org.aspenmoor.internal.authority.SlotTimings;
 import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.FakeStore;
 import org.aspenmoor.internal.membership.HostListEntry;
@@ -47,7 +47,7 @@
     SoakWorld(long seed, List<String> teams) {
         this.random = new SplittableRandom(seed);
         this.calls = new CallTraffic(this);
-        store.onWrite(orders::written);
+        store.addWriteListener(orders::written);
         for (String team : teams) {
             SoakHouse house = new SoakHouse(this, team);
             houses.add(house);
@@ -91,11 +91,11 @@
 
     /** Lets an order that is held up arrive, within its longest time on the wire or after it. */
     void scheduleLateOrder(FencedOrder order, boolean beyondWindow) {
-        long longest = SlotTerms.DEFAULT.longestOnTheWire().toMillis();
+        long longest = SlotTimings.DEFAULT.maxTransitTime().toMillis();
         long delay = beyondWindow ? longest + 1 + random.nextLong(3 * longest) : random.nextLong(longest + 1);
         events.schedule(
                 Duration.ofMillis(delay),
-                () -> engines().forEach(site -> site.engine().deliverLate(order)));
+                () -> engines().forEach(site -> site.engine().deliverDelayed(order)));
     }
 
     List<HostListEntry> laggingHostList() {
@@ -239,13 +239,13 @@
     private void advance(Duration duration) {
         events.advance(duration);
         if (chance(WRITE_LANDS)) {
-            store.deliverLate();
+            store.deliverDelayed();
         }
     }
 
     private void moveEngines() {
         for (SoakEngine site : engines()) {
-            if (site.engine().busy() && chance(ORDER_FINISHES)) {
+            if (site.engine().isBusy() && chance(ORDER_FINISHES)) {
                 site.endOrder();
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecord.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/EngineRecord.java
@@ -23,8 +23,8 @@
     public static final EngineRecord NONE = new EngineRecord("", 0, "", PlanVersion.NONE, Optional.empty(), 0);
 
     /** Returns the last order if its outcome is not known yet. */
-    public Optional<RecordedOrder> unsettled() {
-        return lastOrder.filter(order -> !order.state().settled());
+    public Optional<RecordedOrder> unresolvedOrder() {
+        return lastOrder.filter(order -> !order.state().isResolved());
     }
 
     /** Returns the fencing number of the last order; 0 if there is none. */
@@ -38,19 +38,19 @@
     }
 
     /** Returns the record with a new nonce, which its owner writes to confirm that it still owns the engine. */
-    EngineRecord proven(String newNonce) {
+    EngineRecord confirmed(String newNonce) {
         return new EngineRecord(owner, slotTerm, newNonce, planVersion, lastOrder, highestAbandoned);
     }
 
     /** Returns the record with the next order. */
-    EngineRecord started(String newNonce, PlanVersion plan, RecordedOrder order) {
+    EngineRecord withNewOrder(String newNonce, PlanVersion plan, RecordedOrder order) {
         return new EngineRecord(owner, slotTerm, newNonce, plan, Optional.of(order), highestAbandoned);
     }
 
     /** Returns the record with the given final state of the last order. */
-    EngineRecord settled(String newNonce, RecordedOrderState state) {
+    EngineRecord withOrderState(String newNonce, RecordedOrderState state) {
         long abandoned = state == RecordedOrderState.ABANDONED ? lastFencingNumber() : highestAbandoned;
-        Optional<RecordedOrder> settled = lastOrder.map(order -> order.in(state));
-        return new EngineRecord(owner, slotTerm, newNonce, planVersion, settled, abandoned);
+        Optional<RecordedOrder> updatedOrder = lastOrder.map(order -> order.withState(state));
+        return new EngineRecord(owner, slotTerm, newNonce, planVersion, updatedOrder, abandoned);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/ExecutorStep.java
@@ -54,7 +54,7 @@
      * @param orderId the ID of the order
      * @param remaining the time for which it may still arrive
      */
-    record Settling(String orderId, Duration remaining) implements ExecutorStep {}
+    record InTransit(String orderId, Duration remaining) implements ExecutorStep {}
 
     /**
      * The outcome of the recorded order was determined and recorded.
@@ -62,26 +62,26 @@
      * @param orderId the ID of the order
      * @param state the final state of the order
      */
-    record Settled(String orderId, RecordedOrderState state) implements ExecutorStep {}
+    record Resolved(String orderId, RecordedOrderState state) implements ExecutorStep {}
 
     /**
      * The plan known here is older than the plan that caused the last order, so it is not executed.
      *
      * @param known the version of the plan known here
      */
-    record PlanBehind(PlanVersion known) implements ExecutorStep {}
+    record PlanOutdated(PlanVersion known) implements ExecutorStep {}
 
     /**
      * A store call failed; no order was sent in this step.
      *
      * @param cause the failure
      */
-    record StoreTrouble(StoreException cause) implements ExecutorStep {}
+    record StoreFailed(StoreException cause) implements ExecutorStep {}
 
     /**
      * The engine did not respond; the outcome of an order sent in this step is unknown.
      *
      * @param cause the failure
      */
-    record EngineSilent(EngineUnreachableException cause) implements ExecutorStep {}
+    record EngineUnreachable(EngineUnreachableException cause) implements ExecutorStep {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SettledWriter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/NonceWriter.java
@@ -16,11 +16,11 @@
  * conflict caused by its own write, and assume that another writer was first. Therefore each write contains a nonce, and
  * after a lost response the object is read: if it contains the nonce, the write took effect.
  */
-final class SettledWriter {
+final class NonceWriter {
     private final ObjectStore store;
     private final RandomGenerator random;
 
-    SettledWriter(ObjectStore store, RandomGenerator random) {
+    NonceWriter(ObjectStore store, RandomGenerator random) {
         this.store = store;
         this.random = random;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -38,41 +38,41 @@
     private final ObjectStore store;
     private final EngineControl engine;
     private final StreamDrain drain;
-    private final SlotTerms terms;
+    private final SlotTimings timings;
     private final TimeSource time;
-    private final SettledWriter writer;
+    private final NonceWriter writer;
     private final PlanReader plans = new PlanReader();
 
-    private Optional<KnownRecord> known = Optional.empty();
+    private Optional<KnownRecord> lastKnown = Optional.empty();
     private Optional<String> sentOrderId = Optional.empty();
-    private long sentAtNanoseconds;
+    private long sentAtNanos;
     private Optional<String> unsentOrderId = Optional.empty();
     private Optional<String> firstSeenOrderId = Optional.empty();
-    private long firstSeenNanoseconds;
-    private Optional<Long> failedAtNanoseconds = Optional.empty();
+    private long firstSeenNanos;
+    private Optional<Long> failedAtNanos = Optional.empty();
     private boolean draining;
     private Optional<Long> ownSlotTerm = Optional.empty();
     private boolean replaced;
-    private boolean mustProve;
-    private long highestNumberSeen;
-    private long confirmedNanoseconds;
-    private long ordersFromNanoseconds;
+    private boolean mustConfirmOwnership;
+    private long highestFencingNumberSeen;
+    private long confirmedAtNanos;
+    private long ordersAllowedFromNanos;
 
     public OrderExecutor(
             SlotIdentity slot,
             ObjectStore store,
             EngineControl engine,
             StreamDrain drain,
-            SlotTerms terms,
+            SlotTimings timings,
             TimeSource time,
             RandomGenerator random) {
         this.slot = slot;
         this.store = store;
         this.engine = engine;
         this.drain = drain;
-        this.terms = terms;
+        this.timings = timings;
         this.time = time;
-        this.writer = new SettledWriter(store, random);
+        this.writer = new NonceWriter(store, random);
     }
 
     /** Accepts a plan from a watch or a read; plans that are not newer than the current one are ignored. */
@@ -91,7 +91,7 @@
      * <p>An agent that has just started does not know yet whether an order of its predecessor is in transit.
      */
     public boolean mayServe() {
-        return ownSlotTerm.isPresent() && !replaced && !draining && !mustProve;
+        return ownSlotTerm.isPresent() && !replaced && !draining && !mustConfirmOwnership;
     }
 
     /**
@@ -101,20 +101,20 @@
      * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be accepted
      * during a change ordered by its successor, and be cut.
      */
-    public void wokeFromPause() {
-        mustProve = true;
+    public void onPauseDetected() {
+        mustConfirmOwnership = true;
     }
 
     /** Makes the next step towards the planned state. */
     public ExecutorStep step() {
         try {
             return advance();
-        } catch (StoreException trouble) {
-            known = known.map(KnownRecord::uncertain);
-            serveThroughOutage();
-            return new ExecutorStep.StoreTrouble(trouble);
-        } catch (EngineUnreachableException silent) {
-            return new ExecutorStep.EngineSilent(silent);
+        } catch (StoreException failure) {
+            lastKnown = lastKnown.map(KnownRecord::asUnconfirmed);
+            resumeWorkDuringOutage();
+            return new ExecutorStep.StoreFailed(failure);
+        } catch (EngineUnreachableException unreachable) {
+            return new ExecutorStep.EngineUnreachable(unreachable);
         }
     }
 
@@ -123,32 +123,32 @@
             return new ExecutorStep.Replaced();
         }
         KnownRecord current = currentRecord();
-        if (isOld(current.record())) {
-            known = known.map(KnownRecord::uncertain);
+        if (isStale(current.record())) {
+            lastKnown = lastKnown.map(KnownRecord::asUnconfirmed);
             return new ExecutorStep.Waiting("an up-to-date engine record from the store");
         }
         if (!current.record().owner().equals(slot.owner())) {
-            return ownSlotTerm.isPresent() ? retire() : takeOver(current);
+            return ownSlotTerm.isPresent() ? onReplaced() : takeOver(current);
         }
         if (ownSlotTerm.isEmpty()) {
             // The response to the takeover was lost, but the takeover took effect.
-            beginTenure(current);
+            onTakenOver(current);
         }
-        if (mustProve) {
-            return prove(current);
+        if (mustConfirmOwnership) {
+            return confirmOwnership(current);
         }
-        if (current.record().unsettled().isPresent()) {
-            return settle(current, current.record().unsettled().get());
+        if (current.record().unresolvedOrder().isPresent()) {
+            return resolve(current, current.record().unresolvedOrder().get());
         }
-        Optional<EngineAssignment> wanted = wantedAssignment();
-        if (wanted.isEmpty()) {
-            return mayNeedFence(current.record()) ? new ExecutorStep.Waiting("a first plan") : idle();
+        Optional<EngineAssignment> planned = plannedAssignment();
+        if (planned.isEmpty()) {
+            return mayNeedHigherFencingNumber(current.record()) ? new ExecutorStep.Waiting("a first plan") : idle();
         }
         if (current.record().planVersion().isAfter(plans.version())) {
-            return new ExecutorStep.PlanBehind(plans.version());
+            return new ExecutorStep.PlanOutdated(plans.version());
         }
         EngineStatus status = engine.status();
-        Optional<EngineOrder> next = nextOrder(wanted.get(), status, current.record());
+        Optional<EngineOrder> next = nextOrder(planned.get(), status, current.record());
         if (next.isEmpty()) {
             return idle();
         }
@@ -161,44 +161,44 @@
      * <p>With the former an agent would assume that it was replaced. With the latter it would assume that no order is in
      * transit, and accept streams that the order then cuts.
      */
-    private boolean isOld(EngineRecord record) {
+    private boolean isStale(EngineRecord record) {
         boolean beforeTakeover = ownSlotTerm.isPresent() && record.slotTerm() < ownSlotTerm.get();
-        return beforeTakeover || record.lastFencingNumber() < highestNumberSeen;
+        return beforeTakeover || record.lastFencingNumber() < highestFencingNumberSeen;
     }
 
     private ExecutorStep takeOver(KnownRecord current) throws StoreException {
-        if (current.record().unsettled().isPresent() || mayNeedFence(current.record())) {
+        if (current.record().unresolvedOrder().isPresent() || mayNeedHigherFencingNumber(current.record())) {
             // The order may still arrive, and would cut the streams that were accepted meanwhile.
             stopNewWork();
         }
         KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.drawNonce()));
-        beginTenure(taken);
+        onTakenOver(taken);
         return new ExecutorStep.TookOver(taken.record().slotTerm());
     }
 
-    private void beginTenure(KnownRecord taken) {
+    private void onTakenOver(KnownRecord taken) {
         long slotTerm = taken.record().slotTerm();
         ownSlotTerm = Optional.of(slotTerm);
         boolean hadPredecessor = slotTerm > 1;
-        ordersFromNanoseconds =
-                time.monotonicNanos() + (hadPredecessor ? terms.handover().toNanos() : 0);
-        mustProve = false;
+        ordersAllowedFromNanos = time.monotonicNanos()
+                + (hadPredecessor ? timings.takeoverDelay().toNanos() : 0);
+        mustConfirmOwnership = false;
     }
 
     /** Writes the record without changes; the write fails if another agent has taken the engine over. */
-    private ExecutorStep prove(KnownRecord current) throws StoreException {
-        write(current, current.record().proven(writer.drawNonce()));
-        mustProve = false;
+    private ExecutorStep confirmOwnership(KnownRecord current) throws StoreException {
+        write(current, current.record().confirmed(writer.drawNonce()));
+        mustConfirmOwnership = false;
         return new ExecutorStep.Waiting("its next step, after confirming that it still owns the engine");
     }
 
-    private ExecutorStep retire() {
+    private ExecutorStep onReplaced() {
         replaced = true;
         stopNewWork();
         return new ExecutorStep.Replaced();
     }
 
-    private Optional<EngineAssignment> wantedAssignment() {
+    private Optional<EngineAssignment> plannedAssignment() {
         return plans.inForce().flatMap(plan -> plan.assignment(slot.engine()));
     }
 
@@ -216,12 +216,12 @@
      * <p>A change that is due cannot be made without the store. An agent that continued to drain would leave its engine
      * idle for the duration of the store outage.
      */
-    private void serveThroughOutage() {
-        if (replaced || ownSlotTerm.isEmpty() || known.isEmpty()) {
+    private void resumeWorkDuringOutage() {
+        if (replaced || ownSlotTerm.isEmpty() || lastKnown.isEmpty()) {
             return;
         }
-        EngineRecord record = known.get().record();
-        if (record.unsettled().isEmpty() && !mayNeedFence(record) && !isOld(record)) {
+        EngineRecord record = lastKnown.get().record();
+        if (record.unresolvedOrder().isEmpty() && !mayNeedHigherFencingNumber(record) && !isStale(record)) {
             idle();
         }
     }
@@ -233,12 +233,12 @@
         }
     }
 
-    private Optional<EngineOrder> nextOrder(EngineAssignment wanted, EngineStatus status, EngineRecord record) {
-        EngineOrder changeRole = new EngineOrder.ChangeRole(wanted.role());
-        if (status.role() != wanted.role() || mustFence(record, status)) {
+    private Optional<EngineOrder> nextOrder(EngineAssignment planned, EngineStatus status, EngineRecord record) {
+        EngineOrder changeRole = new EngineOrder.ChangeRole(planned.role());
+        if (status.role() != planned.role() || needsHigherFencingNumber(record, status)) {
             return Optional.of(changeRole);
         }
-        return wanted.loads().stream()
+        return planned.loads().stream()
                 .filter(item -> !status.loaded().contains(item.label()))
                 .findFirst()
                 .map(LoadItem::order);
@@ -251,12 +251,12 @@
      * it has received a higher number. The state of the last order does not show this: the order that was to deliver the
      * higher number may itself have been withdrawn.
      */
-    private boolean mustFence(EngineRecord record, EngineStatus status) {
-        return mayNeedFence(record) && status.highestFencingNumber() < record.highestAbandoned();
+    private boolean needsHigherFencingNumber(EngineRecord record, EngineStatus status) {
+        return mayNeedHigherFencingNumber(record) && status.highestFencingNumber() < record.highestAbandoned();
     }
 
-    private boolean mayNeedFence(EngineRecord record) {
-        return slot.engineChecksNumbers() && record.highestAbandoned() > 0;
+    private boolean mayNeedHigherFencingNumber(EngineRecord record) {
+        return slot.engineChecksFencingNumbers() && record.highestAbandoned() > 0;
     }
 
     private ExecutorStep prepare(KnownRecord current, EngineOrder order, EngineStatus status)
@@ -264,11 +264,10 @@
         if (status.lastOrderState() == OrderState.RUNNING || !status.ready()) {
             return new ExecutorStep.Waiting("the engine to become ready");
         }
-        if (time.monotonicNanos() - ordersFromNanoseconds < 0) {
+        if (time.monotonicNanos() - ordersAllowedFromNanos < 0) {
             return new ExecutorStep.Waiting("the previous agent to detect that it was replaced");
         }
-        if (failedAtNanoseconds.isPresent()
-                && since(failedAtNanoseconds.get()).compareTo(terms.pauseAfterFailure()) < 0) {
+        if (failedAtNanos.isPresent() && elapsedSince(failedAtNanos.get()).compareTo(timings.delayAfterFailure()) < 0) {
             return new ExecutorStep.Waiting("the delay after a failed order");
         }
         stopNewWork();
@@ -276,10 +275,10 @@
         if (running > 0) {
             return new ExecutorStep.Draining(running);
         }
-        if (planMovedOn()) {
+        if (planChanged()) {
             return new ExecutorStep.Waiting("its next step, after reading a newer plan");
         }
-        return give(current, order, status);
+        return recordAndSend(current, order, status);
     }
 
     /**
@@ -288,7 +287,7 @@
      * <p>A watch lags, and an agent that was paused may hold a plan whose publisher lost its lease long ago; the engine
      * would be changed and changed back.
      */
-    private boolean planMovedOn() throws StoreException {
+    private boolean planChanged() throws StoreException {
         Optional<StoredObject> stored = store.read(slot.planKey());
         if (stored.isEmpty()) {
             return false;
@@ -296,22 +295,23 @@
         return plans.offer(stored.get()).isPresent();
     }
 
-    private ExecutorStep give(KnownRecord current, EngineOrder order, EngineStatus status)
+    private ExecutorStep recordAndSend(KnownRecord current, EngineOrder order, EngineStatus status)
             throws StoreException, EngineUnreachableException {
-        long number = FencingNumbers.next(
+        long fencingNumber = FencingNumbers.next(
                 current.record().lastFencingNumber(),
                 status.highestFencingNumber(),
                 plans.version().term());
         String id = writer.drawNonce();
-        RecordedOrder recorded = new RecordedOrder(id, number, order, RecordedOrderState.STARTED);
+        RecordedOrder recorded = new RecordedOrder(id, fencingNumber, order, RecordedOrderState.STARTED);
         // Until it is sent, this order counts as never sent, even if its record write takes effect after a lost
         // response.
         unsentOrderId = Optional.of(id);
         long recordSentAt = time.monotonicNanos();
-        KnownRecord started = write(current, current.record().started(writer.drawNonce(), plans.version(), recorded));
-        if (since(recordSentAt).compareTo(terms.sendable()) >= 0) {
+        KnownRecord started =
+                write(current, current.record().withNewOrder(writer.drawNonce(), plans.version(), recorded));
+        if (elapsedSince(recordSentAt).compareTo(timings.sendWindow()) >= 0) {
             // Writing the record took too long. Another agent may already treat this order as unable to arrive.
-            return settleAs(started, recorded, RecordedOrderState.WITHDRAWN);
+            return recordOutcome(started, recorded, RecordedOrderState.WITHDRAWN);
         }
         unsentOrderId = Optional.empty();
         return send(started, recorded);
@@ -321,49 +321,48 @@
             throws StoreException, EngineUnreachableException {
         sentOrderId = Optional.of(recorded.id());
         try {
-            engine.order(recorded.numbered());
-            return new ExecutorStep.Ordered(recorded.numbered());
+            engine.order(recorded.toFencedOrder());
+            return new ExecutorStep.Ordered(recorded.toFencedOrder());
         } catch (EngineRefusedOrderException refused) {
-            return settleAs(started, recorded, RecordedOrderState.FAILED);
+            return recordOutcome(started, recorded, RecordedOrderState.FAILED);
         } finally {
             // Taken at the end of the call, because a pause during the call delays the sending itself.
-            sentAtNanoseconds = time.monotonicNanos();
+            sentAtNanos = time.monotonicNanos();
         }
     }
 
-    private ExecutorStep settle(KnownRecord current, RecordedOrder order)
+    private ExecutorStep resolve(KnownRecord current, RecordedOrder order)
             throws StoreException, EngineUnreachableException {
         if (unsentOrderId.equals(Optional.of(order.id()))) {
-            return settleAs(current, order, RecordedOrderState.WITHDRAWN);
+            return recordOutcome(current, order, RecordedOrderState.WITHDRAWN);
         }
         // The time is taken before the engine is queried, so that the reported status is not older than it.
-        Duration remaining = longestStillOnTheWire(order);
+        Duration remaining = remainingTransitTime(order);
         EngineStatus status = engine.status();
         if (!status.lastOrderId().equals(Optional.of(order.id()))) {
             return remaining.isPositive()
-                    ? new ExecutorStep.Settling(order.id(), remaining)
-                    : settleAs(current, order, RecordedOrderState.ABANDONED);
+                    ? new ExecutorStep.InTransit(order.id(), remaining)
+                    : recordOutcome(current, order, RecordedOrderState.ABANDONED);
         }
         return switch (status.lastOrderState()) {
             case RUNNING -> new ExecutorStep.Running(order.id());
-            case DONE -> settleAs(current, order, RecordedOrderState.FINISHED);
-            case FAILED, NEVER_SEEN -> settleAs(current, order, RecordedOrderState.FAILED);
+            case DONE -> recordOutcome(current, order, RecordedOrderState.FINISHED);
+            case FAILED, NEVER_SEEN -> recordOutcome(current, order, RecordedOrderState.FAILED);
         };
     }
 
-    private Duration longestStillOnTheWire(RecordedOrder order) {
+    private Duration remainingTransitTime(RecordedOrder order) {
         if (sentOrderId.equals(Optional.of(order.id()))) {
-            return terms.longestOnTheWire().minus(since(sentAtNanoseconds));
+            return timings.maxTransitTime().minus(elapsedSince(sentAtNanos));
         }
-        return terms.length().minus(since(firstSeenNanoseconds));
+        return timings.orderLeaseDuration().minus(elapsedSince(firstSeenNanos));
     }
 
-    private ExecutorStep settleAs(KnownRecord current, RecordedOrder order, RecordedOrderState state)
+    private ExecutorStep recordOutcome(KnownRecord current, RecordedOrder order, RecordedOrderState state)
             throws StoreException {
-        write(current, current.record().settled(writer.drawNonce(), state));
-        failedAtNanoseconds =
-                state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanos()) : Optional.empty();
-        return new ExecutorStep.Settled(order.id(), state);
+        write(current, current.record().withOrderState(writer.drawNonce(), state));
+        failedAtNanos = state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanos()) : Optional.empty();
+        return new ExecutorStep.Resolved(order.id(), state);
     }
 
     private KnownRecord write(KnownRecord current, EngineRecord next) throws StoreException {
@@ -371,20 +370,20 @@
             StoredObject stored =
                     writer.write(slot.recordKey(), current.stored(), next.nonce(), EngineRecordCodec.write(next));
             return remember(new KnownRecord(Optional.of(stored), next, false));
-        } catch (StoreConflictException overtaken) {
-            known = Optional.empty();
-            throw overtaken;
+        } catch (StoreConflictException conflict) {
+            lastKnown = Optional.empty();
+            throw conflict;
         }
     }
 
     /** Returns the record as last read or written; reads it again if it is unresolved, unconfirmed or too old. */
     private KnownRecord currentRecord() throws StoreException {
-        boolean certain = known.isPresent()
-                && !known.get().inDoubt()
-                && known.get().record().unsettled().isEmpty()
-                && since(confirmedNanoseconds).compareTo(terms.confirmEvery()) < 0;
-        if (certain) {
-            return known.get();
+        boolean upToDate = lastKnown.isPresent()
+                && !lastKnown.get().unconfirmed()
+                && lastKnown.get().record().unresolvedOrder().isEmpty()
+                && elapsedSince(confirmedAtNanos).compareTo(timings.confirmInterval()) < 0;
+        if (upToDate) {
+            return lastKnown.get();
         }
         Optional<StoredObject> stored = store.read(slot.recordKey());
         if (stored.isEmpty()) {
@@ -394,24 +393,25 @@
     }
 
     private KnownRecord remember(KnownRecord seen) {
-        known = Optional.of(seen);
-        confirmedNanoseconds = time.monotonicNanos();
-        highestNumberSeen = Math.max(highestNumberSeen, seen.record().lastFencingNumber());
-        Optional<String> unsettled = seen.record().unsettled().map(RecordedOrder::id);
-        if (unsettled.isPresent() && !unsettled.equals(firstSeenOrderId)) {
-            firstSeenOrderId = unsettled;
-            firstSeenNanoseconds = time.monotonicNanos();
+        lastKnown = Optional.of(seen);
+        confirmedAtNanos = time.monotonicNanos();
+        highestFencingNumberSeen =
+                Math.max(highestFencingNumberSeen, seen.record().lastFencingNumber());
+        Optional<String> unresolved = seen.record().unresolvedOrder().map(RecordedOrder::id);
+        if (unresolved.isPresent() && !unresolved.equals(firstSeenOrderId)) {
+            firstSeenOrderId = unresolved;
+            firstSeenNanos = time.monotonicNanos();
         }
         return seen;
     }
 
-    private Duration since(long nanoseconds) {
-        return Duration.ofNanos(time.monotonicNanos() - nanoseconds);
+    private Duration elapsedSince(long startNanos) {
+        return Duration.ofNanos(time.monotonicNanos() - startNanos);
     }
 
     /** The record as last read or written; unconfirmed after a failed store call. */
-    private record KnownRecord(Optional<StoredObject> stored, EngineRecord record, boolean inDoubt) {
-        KnownRecord uncertain() {
+    private record KnownRecord(Optional<StoredObject> stored, EngineRecord record, boolean unconfirmed) {
+        KnownRecord asUnconfirmed() {
             return new KnownRecord(stored, record, true);
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseWatch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseDetector.java
@@ -11,22 +11,22 @@
  *
  * <p>Not thread-safe.
  */
-public final class PauseWatch {
+public final class PauseDetector {
     private final TimeSource time;
-    private final Duration noticed;
-    private long lastTickNanoseconds;
+    private final Duration threshold;
+    private long lastTickNanos;
 
-    public PauseWatch(TimeSource time, Duration noticed) {
+    public PauseDetector(TimeSource time, Duration threshold) {
         this.time = time;
-        this.noticed = noticed;
-        this.lastTickNanoseconds = time.monotonicNanos();
+        this.threshold = threshold;
+        this.lastTickNanos = time.monotonicNanos();
     }
 
     /** Returns whether the process was paused since the last tick; to be called several times a second, before any work. */
-    public boolean tick() {
+    public boolean pausedSinceLastTick() {
         long now = time.monotonicNanos();
-        Duration gap = Duration.ofNanos(now - lastTickNanoseconds);
-        lastTickNanoseconds = now;
-        return gap.compareTo(noticed) >= 0;
+        Duration gap = Duration.ofNanos(now - lastTickNanos);
+        lastTickNanos = now;
+        return gap.compareTo(threshold) >= 0;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
@@ -27,7 +27,7 @@
         root.put("term", plan.version().term());
         root.put("revision", plan.version().revision());
         root.put("leaseMilliseconds", plan.leaseLength().toMillis());
-        root.put("expiry", plan.shownExpiry().toString());
+        root.put("expiry", plan.displayedExpiry().toString());
         root.put("resigned", plan.resigned());
         ObjectNode engines = root.putObject("engines");
         plan.sortedEngines().forEach((name, assignment) -> writeAssignment(engines.putObject(name), assignment));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
@@ -30,41 +30,46 @@
     private final ObjectStore store;
     private final ObjectKey key;
     private final String owner;
-    private final LeaseTerms terms;
+    private final LeaseTimings timings;
     private final TimeSource time;
-    private final SettledWriter writer;
+    private final NonceWriter writer;
 
-    private Optional<Tenure> tenure = Optional.empty();
+    private Optional<HeldLease> heldLease = Optional.empty();
     private Optional<Observation> observation = Optional.empty();
 
     public PlanHolder(
-            ObjectStore store, ObjectKey key, String owner, LeaseTerms terms, TimeSource time, RandomGenerator random) {
+            ObjectStore store,
+            ObjectKey key,
+            String owner,
+            LeaseTimings timings,
+            TimeSource time,
+            RandomGenerator random) {
         this.store = store;
         this.key = key;
         this.owner = owner;
-        this.terms = terms;
+        this.timings = timings;
         this.time = time;
-        this.writer = new SettledWriter(store, random);
+        this.writer = new NonceWriter(store, random);
     }
 
     /** Returns whether this process may decide on and publish plans now, by its own clock. */
     public boolean mayDecide() {
-        return tenure.isPresent() && age(tenure.get()).compareTo(terms.usable()) < 0;
+        return heldLease.isPresent() && age(heldLease.get()).compareTo(timings.usableDuration()) < 0;
     }
 
     /** Returns the record that this holder wrote last; empty while it does not hold the lease. */
     public Optional<PlanRecord> current() {
-        return tenure.map(Tenure::plan);
+        return heldLease.map(HeldLease::plan);
     }
 
     /** Acquires, renews or observes the lease, whichever is due; to be called several times within the lease duration. */
-    public HolderStep tend() throws StoreException {
-        if (tenure.isEmpty()) {
+    public LeaseStep maintainLease() throws StoreException {
+        if (heldLease.isEmpty()) {
             return observe();
         }
-        Tenure held = tenure.get();
-        if (age(held).compareTo(terms.renewEvery()) < 0) {
-            return new HolderStep.Held(held.plan().version().term());
+        HeldLease held = heldLease.get();
+        if (age(held).compareTo(timings.renewInterval()) < 0) {
+            return new LeaseStep.Held(held.plan().version().term());
         }
         return renew(held.stored(), held.plan());
     }
@@ -74,29 +79,29 @@
         if (!mayDecide()) {
             return new PublishResult.NotHolder();
         }
-        Tenure held = tenure.orElseThrow();
-        PlanRecord next = held.plan().published(writer.drawNonce(), expiry(), engines);
+        HeldLease held = heldLease.orElseThrow();
+        PlanRecord next = held.plan().withPlan(writer.drawNonce(), expiry(), engines);
         try {
             write(Optional.of(held.stored()), next);
             return new PublishResult.Published(next);
         } catch (StoreConflictException superseded) {
-            forget();
+            dropLease();
             return new PublishResult.Superseded();
         }
     }
 
     /** Releases the lease before a planned stop, so that a successor need not wait. */
     public void resign() throws StoreException {
-        if (tenure.isEmpty()) {
+        if (heldLease.isEmpty()) {
             return;
         }
-        Tenure held = tenure.get();
-        forget();
-        PlanRecord last = held.plan().resignedBy(writer.drawNonce());
-        writer.write(key, Optional.of(held.stored()), last.nonce(), PlanCodec.write(last));
+        HeldLease held = heldLease.get();
+        dropLease();
+        PlanRecord released = held.plan().withLeaseReleased(writer.drawNonce());
+        writer.write(key, Optional.of(held.stored()), released.nonce(), PlanCodec.write(released));
     }
 
-    private HolderStep observe() throws StoreException {
+    private LeaseStep observe() throws StoreException {
         Optional<StoredObject> stored = store.read(key);
         long seenAt = time.monotonicNanos();
         if (stored.isEmpty()) {
@@ -116,40 +121,40 @@
         if (observation.isEmpty() || !observation.get().version().equals(version)) {
             observation = Optional.of(new Observation(version, seenAt));
         }
-        Duration unchanged = Duration.ofNanos(seenAt - observation.get().sinceNanoseconds());
+        Duration unchanged = Duration.ofNanos(seenAt - observation.get().sinceNanos());
         if (unchanged.compareTo(plan.leaseLength()) < 0) {
-            return new HolderStep.Observing(plan.owner(), plan.leaseLength().minus(unchanged));
+            return new LeaseStep.Observing(plan.owner(), plan.leaseLength().minus(unchanged));
         }
         return takeOver(stored.get(), plan);
     }
 
-    private HolderStep create() throws StoreException {
+    private LeaseStep create() throws StoreException {
         PlanRecord first = new PlanRecord(
-                owner, writer.drawNonce(), new PlanVersion(1, 0), terms.length(), expiry(), false, Map.of());
+                owner, writer.drawNonce(), new PlanVersion(1, 0), timings.duration(), expiry(), false, Map.of());
         return acquire(Optional.empty(), first);
     }
 
-    private HolderStep takeOver(StoredObject stored, PlanRecord plan) throws StoreException {
-        return acquire(Optional.of(stored), plan.takenOver(owner, writer.drawNonce(), terms.length(), expiry()));
+    private LeaseStep takeOver(StoredObject stored, PlanRecord plan) throws StoreException {
+        return acquire(Optional.of(stored), plan.takenOver(owner, writer.drawNonce(), timings.duration(), expiry()));
     }
 
-    private HolderStep acquire(Optional<StoredObject> base, PlanRecord plan) throws StoreException {
+    private LeaseStep acquire(Optional<StoredObject> base, PlanRecord plan) throws StoreException {
         try {
             write(base, plan);
-            return new HolderStep.Acquired(plan.version().term());
-        } catch (StoreConflictException outrun) {
-            forget();
-            return new HolderStep.Observing("", terms.length());
+            return new LeaseStep.Acquired(plan.version().term());
+        } catch (StoreConflictException conflict) {
+            dropLease();
+            return new LeaseStep.Observing("", timings.duration());
         }
     }
 
-    private HolderStep renew(StoredObject stored, PlanRecord plan) throws StoreException {
+    private LeaseStep renew(StoredObject stored, PlanRecord plan) throws StoreException {
         try {
             write(Optional.of(stored), plan.renewed(writer.drawNonce(), expiry()));
-            return new HolderStep.Renewed(plan.version().term());
+            return new LeaseStep.Renewed(plan.version().term());
         } catch (StoreConflictException superseded) {
-            forget();
-            return new HolderStep.Lost(plan.version().term());
+            dropLease();
+            return new LeaseStep.Lost(plan.version().term());
         }
     }
 
@@ -157,30 +162,30 @@
         long sentAt = time.monotonicNanos();
         try {
             StoredObject stored = writer.write(key, base, plan.nonce(), PlanCodec.write(plan));
-            tenure = Optional.of(new Tenure(stored, plan, sentAt));
+            heldLease = Optional.of(new HeldLease(stored, plan, sentAt));
             observation = Optional.empty();
-        } catch (StoreOutcomeUnknownException unsettled) {
-            forget();
-            throw unsettled;
+        } catch (StoreOutcomeUnknownException unknownOutcome) {
+            dropLease();
+            throw unknownOutcome;
         }
     }
 
-    private void forget() {
-        tenure = Optional.empty();
+    private void dropLease() {
+        heldLease = Optional.empty();
         observation = Optional.empty();
     }
 
-    private Duration age(Tenure held) {
-        return Duration.ofNanos(time.monotonicNanos() - held.sentAtNanoseconds());
+    private Duration age(HeldLease held) {
+        return Duration.ofNanos(time.monotonicNanos() - held.sentAtNanos());
     }
 
     private Instant expiry() {
-        return time.wallClockTime().plus(terms.length());
+        return time.wallClockTime().plus(timings.duration());
     }
 
     /** The lease while this process holds it. */
-    private record Tenure(StoredObject stored, PlanRecord plan, long sentAtNanoseconds) {}
+    private record HeldLease(StoredObject stored, PlanRecord plan, long sentAtNanos) {}
 
     /** The time since which the record of another holder has been seen unchanged. */
-    private record Observation(String version, long sinceNanoseconds) {}
+    private record Observation(String version, long sinceNanos) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanRecord.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanRecord.java
@@ -13,7 +13,7 @@
  * @param nonce a random value, new for each write, by which the writer recognises its own write
  * @param version the term and revision of the plan
  * @param leaseLength how long a successor has to see no change before it takes over
- * @param shownExpiry the end of the lease by the owner's wall clock; informational only
+ * @param displayedExpiry the end of the lease by the owner's wall clock; informational only
  * @param resigned whether the owner has released the lease, so that a successor need not wait
  * @param engines the assignments by engine name
  */
@@ -22,7 +22,7 @@
         String nonce,
         PlanVersion version,
         Duration leaseLength,
-        Instant shownExpiry,
+        Instant displayedExpiry,
         boolean resigned,
         Map<String, EngineAssignment> engines) {
     public PlanRecord {
@@ -40,12 +40,12 @@
     }
 
     /** Returns the record with the lease released. */
-    PlanRecord resignedBy(String newNonce) {
-        return new PlanRecord(owner, newNonce, version, leaseLength, shownExpiry, true, engines);
+    PlanRecord withLeaseReleased(String newNonce) {
+        return new PlanRecord(owner, newNonce, version, leaseLength, displayedExpiry, true, engines);
     }
 
     /** Returns the record with a new plan under the next revision. */
-    PlanRecord published(String newNonce, Instant newExpiry, Map<String, EngineAssignment> plan) {
+    PlanRecord withPlan(String newNonce, Instant newExpiry, Map<String, EngineAssignment> plan) {
         PlanVersion next = new PlanVersion(version.term(), version.revision() + 1);
         return new PlanRecord(owner, newNonce, next, leaseLength, newExpiry, false, plan);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
@@ -13,12 +13,12 @@
  */
 public record RecordedOrder(String id, long fencingNumber, EngineOrder order, RecordedOrderState state) {
     /** Returns the order in the form sent to the engine. */
-    FencedOrder numbered() {
+    FencedOrder toFencedOrder() {
         return new FencedOrder(id, fencingNumber, order);
     }
 
     /** Returns the order with another state. */
-    RecordedOrder in(RecordedOrderState newState) {
+    RecordedOrder withState(RecordedOrderState newState) {
         return new RecordedOrder(id, fencingNumber, order, newState);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrderState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrderState.java
@@ -14,7 +14,7 @@
     ABANDONED;
 
     /** Returns whether the outcome is known, so that the next order may be sent. */
-    public boolean settled() {
+    public boolean isResolved() {
         return this != STARTED;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotIdentity.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotIdentity.java
@@ -9,7 +9,7 @@
  * @param owner the incarnation of the agent, which changes with each restart
  * @param recordKey the key of the engine record
  * @param planKey the key of the role plan that contains the engine
- * @param engineChecksNumbers whether the engine itself refuses outdated fencing numbers
+ * @param engineChecksFencingNumbers whether the engine itself refuses outdated fencing numbers
  */
 public record SlotIdentity(
-        String engine, String owner, ObjectKey recordKey, ObjectKey planKey, boolean engineChecksNumbers) {}
+        String engine, String owner, ObjectKey recordKey, ObjectKey planKey, boolean engineChecksFencingNumbers) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
@@ -20,21 +20,21 @@
     private static final int CACHE_PIECES = 2000;
 
     private final String name;
-    private final boolean checksNumbers;
+    private final boolean checksFencingNumbers;
     private final List<OrderArrival> arrivals = new ArrayList<>();
-    private final List<FencedOrder> onTheWire = new ArrayList<>();
+    private final List<FencedOrder> inTransit = new ArrayList<>();
     private final List<Consumer<OrderArrival>> listeners = new ArrayList<>();
     private final Set<String> loaded = new HashSet<>();
-    private int starts = 1;
+    private int startCount = 1;
     private int runningStreams;
-    private long highestNumber;
+    private long highestFencingNumber;
     private EngineRole role = EngineRole.WHOLE;
     private Optional<FencedOrder> lastOrder = Optional.empty();
     private OrderState lastState = OrderState.NEVER_SEEN;
 
-    public FakeEngine(String name, boolean checksNumbers) {
+    public FakeEngine(String name, boolean checksFencingNumbers) {
         this.name = name;
-        this.checksNumbers = checksNumbers;
+        this.checksFencingNumbers = checksFencingNumbers;
     }
 
     /** Returns a control interface for one agent, with its own faults. */
@@ -43,13 +43,13 @@
     }
 
     /** Registers a listener that is called with every order that arrives. */
-    public void onArrival(Consumer<OrderArrival> listener) {
+    public void addArrivalListener(Consumer<OrderArrival> listener) {
         listeners.add(listener);
     }
 
     /** Returns whether the engine checks fencing numbers. */
-    public boolean checksNumbers() {
-        return checksNumbers;
+    public boolean checksFencingNumbers() {
+        return checksFencingNumbers;
     }
 
     /** Returns the name of the engine. */
@@ -68,9 +68,9 @@
     }
 
     /** Returns the orders that the engine started to execute, oldest first. */
-    public List<FencedOrder> begun() {
+    public List<FencedOrder> startedOrders() {
         return arrivals.stream()
-                .filter(OrderArrival::begun)
+                .filter(OrderArrival::started)
                 .map(OrderArrival::order)
                 .toList();
     }
@@ -86,13 +86,13 @@
     }
 
     /** Returns whether an order is being executed. */
-    public boolean busy() {
+    public boolean isBusy() {
         return lastState == OrderState.RUNNING;
     }
 
     /** Finishes the order that is being executed, if any. */
     public void finishOrder() {
-        if (!busy()) {
+        if (!isBusy()) {
             return;
         }
         switch (lastOrder.orElseThrow().order()) {
@@ -107,14 +107,14 @@
 
     /** Aborts the order that is being executed, if any; the state of the engine does not change. */
     public void failOrder() {
-        if (busy()) {
+        if (isBusy()) {
             lastState = OrderState.FAILED;
         }
     }
 
     /** Crashes and restarts the engine, which loses its last order but keeps the highest fencing number. */
     public void crash() {
-        starts++;
+        startCount++;
         runningStreams = 0;
         loaded.clear();
         lastOrder = Optional.empty();
@@ -122,39 +122,39 @@
     }
 
     /** Delivers the oldest order in transit; returns false if there is none. */
-    public boolean deliverLate() {
-        if (onTheWire.isEmpty()) {
+    public boolean deliverDelayed() {
+        if (inTransit.isEmpty()) {
             return false;
         }
-        receive(onTheWire.removeFirst());
+        receive(inTransit.removeFirst());
         return true;
     }
 
     /** Returns the orders in transit, oldest first. */
-    public List<FencedOrder> onTheWire() {
-        return List.copyOf(onTheWire);
+    public List<FencedOrder> inTransit() {
+        return List.copyOf(inTransit);
     }
 
     /** Delivers the given order if it is in transit. */
-    public void deliverLate(FencedOrder order) {
-        if (onTheWire.remove(order)) {
+    public void deliverDelayed(FencedOrder order) {
+        if (inTransit.remove(order)) {
             receive(order);
         }
     }
 
-    void receiveLater(FencedOrder order) {
-        onTheWire.add(order);
+    void addInTransit(FencedOrder order) {
+        inTransit.add(order);
     }
 
     EngineStatus status() {
         EngineLoad load = new EngineLoad(1, 0, runningStreams, CACHE_PIECES, CACHE_PIECES, CACHE_PIECES);
         return new EngineStatus(
-                name + "#" + starts,
+                name + "#" + startCount,
                 role,
-                !busy(),
+                !isBusy(),
                 lastOrder.map(FencedOrder::orderId),
                 lastState,
-                checksNumbers ? highestNumber : 0,
+                checksFencingNumbers ? highestFencingNumber : 0,
                 loaded,
                 load);
     }
@@ -170,11 +170,11 @@
         if (repeated) {
             return true;
         }
-        boolean refused = checksNumbers && (order.fencingNumber() < highestNumber || busy());
-        OrderArrival arrival = new OrderArrival(name, order, !refused, busy(), runningStreams);
+        boolean refused = checksFencingNumbers && (order.fencingNumber() < highestFencingNumber || isBusy());
+        OrderArrival arrival = new OrderArrival(name, order, !refused, isBusy(), runningStreams);
         arrivals.add(arrival);
         listeners.forEach(listener -> listener.accept(arrival));
-        highestNumber = Math.max(highestNumber, order.fencingNumber());
+        highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber());
         if (refused) {
             return false;
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
@@ -35,7 +35,7 @@
                 throw unreachable();
             }
             case ARRIVES_LATE -> {
-                engine.receiveLater(order);
+                engine.addInTransit(order);
                 throw unreachable();
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
@@ -14,8 +14,8 @@
 /** An in-memory object store; each process accesses it through its own client with its own faults. */
 public final class FakeStore {
     private final Map<ObjectKey, StoredObject> objects = new HashMap<>();
-    private final Map<ObjectKey, StoredObject> earlier = new HashMap<>();
-    private final List<LateWrite> onTheWire = new ArrayList<>();
+    private final Map<ObjectKey, StoredObject> previousStates = new HashMap<>();
+    private final List<DelayedWrite> inTransit = new ArrayList<>();
     private final List<Consumer<StoreWrite>> listeners = new ArrayList<>();
     private long version;
     private long reads;
@@ -27,19 +27,19 @@
     }
 
     /** Registers a listener that is called with every write that takes effect. */
-    public void onWrite(Consumer<StoreWrite> listener) {
+    public void addWriteListener(Consumer<StoreWrite> listener) {
         listeners.add(listener);
     }
 
     /** Delivers the oldest write in transit and checks its condition then; returns false if there is none. */
-    public boolean deliverLate() {
-        if (onTheWire.isEmpty()) {
+    public boolean deliverDelayed() {
+        if (inTransit.isEmpty()) {
             return false;
         }
-        LateWrite late = onTheWire.removeFirst();
+        DelayedWrite delayed = inTransit.removeFirst();
         try {
-            put(late.key(), late.base(), late.value());
-        } catch (StoreConflictException outrun) {
+            put(delayed.key(), delayed.base(), delayed.value());
+        } catch (StoreConflictException conflict) {
             // The object has changed since; the sender no longer waits for the response.
             return true;
         }
@@ -73,7 +73,7 @@
 
     Optional<StoredObject> getStale(ObjectKey key) {
         reads++;
-        return Optional.ofNullable(earlier.getOrDefault(key, objects.get(key)));
+        return Optional.ofNullable(previousStates.getOrDefault(key, objects.get(key)));
     }
 
     StoredObject put(ObjectKey key, Optional<StoredObject> base, String value) throws StoreConflictException {
@@ -86,17 +86,17 @@
         }
         version++;
         StoredObject after = new StoredObject(key, String.valueOf(version), value);
-        before.ifPresent(old -> earlier.put(key, old));
+        before.ifPresent(old -> previousStates.put(key, old));
         objects.put(key, after);
         StoreWrite write = new StoreWrite(before, after);
         listeners.forEach(listener -> listener.accept(write));
         return after;
     }
 
-    void putLater(ObjectKey key, Optional<StoredObject> base, String value) {
-        onTheWire.add(new LateWrite(key, base, value));
+    void addInTransit(ObjectKey key, Optional<StoredObject> base, String value) {
+        inTransit.add(new DelayedWrite(key, base, value));
     }
 
     /** A write in transit. */
-    private record LateWrite(ObjectKey key, Optional<StoredObject> base, String value) {}
+    private record DelayedWrite(ObjectKey key, Optional<StoredObject> base, String value) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStoreClient.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStoreClient.java
@@ -52,7 +52,7 @@
             throw unknown(key);
         }
         if (fault == StoreFault.LANDS_LATE) {
-            store.putLater(key, base, value);
+            store.addInTransit(key, base, value);
             throw unknown(key);
         }
         StoredObject written = store.put(key, base, value);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
@@ -7,8 +7,8 @@
  *
  * @param engine the name of the engine
  * @param order the order
- * @param begun whether the engine started to execute it
- * @param whileBusy whether another order was being executed at the time
- * @param streamsCut the number of streams that were running at the time
+ * @param started whether the engine started to execute it
+ * @param engineBusy whether another order was being executed at the time
+ * @param runningStreams the number of streams that were running at the time
  */
-public record OrderArrival(String engine, FencedOrder order, boolean begun, boolean whileBusy, int streamsCut) {}
+public record OrderArrival(String engine, FencedOrder order, boolean started, boolean engineBusy, int runningStreams) {}
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/LateOrderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/LateOrderTest.java
@@ -26,9 +26,9 @@
         world.engine().finishOrder();
         successor.step();
 
-        world.engine().deliverLate();
+        world.engine().deliverDelayed();
 
-        assertFalse(last(world).begun());
+        assertFalse(last(world).started());
         assertEquals(world.engine().role(), EngineRole.WHOLE);
     }
 
@@ -44,8 +44,8 @@
         successor.offer(world.planObject());
         assertEquals(successor.step(), new ExecutorStep.Idle());
 
-        world.engine().deliverLate();
-        assertTrue(last(world).begun());
+        world.engine().deliverDelayed();
+        assertTrue(last(world).started());
         world.engine().finishOrder();
 
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
@@ -60,9 +60,9 @@
     public void should_not_send_an_order_after_a_pause_that_outlasts_its_right() throws StoreException {
         OneEngine world = new OneEngine(new FakeEngine("engine-1", false));
         world.publish(EngineRole.PREFILL);
-        world.faults().afterNextEffect(() -> world.time().advance(SlotTerms.DEFAULT.sendable()));
+        world.faults().afterNextEffect(() -> world.time().advance(SlotTimings.DEFAULT.sendWindow()));
 
-        assertTrue(world.agent().step() instanceof ExecutorStep.Settled);
+        assertTrue(world.agent().step() instanceof ExecutorStep.Resolved);
 
         assertEquals(world.recordedState(), RecordedOrderState.WITHDRAWN);
         assertTrue(world.engine().arrivals().isEmpty());
@@ -77,17 +77,17 @@
         OrderExecutor successor = world.newAgentWithoutPlan("agent-2");
         world.faults().afterNextEffect(() -> {
             successor.step();
-            world.time().advance(SlotTerms.DEFAULT.sendable().minusMillis(1));
+            world.time().advance(SlotTimings.DEFAULT.sendWindow().minusMillis(1));
         });
         world.engineFaults().nextOrder(EngineFault.ARRIVES_LATE);
         world.agent().step();
-        world.time().advance(SlotTerms.DEFAULT.longestOnTheWire());
+        world.time().advance(SlotTimings.DEFAULT.maxTransitTime());
 
-        assertTrue(successor.step() instanceof ExecutorStep.Settling);
-        world.engine().deliverLate();
+        assertTrue(successor.step() instanceof ExecutorStep.InTransit);
+        world.engine().deliverDelayed();
 
         assertTrue(successor.step() instanceof ExecutorStep.Running);
-        assertEquals(world.engine().begun().size(), 1);
+        assertEquals(world.engine().startedOrders().size(), 1);
     }
 
     private static OrderExecutor abandonTheOrderOfTheFirstAgent(OneEngine world) throws StoreException {
@@ -95,15 +95,15 @@
         world.engineFaults().nextOrder(EngineFault.ARRIVES_LATE);
         world.agent().step();
         OrderExecutor successor = world.newAgent("agent-2");
-        assertTrue(successor.step() instanceof ExecutorStep.Settling);
+        assertTrue(successor.step() instanceof ExecutorStep.InTransit);
         world.time()
-                .advance(SlotTerms.DEFAULT
-                        .length()
-                        .minus(SlotTerms.DEFAULT.handover())
+                .advance(SlotTimings.DEFAULT
+                        .orderLeaseDuration()
+                        .minus(SlotTimings.DEFAULT.takeoverDelay())
                         .minus(Duration.ofMillis(1)));
-        assertTrue(successor.step() instanceof ExecutorStep.Settling);
+        assertTrue(successor.step() instanceof ExecutorStep.InTransit);
         world.time().advance(Duration.ofMillis(1));
-        assertTrue(successor.step() instanceof ExecutorStep.Settled);
+        assertTrue(successor.step() instanceof ExecutorStep.Resolved);
         assertEquals(world.recordedState(), RecordedOrderState.ABANDONED);
         return successor;
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
@@ -40,8 +40,8 @@
         this.engine = engine;
         this.drain = new CountingDrain(engine);
         this.planner = new PlanHolder(
-                store.client(StoreCallFaults.NONE), PLAN, "entry-1", LeaseTerms.DEFAULT, time, new Random(7));
-        planner.tend();
+                store.client(StoreCallFaults.NONE), PLAN, "entry-1", LeaseTimings.DEFAULT, time, new Random(7));
+        planner.maintainLease();
         this.agent = agent("agent-1", faults, engineFaults);
         agent.step();
     }
@@ -105,7 +105,7 @@
     OrderExecutor newAgent(String owner, StoreCallFaults ofAgent) throws StoreException {
         OrderExecutor executor = agent(owner, ofAgent, EngineCallFaults.NONE);
         executor.step();
-        time.advance(SlotTerms.DEFAULT.handover());
+        time.advance(SlotTimings.DEFAULT.takeoverDelay());
         if (store.peek(PLAN).isPresent()) {
             executor.offer(planObject());
         }
@@ -138,19 +138,19 @@
     }
 
     private void publish(EngineAssignment assignment) throws StoreException {
-        planner.tend();
+        planner.maintainLease();
         planner.publish(Map.of("engine-1", assignment));
     }
 
     private OrderExecutor agent(String owner, StoreCallFaults storeFaults, EngineCallFaults callFaults) {
         agents++;
-        SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksNumbers());
+        SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksFencingNumbers());
         return new OrderExecutor(
                 slot,
                 store.client(storeFaults),
                 engine.control(callFaults),
                 drain,
-                SlotTerms.DEFAULT,
+                SlotTimings.DEFAULT,
                 time,
                 new Random(agents));
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
@@ -87,11 +87,11 @@
         assertTrue(successor.step() instanceof ExecutorStep.Running);
         assertFalse(successor.mayServe());
         world.engine().finishOrder();
-        assertTrue(successor.step() instanceof ExecutorStep.Settled);
+        assertTrue(successor.step() instanceof ExecutorStep.Resolved);
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
 
-        assertEquals(world.engine().begun().size(), 2);
-        assertTrue(world.engine().arrivals().stream().noneMatch(arrival -> arrival.whileBusy()));
+        assertEquals(world.engine().startedOrders().size(), 2);
+        assertTrue(world.engine().arrivals().stream().noneMatch(arrival -> arrival.engineBusy()));
     }
 
     // Two agents run for one engine, because the host returned before the old process was terminated. Both see the same
@@ -106,7 +106,7 @@
         assertFalse(world.agent().mayServe());
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
 
-        assertEquals(world.engine().begun().size(), 1);
+        assertEquals(world.engine().startedOrders().size(), 1);
     }
 
     // The same, but the successor starts while the record write of the first agent is in transit.
@@ -118,13 +118,13 @@
         successor.offer(world.planObject());
         world.faults().beforeNextEffect(() -> {
             successor.step();
-            world.time().advance(SlotTerms.DEFAULT.handover());
+            world.time().advance(SlotTimings.DEFAULT.takeoverDelay());
             successor.step();
         });
 
-        assertTrue(world.agent().step() instanceof ExecutorStep.StoreTrouble);
+        assertTrue(world.agent().step() instanceof ExecutorStep.StoreFailed);
 
-        assertEquals(world.engine().begun().size(), 1);
+        assertEquals(world.engine().startedOrders().size(), 1);
         assertEquals(world.agent().step(), new ExecutorStep.Replaced());
     }
 
@@ -138,7 +138,7 @@
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
         world.run(3);
 
-        assertEquals(world.engine().begun().size(), 1);
+        assertEquals(world.engine().startedOrders().size(), 1);
     }
 
     // The record write is delayed and takes effect after the agent has given up on it. The order was never sent, and
@@ -148,8 +148,8 @@
     public void should_withdraw_an_order_whose_record_landed_late() throws StoreException {
         world.publish(EngineRole.PREFILL);
         world.faults().nextWrite(StoreFault.LANDS_LATE);
-        assertTrue(world.agent().step() instanceof ExecutorStep.StoreTrouble);
-        world.store().deliverLate();
+        assertTrue(world.agent().step() instanceof ExecutorStep.StoreFailed);
+        world.store().deliverDelayed();
 
         world.agent().step();
         assertEquals(world.recordedState(), RecordedOrderState.WITHDRAWN);
@@ -166,9 +166,9 @@
         world.agent().step();
         world.engine().crash();
 
-        assertTrue(world.agent().step() instanceof ExecutorStep.Settling);
-        world.time().advance(SlotTerms.DEFAULT.longestOnTheWire());
-        assertTrue(world.agent().step() instanceof ExecutorStep.Settled);
+        assertTrue(world.agent().step() instanceof ExecutorStep.InTransit);
+        world.time().advance(SlotTimings.DEFAULT.maxTransitTime());
+        assertTrue(world.agent().step() instanceof ExecutorStep.Resolved);
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
         world.engine().finishOrder();
 
@@ -184,7 +184,7 @@
         world.agent().step();
         assertEquals(world.recordedState(), RecordedOrderState.FAILED);
         assertTrue(world.agent().step() instanceof ExecutorStep.Waiting);
-        world.time().advance(SlotTerms.DEFAULT.pauseAfterFailure());
+        world.time().advance(SlotTimings.DEFAULT.delayAfterFailure());
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
     }
 
@@ -195,15 +195,15 @@
     public void should_give_no_other_order_while_one_may_still_arrive() throws StoreException {
         world.publish(EngineRole.PREFILL);
         world.engineFaults().nextOrder(EngineFault.ARRIVES_LATE);
-        assertTrue(world.agent().step() instanceof ExecutorStep.EngineSilent);
+        assertTrue(world.agent().step() instanceof ExecutorStep.EngineUnreachable);
         world.publish(EngineRole.DECODE);
-        world.time().advance(SlotTerms.DEFAULT.longestOnTheWire().minusMillis(1));
-        assertTrue(world.agent().step() instanceof ExecutorStep.Settling);
+        world.time().advance(SlotTimings.DEFAULT.maxTransitTime().minusMillis(1));
+        assertTrue(world.agent().step() instanceof ExecutorStep.InTransit);
 
-        world.engine().deliverLate();
+        world.engine().deliverDelayed();
 
         assertTrue(world.agent().step() instanceof ExecutorStep.Running);
-        assertEquals(world.engine().begun().size(), 1);
+        assertEquals(world.engine().startedOrders().size(), 1);
     }
 
     // The watch lags, and the agent still has the plan of a replaced holder. It reads the plan again before it sends an
@@ -231,7 +231,7 @@
         restarted.offer(oldPlan);
         restarted.step();
 
-        assertTrue(restarted.step() instanceof ExecutorStep.PlanBehind);
+        assertTrue(restarted.step() instanceof ExecutorStep.PlanOutdated);
         assertEquals(world.engine().role(), EngineRole.DECODE);
     }
 
@@ -242,7 +242,7 @@
         world.publish(EngineRole.PREFILL);
         OrderExecutor successor = world.newAgent("agent-2", world.faults());
         world.faults().nextWrite(StoreFault.UNAVAILABLE);
-        assertTrue(successor.step() instanceof ExecutorStep.StoreTrouble);
+        assertTrue(successor.step() instanceof ExecutorStep.StoreFailed);
         world.faults().nextRead(StoreFault.STALE_READ);
 
         assertTrue(successor.step() instanceof ExecutorStep.Waiting);
@@ -254,13 +254,13 @@
     @Test
     public void should_let_nothing_in_on_waking_up_until_it_has_proved_that_it_was_not_replaced()
             throws StoreException {
-        world.agent().wokeFromPause();
+        world.agent().onPauseDetected();
         assertFalse(world.agent().mayServe());
         world.agent().step();
         assertTrue(world.agent().mayServe());
 
         world.newAgent("agent-2");
-        world.agent().wokeFromPause();
+        world.agent().onPauseDetected();
         world.faults().nextRead(StoreFault.STALE_READ);
         world.run(3);
 
@@ -275,13 +275,13 @@
         OrderExecutor successor = world.newAgentWithoutPlan("agent-2");
         successor.offer(world.planObject());
         successor.step();
-        world.time().advance(SlotTerms.DEFAULT.confirmEvery());
+        world.time().advance(SlotTimings.DEFAULT.confirmInterval());
         assertTrue(successor.step() instanceof ExecutorStep.Waiting);
 
         world.agent().step();
 
         assertFalse(world.agent().mayServe());
-        world.time().advance(SlotTerms.DEFAULT.handover());
+        world.time().advance(SlotTimings.DEFAULT.takeoverDelay());
         assertTrue(successor.step() instanceof ExecutorStep.Ordered);
     }
 
@@ -297,7 +297,7 @@
 
         assertTrue(world.agent().step() instanceof ExecutorStep.Waiting);
         assertFalse(world.agent().mayServe());
-        assertTrue(world.agent().step() instanceof ExecutorStep.Settling);
+        assertTrue(world.agent().step() instanceof ExecutorStep.InTransit);
     }
 
     // The order that was to deliver a higher number after a delayed order is itself withdrawn, because its agent was
@@ -310,19 +310,19 @@
         world.engineFaults().nextOrder(EngineFault.ARRIVES_LATE);
         world.agent().step();
         world.publish(EngineRole.WHOLE);
-        world.time().advance(SlotTerms.DEFAULT.longestOnTheWire());
+        world.time().advance(SlotTimings.DEFAULT.maxTransitTime());
         world.agent().step();
         assertEquals(world.recordedState(), RecordedOrderState.ABANDONED);
-        world.faults().afterNextEffect(() -> world.time().advance(SlotTerms.DEFAULT.sendable()));
+        world.faults().afterNextEffect(() -> world.time().advance(SlotTimings.DEFAULT.sendWindow()));
         world.agent().step();
         assertEquals(world.recordedState(), RecordedOrderState.WITHDRAWN);
 
         assertTrue(world.agent().step() instanceof ExecutorStep.Ordered);
         world.engine().finishOrder();
         world.run(2);
-        world.engine().deliverLate();
+        world.engine().deliverDelayed();
 
-        assertFalse(world.engine().arrivals().getLast().begun());
+        assertFalse(world.engine().arrivals().getLast().started());
     }
 
     // The store becomes unavailable while an engine drains for a change. The change cannot be recorded, and an engine
@@ -337,7 +337,7 @@
         world.engine().setRunningStreams(0);
         world.faults().nextRead(StoreFault.UNAVAILABLE);
 
-        assertTrue(world.agent().step() instanceof ExecutorStep.StoreTrouble);
+        assertTrue(world.agent().step() instanceof ExecutorStep.StoreFailed);
 
         assertTrue(world.agent().mayServe());
         assertFalse(world.drain().draining());
@@ -349,7 +349,7 @@
         world.publish(EngineRole.PREFILL);
         for (int call = 0; call < 6; call++) {
             world.faults().nextRead(StoreFault.UNAVAILABLE);
-            assertTrue(world.agent().step() instanceof ExecutorStep.StoreTrouble);
+            assertTrue(world.agent().step() instanceof ExecutorStep.StoreFailed);
         }
         assertTrue(world.engine().arrivals().isEmpty());
     }
@@ -376,14 +376,14 @@
         world.publish(EngineRole.DECODE);
         world.run(2);
 
-        long firstNumber = world.engine().begun().get(0).fencingNumber();
+        long firstNumber = world.engine().startedOrders().get(0).fencingNumber();
         assertEquals(firstNumber >> 24, 1);
-        assertEquals(world.engine().begun().get(1).fencingNumber(), firstNumber + 1);
+        assertEquals(world.engine().startedOrders().get(1).fencingNumber(), firstNumber + 1);
     }
 
     @Test
     public void should_keep_the_window_within_the_terms() {
-        assertEquals(SlotTerms.DEFAULT.longestOnTheWire(), Duration.ofSeconds(15));
-        assertEquals(SlotTerms.DEFAULT.sendable(), Duration.ofSeconds(30));
+        assertEquals(SlotTimings.DEFAULT.maxTransitTime(), Duration.ofSeconds(15));
+        assertEquals(SlotTimings.DEFAULT.sendWindow(), Duration.ofSeconds(30));
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -47,7 +47,7 @@
 
     @Test
     public void should_take_a_lease_that_nobody_holds_and_publish() throws StoreException {
-        assertEquals(first.tend(), new HolderStep.Acquired(1));
+        assertEquals(first.maintainLease(), new LeaseStep.Acquired(1));
 
         first.publish(FIRST_PLAN);
 
@@ -57,11 +57,11 @@
 
     @Test
     public void should_keep_others_away_while_the_holder_renews() throws StoreException {
-        first.tend();
+        first.maintainLease();
         for (int second = 0; second < 60; second++) {
             time.advance(Duration.ofSeconds(1));
-            first.tend();
-            assertTrue(this.second.tend() instanceof HolderStep.Observing);
+            first.maintainLease();
+            assertTrue(this.second.maintainLease() instanceof LeaseStep.Observing);
         }
         assertTrue(first.mayDecide());
         assertEquals(stored().version(), new PlanVersion(1, 0));
@@ -72,14 +72,14 @@
     // under the next term, without any operator action.
     @Test
     public void should_take_over_with_the_next_term_after_a_whole_lease_without_change() throws StoreException {
-        first.tend();
+        first.maintainLease();
         first.publish(FIRST_PLAN);
-        second.tend();
-        time.advance(LeaseTerms.DEFAULT.length().minusMillis(1));
-        assertTrue(second.tend() instanceof HolderStep.Observing);
+        second.maintainLease();
+        time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1));
+        assertTrue(second.maintainLease() instanceof LeaseStep.Observing);
         time.advance(Duration.ofMillis(1));
 
-        assertEquals(second.tend(), new HolderStep.Acquired(2));
+        assertEquals(second.maintainLease(), new LeaseStep.Acquired(2));
 
         assertEquals(stored().version(), new PlanVersion(2, 1));
         assertEquals(stored().engines(), FIRST_PLAN);
@@ -89,9 +89,9 @@
     // would revert the role changes of its successor.
     @Test
     public void should_not_publish_after_a_pause_past_the_lease() throws StoreException {
-        first.tend();
+        first.maintainLease();
         long writes = store.writes();
-        time.advance(LeaseTerms.DEFAULT.usable());
+        time.advance(LeaseTimings.DEFAULT.usableDuration());
 
         assertEquals(first.publish(FIRST_PLAN), new PublishResult.NotHolder());
         assertFalse(first.mayDecide());
@@ -102,10 +102,10 @@
     // were accepted afterwards, it would silently replace the plan of the successor.
     @Test
     public void should_refuse_a_plan_that_was_on_its_way_when_a_successor_took_over() throws StoreException {
-        first.tend();
-        second.tend();
+        first.maintainLease();
+        second.maintainLease();
         faultsOfFirst.beforeNextEffect(() -> {
-            time.advance(LeaseTerms.DEFAULT.length());
+            time.advance(LeaseTimings.DEFAULT.duration());
             tendQuietly(second);
             publishQuietly(second, SECOND_PLAN);
         });
@@ -120,15 +120,15 @@
     // holder, and a successor has to wait a complete lease again because the version changed.
     @Test
     public void should_count_a_plan_that_lands_after_the_lapse_and_before_any_takeover() throws StoreException {
-        first.tend();
-        second.tend();
+        first.maintainLease();
+        second.maintainLease();
         faultsOfFirst.beforeNextEffect(
-                () -> time.advance(LeaseTerms.DEFAULT.length().minusMillis(1)));
+                () -> time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1)));
 
         first.publish(FIRST_PLAN);
         time.advance(Duration.ofMillis(1));
 
-        assertTrue(second.tend() instanceof HolderStep.Observing);
+        assertTrue(second.maintainLease() instanceof LeaseStep.Observing);
         assertEquals(stored().version(), new PlanVersion(1, 1));
         assertFalse(first.mayDecide());
     }
@@ -137,17 +137,17 @@
     // meanwhile. The former holder must not continue to decide.
     @Test
     public void should_stop_deciding_when_paused_after_the_write() throws StoreException {
-        first.tend();
+        first.maintainLease();
         faultsOfFirst.afterNextEffect(() -> {
             tendQuietly(second);
-            time.advance(LeaseTerms.DEFAULT.length());
+            time.advance(LeaseTimings.DEFAULT.duration());
             tendQuietly(second);
         });
 
         first.publish(FIRST_PLAN);
 
         assertFalse(first.mayDecide());
-        assertEquals(first.tend(), new HolderStep.Lost(1));
+        assertEquals(first.maintainLease(), new LeaseStep.Lost(1));
         assertEquals(stored().version(), new PlanVersion(2, 1));
     }
 
@@ -155,7 +155,7 @@
     // caused by its own plan and give up a lease that it holds; the service would have no planner for one lease.
     @Test
     public void should_settle_a_lost_answer_by_reading() throws StoreException {
-        first.tend();
+        first.maintainLease();
         faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
 
         assertTrue(first.publish(FIRST_PLAN) instanceof PublishResult.Published);
@@ -171,10 +171,10 @@
         faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
         faultsOfFirst.nextRead(StoreFault.NONE);
         faultsOfFirst.nextRead(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::tend);
+        expectThrows(StoreUnavailableException.class, first::maintainLease);
         assertFalse(first.mayDecide());
 
-        assertEquals(first.tend(), new HolderStep.Renewed(1));
+        assertEquals(first.maintainLease(), new LeaseStep.Renewed(1));
         assertTrue(first.mayDecide());
     }
 
@@ -182,13 +182,13 @@
     // published another plan, which it must not replace.
     @Test
     public void should_never_let_a_held_up_plan_replace_a_later_one() throws StoreException {
-        first.tend();
+        first.maintainLease();
         faultsOfFirst.nextWrite(StoreFault.LANDS_LATE);
         expectThrows(StoreOutcomeUnknownException.class, () -> first.publish(FIRST_PLAN));
-        first.tend();
+        first.maintainLease();
         first.publish(SECOND_PLAN);
 
-        assertTrue(store.deliverLate());
+        assertTrue(store.deliverDelayed());
 
         assertEquals(stored().engines(), SECOND_PLAN);
     }
@@ -197,24 +197,24 @@
     // holder publishes nothing, and it continues under the same term when the store is available again.
     @Test
     public void should_go_on_under_the_same_term_after_an_outage() throws StoreException {
-        first.tend();
+        first.maintainLease();
         first.publish(FIRST_PLAN);
         time.advance(Duration.ofMinutes(30));
         faultsOfFirst.nextWrite(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::tend);
+        expectThrows(StoreUnavailableException.class, first::maintainLease);
         assertFalse(first.mayDecide());
 
-        assertEquals(first.tend(), new HolderStep.Renewed(1));
+        assertEquals(first.maintainLease(), new LeaseStep.Renewed(1));
         assertTrue(first.mayDecide());
     }
 
     @Test
     public void should_let_a_successor_in_at_once_after_a_planned_stop() throws StoreException {
-        first.tend();
+        first.maintainLease();
         first.resign();
 
         assertFalse(first.mayDecide());
-        assertEquals(second.tend(), new HolderStep.Acquired(2));
+        assertEquals(second.maintainLease(), new LeaseStep.Acquired(2));
     }
 
     // The object was edited by hand and is invalid. The error names the object and the field.
@@ -222,13 +222,13 @@
     public void should_name_the_place_in_a_malformed_record() throws StoreException {
         store.client(new ScriptedStoreFaults()).create(KEY, "{\"owner\": \"entry-9\", \"engines\": {}, \"nonce\": 4}");
 
-        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, first::tend);
+        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, first::maintainLease);
 
         assertEquals(malformed.place(), "roleplans/seitkali/drafting.almaty-1#nonce");
     }
 
     private PlanHolder holder(String owner, ScriptedStoreFaults faults, long seed) {
-        return new PlanHolder(store.client(faults), KEY, owner, LeaseTerms.DEFAULT, time, new Random(seed));
+        return new PlanHolder(store.client(faults), KEY, owner, LeaseTimings.DEFAULT, time, new Random(seed));
     }
 
     private PlanRecord stored() throws StoreException {
@@ -238,7 +238,7 @@
 
     private static void tendQuietly(PlanHolder holder) {
         try {
-            holder.tend();
+            holder.maintainLease();
         } catch (StoreException unexpected) {
             throw new AssertionError(unexpected);
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
@@ -91,7 +91,7 @@
     @Test
     public void should_grant_once_when_a_held_up_claim_lands_during_the_next_try() {
         faults.nextWrite(StoreFault.LANDS_LATE);
-        faults.beforeNextEffect(() -> faults.beforeNextEffect(store::deliverLate));
+        faults.beforeNextEffect(() -> faults.beforeNextEffect(store::deliverDelayed));
 
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
@@ -10,8 +10,8 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.RequestId;
-import org.aspenmoor.internal.authority.PauseWatch;
-import org.aspenmoor.internal.authority.SlotTerms;
+import org.aspenmoor.internal.authority.PauseDetector;
+import org.aspenmoor.internal.authority.SlotTimings;
 import org.aspenmoor.internal.duty.Duty;
 import org.aspenmoor.internal.duty.Ticker;
 import org.aspenmoor.internal.engine.EngineControl;
@@ -64,7 +64,8 @@
                 .build();
         DeferredCaller caller = new DeferredCaller();
         LoadReports reports = new LoadReports(settings.backend().name(), time);
-        this.drain = new EventLoopDrain(this::tellEventLoop, new PauseWatch(time, SlotTerms.DEFAULT.noticedPause()));
+        this.drain =
+                new EventLoopDrain(this::tellEventLoop, new PauseDetector(time, SlotTimings.DEFAULT.pauseThreshold()));
         boolean takesOrders = settings.backend().type() == BackendType.ENGINE;
         AgentEventLoop handler = new AgentEventLoop(
                 settings, caller, reports, drain::runningChanged, takesOrders ? drain : PauseGuard.NONE, metrics);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
-import org.aspenmoor.internal.authority.PauseWatch;
+import org.aspenmoor.internal.authority.PauseDetector;
 import org.aspenmoor.internal.authority.StreamDrain;
 
 /**
@@ -24,10 +24,10 @@
     private final AtomicBoolean acknowledged = new AtomicBoolean();
     private final AtomicLong pauses = new AtomicLong();
     private final Consumer<AgentMessage> eventLoop;
-    private final PauseWatch watch;
+    private final PauseDetector watch;
     private long pausesKnownToOrders;
 
-    EventLoopDrain(Consumer<AgentMessage> eventLoop, PauseWatch watch) {
+    EventLoopDrain(Consumer<AgentMessage> eventLoop, PauseDetector watch) {
         this.eventLoop = eventLoop;
         this.watch = watch;
     }
@@ -62,7 +62,7 @@
 
     @Override
     public boolean stoodStill() {
-        if (!watch.tick()) {
+        if (!watch.pausedSinceLastTick()) {
             return false;
         }
         pauses.incrementAndGet();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.internal.authority.ExecutorStep;
 import org.aspenmoor.internal.authority.OrderExecutor;
 import org.aspenmoor.internal.authority.SlotIdentity;
-import org.aspenmoor.internal.authority.SlotTerms;
+import org.aspenmoor.internal.authority.SlotTimings;
 import org.aspenmoor.internal.document.BackendDeclaration;
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.document.StoredDocuments;
@@ -93,7 +93,7 @@
     private Optional<OrderExecutor> tryBegin() {
         try {
             SlotIdentity slot = slot(engineChecksNumbers());
-            return Optional.of(new OrderExecutor(slot, store, control, drain, SlotTerms.DEFAULT, time, random));
+            return Optional.of(new OrderExecutor(slot, store, control, drain, SlotTimings.DEFAULT, time, random));
         } catch (StoreException unavailable) {
             remember("waits for the store: " + unavailable.problem());
             return Optional.empty();
@@ -102,7 +102,7 @@
 
     private void advance(OrderExecutor executor) {
         if (drain.learnsOfPause()) {
-            executor.wokeFromPause();
+            executor.onPauseDetected();
         }
         readPlanIfDue(executor);
         ExecutorStep step = executor.step();
@@ -180,12 +180,12 @@
                 "ordered " + ordered.order().order() + " as " + ordered.order().orderId() + " under fencing number "
                         + ordered.order().fencingNumber();
             case ExecutorStep.Running running -> "order " + running.orderId() + " runs";
-            case ExecutorStep.Settling settling -> "settles order " + settling.orderId();
-            case ExecutorStep.Settled settled -> "order " + settled.orderId() + " ended, " + settled.state();
-            case ExecutorStep.PlanBehind behind -> "waits for a plan newer than the record";
-            case ExecutorStep.StoreTrouble trouble ->
+            case ExecutorStep.InTransit settling -> "settles order " + settling.orderId();
+            case ExecutorStep.Resolved settled -> "order " + settled.orderId() + " ended, " + settled.state();
+            case ExecutorStep.PlanOutdated behind -> "waits for a plan newer than the record";
+            case ExecutorStep.StoreFailed trouble ->
                 "waits for the store: " + trouble.cause().problem();
-            case ExecutorStep.EngineSilent silent ->
+            case ExecutorStep.EngineUnreachable silent ->
                 "waits for the engine: " + silent.cause().problem();
         };
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerDuty.java
@@ -13,8 +13,8 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.administration.DutyStatus;
 import org.aspenmoor.internal.authority.EngineAssignment;
-import org.aspenmoor.internal.authority.HolderStep;
-import org.aspenmoor.internal.authority.LeaseTerms;
+import org.aspenmoor.internal.authority.LeaseStep;
+import org.aspenmoor.internal.authority.LeaseTimings;
 import org.aspenmoor.internal.authority.PlanHolder;
 import org.aspenmoor.internal.authority.PlanRecord;
 import org.aspenmoor.internal.authority.PublishResult;
@@ -139,7 +139,7 @@
         if (holder.current().isEmpty() && !isTimeToLook(name)) {
             return;
         }
-        HolderStep step = holder.tend();
+        LeaseStep step = holder.maintainLease();
         note(name, step);
         if (holder.mayDecide()) {
             publishIfChanged(document, holder, seen);
@@ -179,17 +179,17 @@
         return true;
     }
 
-    private void note(ServiceName name, HolderStep step) {
+    private void note(ServiceName name, LeaseStep step) {
         switch (step) {
-            case HolderStep.Held held -> noteHolder(name, owner, held.term(), "held here");
-            case HolderStep.Renewed renewed -> noteHolder(name, owner, renewed.term(), "held here");
-            case HolderStep.Acquired acquired -> {
+            case LeaseStep.Held held -> noteHolder(name, owner, held.term(), "held here");
+            case LeaseStep.Renewed renewed -> noteHolder(name, owner, renewed.term(), "held here");
+            case LeaseStep.Acquired acquired -> {
                 LOG.infof("planner: took the plan of %s in %s, term %d", name, dataCentre, acquired.term());
                 noteHolder(name, owner, acquired.term(), "held here");
             }
-            case HolderStep.Observing observing ->
+            case LeaseStep.Observing observing ->
                 noteHolder(name, observing.owner(), 0, "seen from here, lapses unless renewed");
-            case HolderStep.Lost lost -> LOG.infof("planner: lost the plan of %s, term %d", name, lost.formerTerm());
+            case LeaseStep.Lost lost -> LOG.infof("planner: lost the plan of %s, term %d", name, lost.formerTerm());
         }
     }
 
@@ -208,7 +208,7 @@
 
     private PlanHolder newHolder(ServiceName name) {
         ObjectKey key = new ObjectKey(ObjectKind.ROLE_PLAN, name.team(), name.service() + "." + dataCentre);
-        return new PlanHolder(store, key, owner, LeaseTerms.DEFAULT, time, random);
+        return new PlanHolder(store, key, owner, LeaseTimings.DEFAULT, time, random);
     }
 
     private boolean hasEnginesHere(ServiceDocument document) {
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.aspenmoor.internal.authority.PauseWatch;
+import org.aspenmoor.internal.authority.PauseDetector;
 import org.aspenmoor.internal.link.EmbeddedLink;
 import org.aspenmoor.internal.settings.AgentSettings;
 import org.aspenmoor.internal.settings.BackendSettings;
@@ -48,7 +48,7 @@
         cancelled.set(0);
         running.set(0);
         fromOrders.clear();
-        drain = new EventLoopDrain(fromOrders::add, new PauseWatch(time, Duration.ofSeconds(5)));
+        drain = new EventLoopDrain(fromOrders::add, new PauseDetector(time, Duration.ofSeconds(5)));
         eventLoop = new AgentEventLoop(
                 settings(),
                 this::startCall,
