--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/EngineFixture.java
@@ -20,29 +20,29 @@
 import org.aspenmoor.internal.time.ManualTimeSource;
 
 /** A test fixture with one engine, its first agent, and a planner. */
-final class OneEngine {
+final class EngineFixture {
     private static final ObjectKey PLAN = new ObjectKey(ObjectKind.ROLE_PLAN, "seitkali", "drafting.almaty-1");
     private static final ObjectKey RECORD =
             new ObjectKey(ObjectKind.ENGINE_RECORD, ObjectKey.PLATFORM_NAMESPACE, "engine-1");
 
     private final ManualTimeSource time = new ManualTimeSource();
     private final FakeStore store = new FakeStore();
-    private final ScriptedStoreFaults faults = new ScriptedStoreFaults();
+    private final ScriptedStoreFaults storeFaults = new ScriptedStoreFaults();
     private final ScriptedEngineFaults engineFaults = new ScriptedEngineFaults();
     private final FakeEngine engine;
-    private final CountingDrain drain;
+    private final EngineDrain drain;
     private final OrderExecutor agent;
 
     private final PlanHolder planner;
-    private int agents;
+    private int agentCount;
 
-    OneEngine(FakeEngine engine) throws StoreException {
+    EngineFixture(FakeEngine engine) throws StoreException {
         this.engine = engine;
-        this.drain = new CountingDrain(engine);
+        this.drain = new EngineDrain(engine);
         this.planner = new PlanHolder(
                 store.client(StoreCallFaults.NONE), PLAN, "entry-1", LeaseTimings.DEFAULT, time, new Random(7));
         planner.maintainLease();
-        this.agent = agent("agent-1", faults, engineFaults);
+        this.agent = agent("agent-1", storeFaults, engineFaults);
         agent.step();
     }
 
@@ -54,8 +54,8 @@
         return store;
     }
 
-    ScriptedStoreFaults faults() {
-        return faults;
+    ScriptedStoreFaults storeFaults() {
+        return storeFaults;
     }
 
     ScriptedEngineFaults engineFaults() {
@@ -66,7 +66,7 @@
         return engine;
     }
 
-    CountingDrain drain() {
+    EngineDrain drain() {
         return drain;
     }
 
@@ -76,11 +76,11 @@
 
     /** Publishes a plan and offers it to the first agent. */
     void publish(EngineRole role) throws StoreException {
-        publishUnseen(role);
+        publishWithoutOffer(role);
         agent.offer(planObject());
     }
 
-    void publishUnseen(EngineRole role) throws StoreException {
+    void publishWithoutOffer(EngineRole role) throws StoreException {
         publish(EngineAssignment.ofRole(role));
     }
 
@@ -102,8 +102,8 @@
         return newAgent(owner, StoreCallFaults.NONE);
     }
 
-    OrderExecutor newAgent(String owner, StoreCallFaults ofAgent) throws StoreException {
-        OrderExecutor executor = agent(owner, ofAgent, EngineCallFaults.NONE);
+    OrderExecutor newAgent(String owner, StoreCallFaults storeFaults) throws StoreException {
+        OrderExecutor executor = agent(owner, storeFaults, EngineCallFaults.NONE);
         executor.step();
         time.advance(SlotTimings.DEFAULT.takeoverDelay());
         if (store.peek(PLAN).isPresent()) {
@@ -143,7 +143,7 @@
     }
 
     private OrderExecutor agent(String owner, StoreCallFaults storeFaults, EngineCallFaults callFaults) {
-        agents++;
+        agentCount++;
         SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksFencingNumbers());
         return new OrderExecutor(
                 slot,
@@ -152,15 +152,15 @@
                 drain,
                 SlotTimings.DEFAULT,
                 time,
-                new Random(agents));
+                new Random(agentCount));
     }
 
     /** A drain that reports the running streams of the engine. */
-    static final class CountingDrain implements StreamDrain {
+    static final class EngineDrain implements StreamDrain {
         private final FakeEngine engine;
         private boolean draining;
 
-        CountingDrain(FakeEngine engine) {
+        EngineDrain(FakeEngine engine) {
             this.engine = engine;
         }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void should_take_a_lease_that_nobody_holds_and_publish() throws StoreException {
+    public void should_acquire_lease_and_publish_when_no_lease_exists() throws StoreException {
         assertEquals(first.maintainLease(), new LeaseStep.Acquired(1));
 
         first.publish(FIRST_PLAN);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void should_keep_others_away_while_the_holder_renews() throws StoreException {
+    public void should_not_acquire_lease_when_holder_renews_it() throws StoreException {
         first.maintainLease();
         for (int second = 0; second < 60; second++) {
             time.advance(Duration.ofSeconds(1));
@@ -71,7 +71,7 @@
     // over
     // under the next term, without any operator action.
     @Test
-    public void should_take_over_with_the_next_term_after_a_whole_lease_without_change() throws StoreException {
+    public void should_take_over_with_next_term_when_lease_passed_without_change() throws StoreException {
         first.maintainLease();
         first.publish(FIRST_PLAN);
         second.maintainLease();
@@ -88,7 +88,7 @@
     // The host of the holder is paused beyond its lease. When it resumes it must not publish its pending plan, which
     // would revert the role changes of its successor.
     @Test
-    public void should_not_publish_after_a_pause_past_the_lease() throws StoreException {
+    public void should_not_publish_when_paused_beyond_lease() throws StoreException {
         first.maintainLease();
         long writes = store.writes();
         time.advance(LeaseTimings.DEFAULT.usableDuration());
@@ -101,13 +101,13 @@
     // The pause falls between the check of the lease and the write, and a successor takes over meanwhile. If the write
     // were accepted afterwards, it would silently replace the plan of the successor.
     @Test
-    public void should_refuse_a_plan_that_was_on_its_way_when_a_successor_took_over() throws StoreException {
+    public void should_reject_plan_when_successor_took_over_during_its_transit() throws StoreException {
         first.maintainLease();
         second.maintainLease();
         faultsOfFirst.beforeNextEffect(() -> {
             time.advance(LeaseTimings.DEFAULT.duration());
-            tendQuietly(second);
-            publishQuietly(second, SECOND_PLAN);
+            maintainLeaseUnchecked(second);
+            publishUnchecked(second, SECOND_PLAN);
         });
 
         assertEquals(first.publish(FIRST_PLAN), new PublishResult.Superseded());
@@ -119,7 +119,7 @@
     // The same pause, but no successor has taken over when the write arrives. The plan is valid under the term of the
     // holder, and a successor has to wait a complete lease again because the version changed.
     @Test
-    public void should_count_a_plan_that_lands_after_the_lapse_and_before_any_takeover() throws StoreException {
+    public void should_accept_plan_when_it_arrives_after_expiry_and_before_takeover() throws StoreException {
         first.maintainLease();
         second.maintainLease();
         faultsOfFirst.beforeNextEffect(
@@ -136,12 +136,12 @@
     // The holder is paused after its plan took effect and before it receives the response, and a successor takes over
     // meanwhile. The former holder must not continue to decide.
     @Test
-    public void should_stop_deciding_when_paused_after_the_write() throws StoreException {
+    public void should_stop_deciding_when_paused_after_write() throws StoreException {
         first.maintainLease();
         faultsOfFirst.afterNextEffect(() -> {
-            tendQuietly(second);
+            maintainLeaseUnchecked(second);
             time.advance(LeaseTimings.DEFAULT.duration());
-            tendQuietly(second);
+            maintainLeaseUnchecked(second);
         });
 
         first.publish(FIRST_PLAN);
@@ -154,9 +154,9 @@
     // A plan is written and the response is lost. If this were treated as a failure, the holder would get a conflict
     // caused by its own plan and give up a lease that it holds; the service would have no planner for one lease.
     @Test
-    public void should_settle_a_lost_answer_by_reading() throws StoreException {
+    public void should_read_object_when_response_to_publish_is_lost() throws StoreException {
         first.maintainLease();
-        faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
+        faultsOfFirst.addWriteFault(StoreFault.ANSWER_LOST);
 
         assertTrue(first.publish(FIRST_PLAN) instanceof PublishResult.Published);
         assertTrue(first.mayDecide());
@@ -167,10 +167,10 @@
     // The response to a takeover is lost, and the read that would resolve it fails. The entry owns the lease without
     // knowing since when, so it may decide only after a renewal.
     @Test
-    public void should_renew_before_deciding_when_it_finds_its_own_record() throws StoreException {
-        faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
-        faultsOfFirst.nextRead(StoreFault.NONE);
-        faultsOfFirst.nextRead(StoreFault.UNAVAILABLE);
+    public void should_renew_before_deciding_when_own_record_is_found() throws StoreException {
+        faultsOfFirst.addWriteFault(StoreFault.ANSWER_LOST);
+        faultsOfFirst.addReadFault(StoreFault.NONE);
+        faultsOfFirst.addReadFault(StoreFault.UNAVAILABLE);
         expectThrows(StoreUnavailableException.class, first::maintainLease);
         assertFalse(first.mayDecide());
 
@@ -181,9 +181,9 @@
     // The write of a plan is delayed in the network and its sender gives up on it. It arrives after the sender has
     // published another plan, which it must not replace.
     @Test
-    public void should_never_let_a_held_up_plan_replace_a_later_one() throws StoreException {
+    public void should_not_replace_later_plan_when_delayed_write_arrives() throws StoreException {
         first.maintainLease();
-        faultsOfFirst.nextWrite(StoreFault.LANDS_LATE);
+        faultsOfFirst.addWriteFault(StoreFault.LANDS_LATE);
         expectThrows(StoreOutcomeUnknownException.class, () -> first.publish(FIRST_PLAN));
         first.maintainLease();
         first.publish(SECOND_PLAN);
@@ -196,11 +196,11 @@
     // The store is unavailable for longer than the lease. No other entry can take over; the plan stays in force, the
     // holder publishes nothing, and it continues under the same term when the store is available again.
     @Test
-    public void should_go_on_under_the_same_term_after_an_outage() throws StoreException {
+    public void should_continue_under_same_term_when_store_is_available_again() throws StoreException {
         first.maintainLease();
         first.publish(FIRST_PLAN);
         time.advance(Duration.ofMinutes(30));
-        faultsOfFirst.nextWrite(StoreFault.UNAVAILABLE);
+        faultsOfFirst.addWriteFault(StoreFault.UNAVAILABLE);
         expectThrows(StoreUnavailableException.class, first::maintainLease);
         assertFalse(first.mayDecide());
 
@@ -209,7 +209,7 @@
     }
 
     @Test
-    public void should_let_a_successor_in_at_once_after_a_planned_stop() throws StoreException {
+    public void should_take_over_immediately_when_holder_resigned() throws StoreException {
         first.maintainLease();
         first.resign();
 
@@ -219,7 +219,7 @@
 
     // The object was edited by hand and is invalid. The error names the object and the field.
     @Test
-    public void should_name_the_place_in_a_malformed_record() throws StoreException {
+    public void should_name_object_and_field_when_record_is_malformed() throws StoreException {
         store.client(new ScriptedStoreFaults()).create(KEY, "{\"owner\": \"entry-9\", \"engines\": {}, \"nonce\": 4}");
 
         StoreMalformedException malformed = expectThrows(StoreMalformedException.class, first::maintainLease);
@@ -236,7 +236,7 @@
         return PlanCodec.read(object);
     }
 
-    private static void tendQuietly(PlanHolder holder) {
+    private static void maintainLeaseUnchecked(PlanHolder holder) {
         try {
             holder.maintainLease();
         } catch (StoreException unexpected) {
@@ -244,7 +244,7 @@
         }
     }
 
-    private static void publishQuietly(PlanHolder holder, Map<String, EngineAssignment> plan) {
+    private static void publishUnchecked(PlanHolder holder, Map<String, EngineAssignment> plan) {
         try {
             holder.publish(plan);
         } catch (StoreException unexpected) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
@@ -22,7 +22,7 @@
     // that
     // executed all of them would change its engine back and forth.
     @Test
-    public void should_only_move_forward() throws StoreMalformedException {
+    public void should_ignore_plan_when_version_is_not_higher() throws StoreMalformedException {
         PlanReader reader = new PlanReader();
         reader.offer(stored(plan("a", 3, 9)));
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    public void should_read_back_what_was_written() throws StoreMalformedException {
+    public void should_return_equal_plan_when_encoded_and_decoded() throws StoreMalformedException {
         PlanRecord plan = plan("n", 5, 6);
 
         assertEquals(PlanCodec.read(stored(plan)), plan);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
@@ -79,7 +79,7 @@
     // although it never ran; taken for a failure, it would be claimed twice.
     @Test
     public void should_recognise_its_own_claim_after_a_lost_answer() {
-        faults.nextWrite(StoreFault.ANSWER_LOST);
+        faults.addWriteFault(StoreFault.ANSWER_LOST);
 
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
         assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
@@ -90,7 +90,7 @@
     // once.
     @Test
     public void should_grant_once_when_a_held_up_claim_lands_during_the_next_try() {
-        faults.nextWrite(StoreFault.LANDS_LATE);
+        faults.addWriteFault(StoreFault.LANDS_LATE);
         faults.beforeNextEffect(() -> faults.beforeNextEffect(store::deliverDelayed));
 
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
@@ -100,7 +100,7 @@
     // The store is out. A booking cannot be claimed, so it is refused at once and has certainly not run.
     @Test
     public void should_refuse_as_not_run_while_the_store_is_out() {
-        faults.nextRead(StoreFault.UNAVAILABLE);
+        faults.addReadFault(StoreFault.UNAVAILABLE);
 
         ClaimVerdict verdict = claim(committer, "booth-4", "body");
 
@@ -115,8 +115,8 @@
     @Test
     public void should_free_a_key_that_it_gave_up() {
         claim(committer, "first", "body");
-        faults.nextWrite(StoreFault.ANSWER_LOST);
-        faults.nextRead(StoreFault.UNAVAILABLE);
+        faults.addWriteFault(StoreFault.ANSWER_LOST);
+        faults.addReadFault(StoreFault.UNAVAILABLE);
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.NotClaimed);
 
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
@@ -160,7 +160,7 @@
     @Test
     public void should_record_an_outcome_after_an_outage() {
         ClaimVerdict.Granted granted = (ClaimVerdict.Granted) claim(committer, "booth-4", "body");
-        faults.nextWrite(StoreFault.UNAVAILABLE);
+        faults.addWriteFault(StoreFault.UNAVAILABLE);
         record(committer, granted.ticket());
         assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
@@ -6,15 +6,15 @@
 
 /** Injects engine faults in the order given by a test. */
 public final class ScriptedEngineFaults implements EngineCallFaults {
-    private final Deque<EngineFault> onOrders = new ArrayDeque<>();
+    private final Deque<EngineFault> orderFaults = new ArrayDeque<>();
 
     /** Adds a fault for the next order that has none yet. */
-    public void nextOrder(EngineFault fault) {
-        onOrders.add(fault);
+    public void addOrderFault(EngineFault fault) {
+        orderFaults.add(fault);
     }
 
     @Override
     public EngineFault onOrder(FencedOrder order) {
-        return onOrders.isEmpty() ? EngineFault.NONE : onOrders.remove();
+        return orderFaults.isEmpty() ? EngineFault.NONE : orderFaults.remove();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
@@ -6,19 +6,19 @@
 
 /** Injects store faults in the order given by a test. */
 public final class ScriptedStoreFaults implements StoreCallFaults {
-    private final Deque<StoreFault> onReads = new ArrayDeque<>();
-    private final Deque<StoreFault> onWrites = new ArrayDeque<>();
+    private final Deque<StoreFault> readFaults = new ArrayDeque<>();
+    private final Deque<StoreFault> writeFaults = new ArrayDeque<>();
     private Runnable beforeEffect = () -> {};
     private Runnable afterEffect = () -> {};
 
     /** Adds a fault for the next read that has none yet. */
-    public void nextRead(StoreFault fault) {
-        onReads.add(fault);
+    public void addReadFault(StoreFault fault) {
+        readFaults.add(fault);
     }
 
     /** Adds a fault for the next write that has none yet. */
-    public void nextWrite(StoreFault fault) {
-        onWrites.add(fault);
+    public void addWriteFault(StoreFault fault) {
+        writeFaults.add(fault);
     }
 
     /** Runs an action once while the next write is in transit. */
@@ -33,12 +33,12 @@
 
     @Override
     public StoreFault onRead(ObjectKey key) {
-        return onReads.isEmpty() ? StoreFault.NONE : onReads.remove();
+        return readFaults.isEmpty() ? StoreFault.NONE : readFaults.remove();
     }
 
     @Override
     public StoreFault onWrite(ObjectKey key) {
-        return onWrites.isEmpty() ? StoreFault.NONE : onWrites.remove();
+        return writeFaults.isEmpty() ? StoreFault.NONE : writeFaults.remove();
     }
 
     @Override
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/FakeStore.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/FaultyObjectStore.java
@@ -21,11 +21,11 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /** An in-memory store whose next writes and reads can be made to fail. */
-final class FakeStore implements ObjectStore {
+final class FaultyObjectStore implements ObjectStore {
     private final Map<ObjectKey, StoredObject> objects = new LinkedHashMap<>();
     private final Deque<WriteFault> writeFaults = new ArrayDeque<>();
     private final BlockingQueue<StoreWatchListener> watches = new LinkedBlockingQueue<>();
-    private int readsToFail;
+    private int remainingReadFailures;
     private int version;
     private int writesSent;
 
@@ -37,13 +37,13 @@
         NEVER_ARRIVED
     }
 
-    synchronized FakeStore nextWrites(WriteFault... faults) {
+    synchronized FaultyObjectStore addWriteFaults(WriteFault... faults) {
         writeFaults.addAll(List.of(faults));
         return this;
     }
 
-    synchronized void failReads(int count) {
-        readsToFail = count;
+    synchronized void failNextReads(int count) {
+        remainingReadFailures = count;
     }
 
     synchronized StoredObject put(ObjectKey key, String value) {
@@ -68,13 +68,13 @@
 
     @Override
     public synchronized Optional<StoredObject> read(ObjectKey key) throws StoreException {
-        failIfAsked();
+        failIfScheduled();
         return Optional.ofNullable(objects.get(key));
     }
 
     @Override
     public synchronized StoreListing list(ObjectKind kind) throws StoreException {
-        failIfAsked();
+        failIfScheduled();
         return new StoreListing(List.copyOf(objects.values()), String.valueOf(version));
     }
 
@@ -121,9 +121,9 @@
         return written;
     }
 
-    private void failIfAsked() throws StoreUnavailableException {
-        if (readsToFail > 0) {
-            readsToFail--;
+    private void failIfScheduled() throws StoreUnavailableException {
+        if (remainingReadFailures > 0) {
+            remainingReadFailures--;
             throw new StoreUnavailableException("The store is down.", "fake", "Retry later.");
         }
     }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HostRecordTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HostRecordTest.java
@@ -11,13 +11,13 @@
 
 public class HostRecordTest {
     @Test
-    public void should_read_a_host() throws StoreMalformedException {
+    public void should_read_host_when_it_is_valid() throws StoreMalformedException {
         assertEquals(
                 HostRecord.read(host("leaving")), new HostRecord("host-7", "almaty-1", "127.0.0.1", HostState.LEAVING));
     }
 
     @Test
-    public void should_refuse_a_state_it_does_not_know() {
+    public void should_reject_host_when_state_is_unknown() {
         assertThrows(StoreMalformedException.class, () -> HostRecord.read(host("asleep")));
     }
 
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpObjectStoreTest.java
@@ -27,11 +27,11 @@
     private static final String PLAN_PATH = "/apis/aspenmoor.org/v1/namespaces/seitkali/roleplans/drafting.almaty-1";
 
     private final ManualTimeSource time = new ManualTimeSource();
-    private ScriptedStore server;
+    private ScriptedStoreServer server;
 
     @BeforeMethod
     public void start() throws IOException {
-        server = new ScriptedStore();
+        server = new ScriptedStoreServer();
     }
 
     @AfterMethod
@@ -40,24 +40,24 @@
     }
 
     @Test
-    public void should_read_an_object_with_its_version() throws StoreException {
-        server.thenAnswer(200, TestObjects.planJson("7", "{\"term\":3}"));
+    public void should_return_object_with_version_when_it_exists() throws StoreException {
+        server.thenRespond(200, TestObjects.planJson("7", "{\"term\":3}"));
 
         assertEquals(store().read(TestObjects.PLAN).orElseThrow(), TestObjects.plan("7", "{\"term\":3}"));
         assertEquals(server.calls(), List.of("GET " + PLAN_PATH));
     }
 
     @Test
-    public void should_read_nothing_where_there_is_no_object() throws StoreException {
-        server.thenAnswer(404, "{}");
+    public void should_return_empty_when_object_does_not_exist() throws StoreException {
+        server.thenRespond(404, "{}");
 
         assertTrue(store().read(TestObjects.PLAN).isEmpty());
     }
 
     @Test
-    public void should_list_with_the_version_a_watch_starts_from() throws StoreException {
+    public void should_return_list_version_when_objects_are_listed() throws StoreException {
         String items = TestObjects.planJson("7", "{}") + "," + TestObjects.json("other", "9", "{}");
-        server.thenAnswer(200, "{\"metadata\":{\"resourceVersion\":\"12\"},\"items\":[" + items + "]}");
+        server.thenRespond(200, "{\"metadata\":{\"resourceVersion\":\"12\"},\"items\":[" + items + "]}");
 
         StoreListing listing = store().list(ObjectKind.ROLE_PLAN);
 
@@ -66,10 +66,10 @@
     }
 
     @Test
-    public void should_create_update_and_delete() throws StoreException {
-        server.thenAnswer(201, TestObjects.planJson("1", "{}"))
-                .thenAnswer(200, TestObjects.planJson("2", "{\"term\":1}"))
-                .thenAnswer(200, "{}");
+    public void should_send_post_put_and_delete_when_object_is_written() throws StoreException {
+        server.thenRespond(201, TestObjects.planJson("1", "{}"))
+                .thenRespond(200, TestObjects.planJson("2", "{\"term\":1}"))
+                .thenRespond(200, "{}");
         HttpObjectStore store = store();
 
         store.delete(store.update(store.create(TestObjects.PLAN, "{}"), "{\"term\":1}"));
@@ -84,8 +84,8 @@
     }
 
     @Test
-    public void should_report_a_conflict_where_the_version_has_moved_on_or_the_object_is_gone() {
-        server.thenAnswer(409, "{}").thenAnswer(404, "{}").thenAnswer(409, "{}");
+    public void should_throw_conflict_when_version_changed_or_object_was_deleted() {
+        server.thenRespond(409, "{}").thenRespond(404, "{}").thenRespond(409, "{}");
         HttpObjectStore store = store();
 
         assertThrows(StoreConflictException.class, () -> store.update(TestObjects.plan("1", "{}"), "{}"));
@@ -95,21 +95,21 @@
     }
 
     @Test
-    public void should_say_that_nothing_was_written_where_no_connection_was_made() throws IOException {
+    public void should_throw_unavailable_when_connection_is_refused() throws IOException {
         // The store process is down and its port is closed. No byte of an idempotency claim was sent, so the caller's
         // request may be reported as not run.
         URI closed;
         try (ServerSocket socket = new ServerSocket(0)) {
             closed = URI.create("http://127.0.0.1:" + socket.getLocalPort());
         }
-        HttpObjectStore store = store(closed, TestObjects.patient());
+        HttpObjectStore store = store(closed, TestObjects.longTimeouts());
 
         assertThrows(StoreUnavailableException.class, () -> store.create(TestObjects.PLAN, "{}"));
     }
 
     @Test
-    public void should_say_that_nothing_was_written_where_the_store_says_so() {
-        server.thenAnswer(429, "{}").thenAnswer(503, NOTHING_DONE);
+    public void should_throw_unavailable_when_store_confirms_that_nothing_was_done() {
+        server.thenRespond(429, "{}").thenRespond(503, NOTHING_DONE);
         HttpObjectStore store = store();
 
         assertThrows(StoreUnavailableException.class, () -> store.create(TestObjects.PLAN, "{}"));
@@ -118,10 +118,10 @@
     }
 
     @Test
-    public void should_leave_the_outcome_open_where_a_balancer_answers_for_the_store() {
+    public void should_throw_outcome_unknown_when_load_balancer_responds() {
         // A load balancer times out and responds with 503 or 504 itself, while the store still executes the write. If
         // this were treated as "nothing was written", a request could be refused as not run although its claim exists.
-        server.thenAnswer(503, "upstream timed out").thenAnswer(504, "").thenAnswer(500, NOTHING_DONE);
+        server.thenRespond(503, "upstream timed out").thenRespond(504, "").thenRespond(500, NOTHING_DONE);
         HttpObjectStore store = store();
 
         for (int call = 0; call < 3; call++) {
@@ -131,10 +131,10 @@
     }
 
     @Test
-    public void should_leave_the_outcome_open_and_send_once_where_the_connection_is_lost() {
+    public void should_throw_outcome_unknown_and_send_once_when_connection_is_lost() {
         // The store applies a write and the connection breaks before the response. If the write were sent again without
         // a check, it would fail with a conflict caused by itself.
-        server.then(new ScriptedStore.Step.Drop());
+        server.then(new ScriptedStoreServer.Step.CloseConnection());
         HttpObjectStore store = store();
 
         assertThrows(
@@ -143,42 +143,43 @@
     }
 
     @Test
-    public void should_leave_the_outcome_open_where_no_answer_comes_in_time() {
+    public void should_throw_outcome_unknown_when_call_times_out() {
         // A slow store may still apply the write long after the caller has stopped waiting.
-        server.then(new ScriptedStore.Step.Silence());
-        HttpObjectStore store = store(server.address(), TestObjects.impatientForAnswers());
+        server.then(new ScriptedStoreServer.Step.NoResponse());
+        HttpObjectStore store = store(server.address(), TestObjects.shortCallTimeout());
 
         assertThrows(StoreOutcomeUnknownException.class, () -> store.create(TestObjects.PLAN, "{}"));
         assertEquals(server.calls().size(), 1);
     }
 
     @Test
-    public void should_repeat_a_read_until_it_is_answered() throws StoreException {
-        server.thenAnswer(503, "").thenAnswer(429, "").thenAnswer(200, TestObjects.planJson("7", "{}"));
+    public void should_retry_read_when_store_is_unavailable() throws StoreException {
+        server.thenRespond(503, "").thenRespond(429, "").thenRespond(200, TestObjects.planJson("7", "{}"));
 
         assertTrue(store().read(TestObjects.PLAN).isPresent());
         assertEquals(server.calls().size(), 3);
     }
 
     @Test
-    public void should_give_up_a_read_at_its_deadline() {
+    public void should_stop_retrying_read_when_deadline_is_reached() {
         // The store is down for minutes. A thread that retried its read for ever would never serve from known data.
         for (int answer = 0; answer < 20; answer++) {
-            server.thenAnswer(503, "");
+            server.thenRespond(503, "");
         }
         HttpObjectStore store = store();
         long before = time.monotonicNanos();
 
         assertThrows(StoreUnavailableException.class, () -> store.read(TestObjects.PLAN));
         assertTrue(time.monotonicNanos() - before
-                <= TestObjects.patient().readDeadline().toNanos());
+                <= TestObjects.longTimeouts().readDeadline().toNanos());
         assertTrue(server.calls().size() > 1);
     }
 
     @Test
-    public void should_not_send_what_the_budget_does_not_allow() throws StoreException {
-        server.thenAnswer(200, TestObjects.planJson("7", "{}"));
-        HttpObjectStore store = store(server.address(), TestObjects.patient().withBudget(1, 1));
+    public void should_not_send_call_when_budget_is_used_up() throws StoreException {
+        server.thenRespond(200, TestObjects.planJson("7", "{}"));
+        HttpObjectStore store =
+                store(server.address(), TestObjects.longTimeouts().withBudget(1, 1));
 
         store.read(TestObjects.PLAN);
 
@@ -189,7 +190,7 @@
     }
 
     @Test
-    public void should_refuse_a_value_the_store_cannot_hold_before_sending_it() {
+    public void should_reject_value_without_sending_when_it_is_too_large_or_not_an_object() {
         String large = "{\"text\":\"" + "x".repeat(1024 * 1024) + "\"}";
 
         assertThrows(StoreMalformedException.class, () -> store().create(TestObjects.PLAN, large));
@@ -198,15 +199,15 @@
     }
 
     @Test
-    public void should_report_an_object_that_lacks_its_metadata() {
-        server.thenAnswer(200, "{\"spec\":{}}").thenAnswer(200, "not JSON");
+    public void should_throw_malformed_when_object_has_no_metadata_or_is_not_json() {
+        server.thenRespond(200, "{\"spec\":{}}").thenRespond(200, "not JSON");
 
         assertThrows(StoreMalformedException.class, () -> store().read(TestObjects.PLAN));
         assertThrows(StoreMalformedException.class, () -> store().read(TestObjects.PLAN));
     }
 
     private HttpObjectStore store() {
-        return store(server.address(), TestObjects.patient());
+        return store(server.address(), TestObjects.longTimeouts());
     }
 
     private HttpObjectStore store(URI address, StoreSettings settings) {
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpStoreWatchTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/HttpStoreWatchTest.java
@@ -19,12 +19,12 @@
 
 public class HttpStoreWatchTest {
     private final BlockingQueue<CollectionEvent> events = new LinkedBlockingQueue<>();
-    private ScriptedStore server;
+    private ScriptedStoreServer server;
 
     @BeforeMethod
     public void start() throws IOException {
         events.clear();
-        server = new ScriptedStore();
+        server = new ScriptedStoreServer();
     }
 
     @AfterMethod
@@ -33,14 +33,14 @@
     }
 
     @Test
-    public void should_tell_changes_in_order_and_pass_over_bookmarks() throws Exception {
+    public void should_report_changes_in_order_when_bookmarks_are_interspersed() throws Exception {
         List<String> lines = List.of(
                 TestObjects.event("ADDED", TestObjects.planJson("1", "{}")),
                 "{\"type\":\"BOOKMARK\",\"object\":{\"metadata\":{\"resourceVersion\":\"1\"}}}",
                 TestObjects.event("MODIFIED", TestObjects.planJson("2", "{}")),
                 TestObjects.event("DELETED", TestObjects.planJson("3", "{}")));
-        server.then(new ScriptedStore.Step.Stream(lines, false));
-        HttpObjectStore store = store(TestObjects.patient());
+        server.then(new ScriptedStoreServer.Step.Stream(lines, false));
+        HttpObjectStore store = store(TestObjects.longTimeouts());
 
         store.watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
@@ -51,40 +51,40 @@
     }
 
     @Test
-    public void should_end_where_the_store_ends_the_stream() throws Exception {
-        server.then(new ScriptedStore.Step.Stream(List.of(), true));
+    public void should_end_when_store_ends_stream() throws Exception {
+        server.then(new ScriptedStoreServer.Step.Stream(List.of(), true));
 
-        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
+        store(TestObjects.longTimeouts()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended);
     }
 
     @Test
-    public void should_end_where_nothing_is_heard_for_too_long() throws Exception {
+    public void should_end_when_idle_timeout_expires() throws Exception {
         // After a network partition the connection stays open on this side and delivers nothing. Without a time limit
         // the process would treat its documents as current for ever.
-        server.then(new ScriptedStore.Step.Stream(List.of(), false));
+        server.then(new ScriptedStoreServer.Step.Stream(List.of(), false));
 
-        store(TestObjects.impatientInSilence()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
+        store(TestObjects.shortWatchIdleTimeout()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended ended
                 && ended.cause().problem().contains("received nothing"));
     }
 
     @Test
-    public void should_end_where_the_store_reports_an_error_in_the_stream() throws Exception {
-        server.then(new ScriptedStore.Step.Stream(List.of(TestObjects.event("ERROR", "{\"code\":410}")), false));
+    public void should_end_when_stream_contains_error() throws Exception {
+        server.then(new ScriptedStoreServer.Step.Stream(List.of(TestObjects.event("ERROR", "{\"code\":410}")), false));
 
-        store(TestObjects.patient()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
+        store(TestObjects.longTimeouts()).watch(ObjectKind.ROLE_PLAN, "0", new QueueingWatchListener(events));
 
         assertTrue(next() instanceof CollectionEvent.Ended ended
                 && ended.cause().problem().contains("410"));
     }
 
     @Test
-    public void should_not_begin_where_the_store_has_forgotten_the_version() {
-        server.thenAnswer(410, "{}");
-        HttpObjectStore store = store(TestObjects.patient());
+    public void should_not_open_when_store_no_longer_has_version() {
+        server.thenRespond(410, "{}");
+        HttpObjectStore store = store(TestObjects.longTimeouts());
 
         assertThrows(
                 StoreUnavailableException.class,
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/ScriptedStore.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/ScriptedStoreServer.java
@@ -17,37 +17,37 @@
 import java.util.concurrent.LinkedBlockingQueue;
 
 /** An HTTP server that responds to each call with the next step of a script and records the calls. */
-final class ScriptedStore implements AutoCloseable {
+final class ScriptedStoreServer implements AutoCloseable {
     private final HttpServer server;
     private final ExecutorService threads = Executors.newVirtualThreadPerTaskExecutor();
     private final BlockingQueue<Step> script = new LinkedBlockingQueue<>();
-    private final List<String> calls = new CopyOnWriteArrayList<>();
+    private final List<String> receivedCalls = new CopyOnWriteArrayList<>();
     private final CountDownLatch closing = new CountDownLatch(1);
 
     sealed interface Step {
-        record Answer(int status, String body) implements Step {}
+        record Respond(int status, String body) implements Step {}
 
         record Stream(List<String> lines, boolean ends) implements Step {}
 
-        record Drop() implements Step {}
+        record CloseConnection() implements Step {}
 
-        record Silence() implements Step {}
+        record NoResponse() implements Step {}
     }
 
-    ScriptedStore() throws IOException {
+    ScriptedStoreServer() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.setExecutor(threads);
-        server.createContext("/", this::answer);
+        server.createContext("/", this::handle);
         server.start();
     }
 
-    ScriptedStore then(Step... steps) {
+    ScriptedStoreServer then(Step... steps) {
         script.addAll(List.of(steps));
         return this;
     }
 
-    ScriptedStore thenAnswer(int status, String body) {
-        return then(new Step.Answer(status, body));
+    ScriptedStoreServer thenRespond(int status, String body) {
+        return then(new Step.Respond(status, body));
     }
 
     URI address() {
@@ -55,7 +55,7 @@
     }
 
     List<String> calls() {
-        return calls;
+        return receivedCalls;
     }
 
     @Override
@@ -65,10 +65,10 @@
         threads.shutdownNow();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handle(HttpExchange exchange) throws IOException {
         try (exchange) {
             exchange.getRequestBody().readAllBytes();
-            calls.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
+            receivedCalls.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
             perform(exchange, script.take());
         } catch (InterruptedException stopping) {
             Thread.currentThread().interrupt();
@@ -77,9 +77,9 @@
 
     private void perform(HttpExchange exchange, Step step) throws IOException, InterruptedException {
         switch (step) {
-            case Step.Answer answer -> {
-                byte[] bytes = answer.body().getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(answer.status(), bytes.length == 0 ? -1 : bytes.length);
+            case Step.Respond response -> {
+                byte[] bytes = response.body().getBytes(StandardCharsets.UTF_8);
+                exchange.sendResponseHeaders(response.status(), bytes.length == 0 ? -1 : bytes.length);
                 exchange.getResponseBody().write(bytes);
             }
             case Step.Stream stream -> {
@@ -95,8 +95,8 @@
                     }
                 }
             }
-            case Step.Drop drop -> exchange.close();
-            case Step.Silence silence -> closing.await();
+            case Step.CloseConnection closeConnection -> exchange.close();
+            case Step.NoResponse noResponse -> closing.await();
         }
     }
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
@@ -29,32 +29,39 @@
     }
 
     /** Returns settings with timeouts that expire only if a test hangs. */
-    static StoreSettings patient() {
-        Duration long30 = Duration.ofSeconds(30);
+    static StoreSettings longTimeouts() {
+        Duration longTimeout = Duration.ofSeconds(30);
         return new StoreSettings(
-                long30, long30, Duration.ofSeconds(4), Duration.ofMillis(50), Duration.ofSeconds(1), long30, 100, 100);
+                longTimeout,
+                longTimeout,
+                Duration.ofSeconds(4),
+                Duration.ofMillis(50),
+                Duration.ofSeconds(1),
+                longTimeout,
+                100,
+                100);
     }
 
     /** Returns settings for a store that never responds to a call, with a short call timeout. */
-    static StoreSettings impatientForAnswers() {
-        return impatient(Duration.ofMillis(200), Duration.ofSeconds(30));
+    static StoreSettings shortCallTimeout() {
+        return withTimeouts(Duration.ofMillis(200), Duration.ofSeconds(30));
     }
 
     /** Returns settings for a watch that never receives data, with a short idle timeout. */
-    static StoreSettings impatientInSilence() {
-        return impatient(Duration.ofSeconds(30), Duration.ofMillis(200));
+    static StoreSettings shortWatchIdleTimeout() {
+        return withTimeouts(Duration.ofSeconds(30), Duration.ofMillis(200));
     }
 
-    private static StoreSettings impatient(Duration callTimeout, Duration watchSilence) {
-        StoreSettings patient = patient();
+    private static StoreSettings withTimeouts(Duration callTimeout, Duration watchIdleTimeout) {
+        StoreSettings settings = longTimeouts();
         return new StoreSettings(
-                patient.connectTimeout(),
+                settings.connectTimeout(),
                 callTimeout,
-                patient.readDeadline(),
-                patient.initialBackoff(),
-                patient.maxBackoff(),
-                watchSilence,
-                patient.callsPerSecond(),
-                patient.maxBurstCalls());
+                settings.readDeadline(),
+                settings.initialBackoff(),
+                settings.maxBackoff(),
+                watchIdleTimeout,
+                settings.callsPerSecond(),
+                settings.maxBurstCalls());
     }
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/UnencryptedContextTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/UnencryptedContextTest.java
@@ -10,12 +10,12 @@
     // After a power failure all entries restart while their callers wait. A client that first lists cipher suites and
     // reads certificates would delay the start by half a second.
     @Test
-    public void should_offer_no_cipher_so_that_none_has_to_be_listed() {
+    public void should_list_no_cipher_suites_when_default_parameters_are_requested() {
         assertEquals(new UnencryptedContext().getDefaultSSLParameters().getCipherSuites().length, 0);
     }
 
     @Test
-    public void should_refuse_to_encrypt_instead_of_pretending_to() {
+    public void should_throw_when_encryption_is_requested() {
         SSLContext context = new UnencryptedContext();
 
         assertThrows(UnsupportedOperationException.class, context::createSSLEngine);
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/WatchedCollectionTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/WatchedCollectionTest.java
@@ -21,16 +21,16 @@
 public class WatchedCollectionTest {
     private static final ObjectKey OTHER = new ObjectKey(ObjectKind.ROLE_PLAN, "seitkali", "drafting.almaty-2");
 
-    private FakeStore store;
-    private Heard heard;
+    private FaultyObjectStore store;
+    private RecordingListener listener;
     private WatchedCollection collection;
 
     @BeforeMethod
     public void start() {
-        store = new FakeStore();
-        heard = new Heard();
+        store = new FaultyObjectStore();
+        listener = new RecordingListener();
         StoreSettings defaults = StoreSettings.defaults();
-        StoreSettings quick = new StoreSettings(
+        StoreSettings shortBackoff = new StoreSettings(
                 defaults.connectTimeout(),
                 defaults.callTimeout(),
                 defaults.readDeadline(),
@@ -39,7 +39,7 @@
                 defaults.watchIdleTimeout(),
                 1,
                 1);
-        collection = new WatchedCollection(store, ObjectKind.ROLE_PLAN, heard, new Random(1), quick);
+        collection = new WatchedCollection(store, ObjectKind.ROLE_PLAN, listener, new Random(1), shortBackoff);
     }
 
     @AfterMethod
@@ -48,82 +48,82 @@
     }
 
     @Test
-    public void should_tell_the_list_and_then_the_changes() throws Exception {
+    public void should_report_list_and_then_changes_when_started() throws Exception {
         store.put(TestObjects.PLAN, "{}");
 
         collection.start();
         StoreWatchListener watch = store.nextWatch();
         watch.changed(store.put(OTHER, "{}"));
 
-        assertEquals(heard.next(), "changed drafting.almaty-1 1");
-        assertEquals(heard.next(), "synchronised");
-        assertEquals(heard.next(), "changed drafting.almaty-2 2");
+        assertEquals(listener.next(), "changed drafting.almaty-1 1");
+        assertEquals(listener.next(), "synchronised");
+        assertEquals(listener.next(), "changed drafting.almaty-2 2");
     }
 
     @Test
-    public void should_find_after_a_gap_what_was_changed_and_deleted_meanwhile() throws Exception {
+    public void should_report_missed_changes_and_deletions_when_watch_was_interrupted() throws Exception {
         // The watch breaks, and before the next one starts, one plan is replaced and another deleted. Without comparing
         // the new list with the known objects, the deleted plan would stay in use for ever.
         store.put(TestObjects.PLAN, "{}");
         store.put(OTHER, "{}");
         collection.start();
         StoreWatchListener watch = store.nextWatch();
-        heard.skip(3);
+        listener.skip(3);
 
         store.put(TestObjects.PLAN, "{\"term\":2}");
         store.remove(OTHER);
         watch.ended(new StoreUnavailableException("The connection broke.", "test", "Wait."));
 
-        assertEquals(heard.next(), "interrupted");
-        assertEquals(heard.next(), "deleted drafting.almaty-2 2");
-        assertEquals(heard.next(), "changed drafting.almaty-1 3");
-        assertEquals(heard.next(), "synchronised");
+        assertEquals(listener.next(), "interrupted");
+        assertEquals(listener.next(), "deleted drafting.almaty-2 2");
+        assertEquals(listener.next(), "changed drafting.almaty-1 3");
+        assertEquals(listener.next(), "synchronised");
     }
 
     @Test
-    public void should_not_tell_the_same_version_twice() throws Exception {
+    public void should_not_report_object_again_when_version_is_unchanged() throws Exception {
         StoredObject plan = store.put(TestObjects.PLAN, "{}");
         collection.start();
         StoreWatchListener watch = store.nextWatch();
-        heard.skip(2);
+        listener.skip(2);
 
         watch.changed(plan);
         watch.ended(new StoreUnavailableException("The connection broke.", "test", "Wait."));
 
-        assertEquals(heard.next(), "interrupted");
-        assertEquals(heard.next(), "synchronised");
+        assertEquals(listener.next(), "interrupted");
+        assertEquals(listener.next(), "synchronised");
     }
 
     @Test
-    public void should_go_on_after_an_outage() throws Exception {
+    public void should_synchronise_when_store_becomes_available() throws Exception {
         // The store is unavailable when the process starts and becomes available later.
-        store.failReads(3);
+        store.failNextReads(3);
         store.put(TestObjects.PLAN, "{}");
 
         collection.start();
 
-        assertEquals(heard.next(), "interrupted");
-        assertEquals(heard.next(), "interrupted");
-        assertEquals(heard.next(), "interrupted");
-        assertEquals(heard.next(), "changed drafting.almaty-1 1");
-        assertEquals(heard.next(), "synchronised");
+        assertEquals(listener.next(), "interrupted");
+        assertEquals(listener.next(), "interrupted");
+        assertEquals(listener.next(), "interrupted");
+        assertEquals(listener.next(), "changed drafting.almaty-1 1");
+        assertEquals(listener.next(), "synchronised");
     }
 
     @Test
-    public void should_tell_a_change_again_that_its_listener_failed_to_take_in() throws Exception {
+    public void should_report_change_again_when_listener_failed() throws Exception {
         // The listener fails on a document because of a bug. If this ended the thread, no further change would ever be
         // processed.
         store.put(TestObjects.PLAN, "{}");
-        heard.failOnce();
+        listener.failOnce();
 
         collection.start();
 
-        assertEquals(heard.next(), "failed");
-        assertEquals(heard.next(), "changed drafting.almaty-1 1");
-        assertEquals(heard.next(), "synchronised");
+        assertEquals(listener.next(), "failed");
+        assertEquals(listener.next(), "changed drafting.almaty-1 1");
+        assertEquals(listener.next(), "synchronised");
     }
 
-    private static final class Heard implements CollectionListener {
+    private static final class RecordingListener implements CollectionListener {
         private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
         private volatile boolean failing;
 
