--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/EngineFixture.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/EngineFixture.java
@@ -102,8 +102,8 @@
         return newAgent(owner, StoreCallFaults.NONE);
     }
 
-    OrderExecutor newAgent(String owner, StoreCallFaults storeFaults) throws StoreException {
-        OrderExecutor executor = agent(owner, storeFaults, EngineCallFaults.NONE);
+    OrderExecutor newAgent(String owner, StoreCallFaults agentStoreFaults) throws StoreException {
+        OrderExecutor executor = agent(owner, agentStoreFaults, EngineCallFaults.NONE);
         executor.step();
         time.advance(SlotTimings.DEFAULT.takeoverDelay());
         if (store.peek(PLAN).isPresent()) {
@@ -142,12 +142,12 @@
         planner.publish(Map.of("engine-1", assignment));
     }
 
-    private OrderExecutor agent(String owner, StoreCallFaults storeFaults, EngineCallFaults callFaults) {
+    private OrderExecutor agent(String owner, StoreCallFaults agentStoreFaults, EngineCallFaults callFaults) {
         agentCount++;
         SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksFencingNumbers());
         return new OrderExecutor(
                 slot,
-                store.client(storeFaults),
+                store.client(agentStoreFaults),
                 engine.control(callFaults),
                 drain,
                 SlotTimings.DEFAULT,
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriter.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriter.java
@@ -35,7 +35,7 @@
     /**
      * Creates an object.
      *
-     * @param ours recognises an object that contains this write
+     * @param isOwnWrite recognises an object that contains this write
      * @throws StoreException if nothing was written
      */
     public WriteOutcome create(ObjectKey key, String value, Predicate<StoredObject> isOwnWrite) throws StoreException {
@@ -50,7 +50,7 @@
     /**
      * Replaces an object if it still has the version that was read.
      *
-     * @param ours recognises an object that contains this write
+     * @param isOwnWrite recognises an object that contains this write
      * @throws StoreException if nothing was written
      */
     public WriteOutcome update(StoredObject read, String value, Predicate<StoredObject> isOwnWrite)
