--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkCounters.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/ChunkCounters.java
@@ -29,7 +29,9 @@
         discarded++;
     }
 
-    /** Checks {@code countReceived = delivered + discarded + broken}; returns a description of the difference, if any. */
+    /**
+     * Checks {@code received = delivered + discarded + broken}; returns a description of the difference, if any.
+     */
     public Optional<String> imbalance() {
         if (received == delivered + discarded + broken) {
             return Optional.empty();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestCounters.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/accounting/RequestCounters.java
@@ -6,9 +6,9 @@
 /**
  * Counts the requests of one process and their outcomes.
  *
- * <p>A request that is lost because of a bug is not visible otherwise: the caller waits until its timeout, and all other
- * metrics look healthy. The equation {@code countReceived = answered + not run + unknown + cancelled + in flight} reveals it
- * immediately. The equation and checking it at run time follow EventStream (Sharma, 2026).
+ * <p>A request that is lost because of a bug is not visible otherwise: the caller waits until its timeout, and all
+ * other metrics look healthy. The equation {@code received = answered + not run + unknown + cancelled + in flight}
+ * reveals it immediately. The equation and checking it at run time follow EventStream (Sharma, 2026).
  */
 public final class RequestCounters {
     private long received;
@@ -36,7 +36,10 @@
         cancelled++;
     }
 
-    /** Checks the equation against the actual number of requests in flight; returns a description of the difference, if any. */
+    /**
+     * Checks the equation against the actual number of requests in flight; returns a description of the difference, if
+     * any.
+     */
     public Optional<String> imbalance(long inFlight) {
         long accounted = answered + notRun + unknown + cancelled + inFlight;
         if (received == accounted) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/NonceWriter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/NonceWriter.java
@@ -13,8 +13,8 @@
  * Performs conditional writes with a nonce, by which a write is recognised after its response was lost.
  *
  * <p>A write may take effect although its response is lost. A writer that treated this as a failure would retry, get a
- * conflict caused by its own write, and assume that another writer was first. Therefore each write contains a nonce, and
- * after a lost response the object is read: if it contains the nonce, the write took effect.
+ * conflict caused by its own write, and assume that another writer was first. Therefore each write contains a nonce,
+ * and after a lost response the object is read: if it contains the nonce, the write took effect.
  */
 final class NonceWriter {
     private final ObjectStore store;
@@ -33,8 +33,8 @@
     /**
      * Creates the object, or replaces the version that was read.
      *
-     * @throws StoreOutcomeUnknownException if the object read after a lost response does not contain the nonce; the write
-     *     may still arrive, so the object has to be read again before any further action
+     * @throws StoreOutcomeUnknownException if the object read after a lost response does not contain the nonce; the
+     *     write may still arrive, so the object has to be read again before any further action
      */
     StoredObject write(ObjectKey key, Optional<StoredObject> base, String nonce, String value) throws StoreException {
         try {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -18,17 +18,17 @@
 /**
  * Sends one engine the orders that bring it to the state in the role plan.
  *
- * <p>Every order is recorded with a conditional update before it is sent, and its outcome is recorded afterwards. Without
- * the record, an agent that is restarted during a change, or a second agent for the same engine, could send another
- * order while the first is being executed or in transit; the engine would change twice, or end in a role that is not
- * planned. An order with unknown outcome is resolved first, by querying the engine.
+ * <p>Every order is recorded with a conditional update before it is sent, and its outcome is recorded afterwards.
+ * Without the record, an agent that is restarted during a change, or a second agent for the same engine, could send
+ * another order while the first is being executed or in transit; the engine would change twice, or end in a role that
+ * is not planned. An order with unknown outcome is resolved first, by querying the engine.
  *
  * <p>An order that the engine has not received may still be in transit. It is abandoned only after the maximum transit
  * time, counted from sending for an own order, and from the first read of the record for an order of another agent. The
  * other agent does not send an order so late in its order lease that the order could arrive after that time.
  *
- * <p>An agent takes the engine over once, with a write, when it starts. Reading alone would not be sufficient, because an
- * outdated replica of the store might not show an order in transit. An agent that was replaced never sends an order
+ * <p>An agent takes the engine over once, with a write, when it starts. Reading alone would not be sufficient, because
+ * an outdated replica of the store might not show an order in transit. An agent that was replaced never sends an order
  * again; otherwise an agent that resumes after a pause would take the engine back from its successor.
  *
  * <p>Not thread-safe; each step makes at most one change.
@@ -98,8 +98,8 @@
      * Prevents new work from starting until this agent has confirmed with a write that it still owns the engine; called
      * when the process resumes after a pause.
      *
-     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be accepted
-     * during a change ordered by its successor, and be cut.
+     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be
+     * accepted during a change ordered by its successor, and be cut.
      */
     public void onPauseDetected() {
         mustConfirmOwnership = true;
@@ -158,8 +158,8 @@
     /**
      * Returns whether the record comes from an outdated replica, from before the takeover or before the last order.
      *
-     * <p>With the former an agent would assume that it was replaced. With the latter it would assume that no order is in
-     * transit, and accept streams that the order then cuts.
+     * <p>With the former an agent would assume that it was replaced. With the latter it would assume that no order is
+     * in transit, and accept streams that the order then cuts.
      */
     private boolean isStale(EngineRecord record) {
         boolean beforeTakeover = ownSlotTerm.isPresent() && record.slotTerm() < ownSlotTerm.get();
@@ -247,9 +247,9 @@
     /**
      * Returns whether the engine still has to receive a higher fencing number than that of the abandoned orders.
      *
-     * <p>An order can arrive later than any timeout allows for. An engine that checks numbers refuses it, but only after
-     * it has received a higher number. The state of the last order does not show this: the order that was to deliver the
-     * higher number may itself have been withdrawn.
+     * <p>An order can arrive later than any timeout allows for. An engine that checks numbers refuses it, but only
+     * after it has received a higher number. The state of the last order does not show this: the order that was to
+     * deliver the higher number may itself have been withdrawn.
      */
     private boolean needsHigherFencingNumber(EngineRecord record, EngineStatus status) {
         return mayNeedHigherFencingNumber(record) && status.highestFencingNumber() < record.highestAbandoned();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PauseDetector.java
@@ -22,7 +22,9 @@
         this.lastTickNanos = time.monotonicNanos();
     }
 
-    /** Returns whether the process was paused since the last tick; to be called several times a second, before any work. */
+    /**
+     * Returns whether the process was paused since the last tick; to be called several times a second, before any work.
+     */
     public boolean pausedSinceLastTick() {
         long now = time.monotonicNanos();
         Duration gap = Duration.ofNanos(now - lastTickNanos);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
@@ -62,7 +62,9 @@
         return heldLease.map(HeldLease::plan);
     }
 
-    /** Acquires, renews or observes the lease, whichever is due; to be called several times within the lease duration. */
+    /**
+     * Acquires, renews or observes the lease, whichever is due; to be called several times within the lease duration.
+     */
     public LeaseStep maintainLease() throws StoreException {
         if (heldLease.isEmpty()) {
             return observe();
@@ -110,8 +112,7 @@
         PlanRecord plan = PlanCodec.read(stored.get());
         if (plan.owner().equals(owner) && !plan.resigned()) {
             // An own write whose response was lost. The time at which it took effect is not known, so the lease counts
-            // as
-            // held only after a renewal.
+            // as held only after a renewal.
             return renew(stored.get(), plan);
         }
         if (plan.resigned()) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanReader.java
@@ -8,9 +8,9 @@
  * Holds the role plan in force for a process that executes it or serves by it.
  *
  * <p>A watch repeats events after an interruption, and an outdated replica of the store may return a plan that was
- * replaced long ago; executing it would revert engines to old roles. Therefore only a plan with a higher (term, revision)
- * is accepted; renewals change neither and are ignored. Plans do not expire here: during an outage of the store the last
- * plan stays in force.
+ * replaced long ago; executing it would revert engines to old roles. Therefore only a plan with a higher (term,
+ * revision) is accepted; renewals change neither and are ignored. Plans do not expire here: during an outage of the
+ * store the last plan stays in force.
  */
 public final class PlanReader {
     private Optional<PlanRecord> inForce = Optional.empty();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotTimings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/SlotTimings.java
@@ -5,9 +5,9 @@
 /**
  * The timing of the slot of an engine: the exclusive role of the agent that gives orders to it, and its order lease.
  *
- * <p>An agent takes an engine over with one write when it starts. The write that records an order also acquires the order
- * lease, which ends when the outcome of that order is recorded. The lease is never renewed, so an engine without an order
- * causes no load on the store.
+ * <p>An agent takes an engine over with one write when it starts. The write that records an order also acquires the
+ * order lease, which ends when the outcome of that order is recorded. The lease is never renewed, so an engine without
+ * an order causes no load on the store.
  *
  * <p>An agent that does not know that it was replaced would accept streams while its successor orders a change.
  * Therefore an agent reads its record regularly, accepts no work after a pause until it has written to the record, and
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/engine/EngineControl.java
@@ -8,8 +8,8 @@
     /**
      * Sends an order; returns once the engine has started to execute it.
      *
-     * @throws EngineRefusedOrderException if the engine has received a higher fencing number or is busy; the order had no
-     *     effect
+     * @throws EngineRefusedOrderException if the engine has received a higher fencing number or is busy; the order had
+     *     no effect
      * @throws EngineUnreachableException if no response was received; the engine may have started to execute the order
      */
     void order(FencedOrder order) throws EngineRefusedOrderException, EngineUnreachableException;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/ObjectStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/ObjectStore.java
@@ -40,7 +40,8 @@
      * Replaces an object if it still has the version that was read.
      *
      * @throws StoreConflictException if the object has another version or was deleted; nothing was written
-     * @throws StoreOutcomeUnknownException if the response was lost; read the object to find out whether it was replaced
+     * @throws StoreOutcomeUnknownException if the response was lost; read the object to find out whether it was
+     *     replaced
      */
     StoredObject update(StoredObject read, String value) throws StoreException;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembler.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembler.java
@@ -5,10 +5,10 @@
 /**
  * Assembles one answer from the frames of its attempts.
  *
- * <p>An abandoned attempt may still deliver frames: its agent was paused, or the frames were in transit when the link was
- * declared lost. Without the attempt number those frames would be mixed into the answer of the next attempt, and the
- * caller would receive tokens twice. Within an attempt the sequence number detects a duplicate or missing chunk, and the
- * count and checksum in the last frame detect truncated or corrupted data.
+ * <p>An abandoned attempt may still deliver frames: its agent was paused, or the frames were in transit when the link
+ * was declared lost. Without the attempt number those frames would be mixed into the answer of the next attempt, and
+ * the caller would receive tokens twice. Within an attempt the sequence number detects a duplicate or missing chunk,
+ * and the count and checksum in the last frame detect truncated or corrupted data.
  */
 public final class AnswerAssembler {
     private static final int NO_ATTEMPT = 0;
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Decides what to do with the last frame of an attempt that reports a complete answer; on {@link EndDecision.Complete}
-     * the answer has ended.
+     * Decides what to do with the last frame of an attempt that reports a complete answer; on {@link
+     * EndDecision.Complete} the answer has ended.
      */
     public EndDecision onLastFrame(int lastAttempt, int count, int expectedChecksum) {
         if (ended) {
@@ -80,7 +80,9 @@
         return attempt;
     }
 
-    /** Returns the number of tokens delivered to the caller over all attempts; a resumed attempt continues after them. */
+    /**
+     * Returns the number of tokens delivered to the caller over all attempts; a resumed attempt continues after them.
+     */
     public int deliveredTokens() {
         return deliveredTokens;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AttemptChecksum.java
@@ -3,8 +3,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The sending side of {@link AnswerAssembler}: numbers the chunks of one attempt and computes the count and checksum for
- * its last frame.
+ * The sending side of {@link AnswerAssembler}: numbers the chunks of one attempt and computes the count and checksum
+ * for its last frame.
  */
 public final class AttemptChecksum {
     private final CRC32C checksum = new CRC32C();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/DelayedOrderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/DelayedOrderTest.java
@@ -53,8 +53,7 @@
     }
 
     // The agent is paused while its record is written, for so long that a successor may have abandoned the order. When
-    // it
-    // resumes it must not send the order.
+    // it resumes it must not send the order.
     @Test
     public void should_not_send_order_when_pause_exceeds_send_window() throws StoreException {
         EngineFixture fixture = new EngineFixture(new FakeEngine("engine-1", false));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OrderExecutorTest.java
@@ -145,8 +145,7 @@
     }
 
     // The record write is delayed and takes effect after the agent has given up on it. The order was never sent, and
-    // the
-    // agent knows that; it must neither wait for the order nor count it as sent.
+    // the agent knows that; it must neither wait for the order nor count it as sent.
     @Test
     public void should_withdraw_order_when_its_record_write_was_delayed() throws StoreException {
         fixture.publish(EngineRole.PREFILL);
@@ -193,8 +192,7 @@
     }
 
     // The call that sends an order times out while the order is in transit. Until the maximum transit time has passed
-    // no
-    // other order may be sent, because an engine that ignores numbers would execute both.
+    // no other order may be sent, because an engine that ignores numbers would execute both.
     @Test
     public void should_send_no_other_order_when_one_may_still_arrive() throws StoreException {
         fixture.publish(EngineRole.PREFILL);
@@ -330,8 +328,7 @@
     }
 
     // The store becomes unavailable while an engine drains for a change. The change cannot be recorded, and an engine
-    // that
-    // stayed drained would be idle for the duration of the outage.
+    // that stayed drained would be idle for the duration of the outage.
     @Test
     public void should_accept_work_again_when_store_becomes_unavailable_during_drain() throws StoreException {
         fixture.engine().setRunningStreams(1);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -68,8 +68,7 @@
     }
 
     // The holder is killed. Its plan stays in force, and after a complete lease without a change another entry takes
-    // over
-    // under the next term, without any operator action.
+    // over under the next term, without any operator action.
     @Test
     public void should_take_over_with_next_term_when_lease_passed_without_change() throws StoreException {
         first.maintainLease();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
@@ -19,8 +19,7 @@
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.ROLE_PLAN, "hojas", "hazard.lima-1");
 
     // A watch is restarted and served by an outdated replica, so that plans arrive twice and out of order. An agent
-    // that
-    // executed all of them would change its engine back and forth.
+    // that executed all of them would change its engine back and forth.
     @Test
     public void should_ignore_plan_when_version_is_not_higher() throws StoreMalformedException {
         PlanReader reader = new PlanReader();
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Backoff.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Backoff.java
@@ -3,7 +3,9 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Draws retry delays: uniformly random up to an exponentially growing bound, so that processes do not retry in step. */
+/**
+ * Draws retry delays: uniformly random up to an exponentially growing bound, so that processes do not retry in step.
+ */
 final class Backoff {
     private static final int MAX_DOUBLINGS = 20;
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/CallBudget.java
@@ -8,7 +8,8 @@
  * Limits the rate of store calls of this process with a token bucket.
  *
  * <p>The store limits the total rate of calls, and that limit grows more slowly than the fleet. Without a limit in each
- * process, all processes reading at once after an outage would exceed the rate limit and keep the store from recovering.
+ * process, all processes reading at once after an outage would exceed the rate limit and keep the store from
+ * recovering.
  */
 public final class CallBudget {
     private final TokenBucket bucket;
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpObjectStore.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/HttpObjectStore.java
@@ -22,7 +22,8 @@
 /**
  * An {@link ObjectStore} that calls the HTTP API of the store.
  *
- * <p>If the response to a write is lost, the writer has to find out its outcome; {@link OutcomeResolvingWriter} does this.
+ * <p>If the response to a write is lost, the writer has to find out its outcome; {@link OutcomeResolvingWriter} does
+ * this.
  */
 public final class HttpObjectStore implements ObjectStore {
     private static final int MAX_VALUE_BYTES = 1024 * 1024;
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
@@ -6,9 +6,9 @@
 /**
  * Tracks the generation of the store's history from the responses of the store. Thread-safe.
  *
- * <p>A store that is restored from an older snapshot has lost the writes that it acknowledged since, and assigns the same
- * revisions again; its generation then increases. A revision that was read in an earlier generation must not be the
- * condition of a write: another object may have that revision now, and the write would succeed where it must fail.
+ * <p>A store that is restored from an older snapshot has lost the writes that it acknowledged since, and assigns the
+ * same revisions again; its generation then increases. A revision that was read in an earlier generation must not be
+ * the condition of a write: another object may have that revision now, and the write would succeed where it must fail.
  */
 public final class StoreGeneration {
     private final String header;
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreTransport.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreTransport.java
@@ -79,8 +79,7 @@
     }
 
     // The request timeout of the HTTP client covers only the response headers; a store that stalls within the body
-    // would
-    // block the calling thread for ever. Waiting on the future limits the complete call.
+    // would block the calling thread for ever. Waiting on the future limits the complete call.
     private <T> T await(CompletableFuture<T> pending, URI uri, boolean isWrite, Duration timeout)
             throws StoreException {
         try {
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/UnencryptedContext.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/UnencryptedContext.java
@@ -14,9 +14,9 @@
 /**
  * An SSL context without encryption, for a client that makes only plain HTTP calls.
  *
- * <p>By default the JDK's HTTP client initialises TLS when it is created: it reads all trusted certificates and lists all
- * cipher suites. Creating a client takes 314 ms of processor time with this and 118 ms without (two runs each, C1 compiler
- * only). A process limited to 0.4 of a core would start half a second later, while its callers wait.
+ * <p>By default the JDK's HTTP client initialises TLS when it is created: it reads all trusted certificates and lists
+ * all cipher suites. Creating a client takes 314 ms of processor time with this and 118 ms without (two runs each, C1
+ * compiler only). A process limited to 0.4 of a core would start half a second later, while its callers wait.
  */
 final class UnencryptedContext extends SSLContext {
     UnencryptedContext() {
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
@@ -21,9 +21,9 @@
 /**
  * Tracks all objects of one kind: lists them, watches them, and lists them again whenever the watch ends.
  *
- * <p>Changes and deletions between two watches are found by comparing the new list with the known objects. The store may
- * serve a list from an outdated replica; a listener that must never go back to an older state has to compare a number
- * within the object.
+ * <p>Changes and deletions between two watches are found by comparing the new list with the known objects. The store
+ * may serve a list from an outdated replica; a listener that must never go back to an older state has to compare a
+ * number within the object.
  */
 public final class WatchedCollection implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(WatchedCollection.class);
