--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/NonceWriter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/NonceWriter.java
@@ -26,7 +26,7 @@
     }
 
     /** Returns a new random nonce. */
-    String drawNonce() {
+    String newNonce() {
         return String.format("%016x%016x", random.nextLong(), random.nextLong());
     }
 
@@ -39,12 +39,13 @@
     StoredObject write(ObjectKey key, Optional<StoredObject> base, String nonce, String value) throws StoreException {
         try {
             return base.isEmpty() ? store.create(key, value) : store.update(base.get(), value);
-        } catch (StoreOutcomeUnknownException lost) {
-            Optional<StoredObject> now = store.read(key);
-            if (now.isPresent() && StoredFields.of(now.get()).text("nonce").equals(nonce)) {
-                return now.get();
+        } catch (StoreOutcomeUnknownException responseLost) {
+            Optional<StoredObject> current = store.read(key);
+            if (current.isPresent()
+                    && StoredFields.of(current.get()).text("nonce").equals(nonce)) {
+                return current.get();
             }
-            throw lost;
+            throw responseLost;
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -171,7 +171,7 @@
             // The order may still arrive, and would cut the streams that were accepted meanwhile.
             stopNewWork();
         }
-        KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.drawNonce()));
+        KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.newNonce()));
         onTakenOver(taken);
         return new ExecutorStep.TookOver(taken.record().slotTerm());
     }
@@ -187,7 +187,7 @@
 
     /** Writes the record without changes; the write fails if another agent has taken the engine over. */
     private ExecutorStep confirmOwnership(KnownRecord current) throws StoreException {
-        write(current, current.record().confirmed(writer.drawNonce()));
+        write(current, current.record().confirmed(writer.newNonce()));
         mustConfirmOwnership = false;
         return new ExecutorStep.Waiting("its next step, after confirming that it still owns the engine");
     }
@@ -301,14 +301,14 @@
                 current.record().lastFencingNumber(),
                 status.highestFencingNumber(),
                 plans.version().term());
-        String id = writer.drawNonce();
+        String id = writer.newNonce();
         RecordedOrder recorded = new RecordedOrder(id, fencingNumber, order, RecordedOrderState.STARTED);
         // Until it is sent, this order counts as never sent, even if its record write takes effect after a lost
         // response.
         unsentOrderId = Optional.of(id);
         long recordSentAt = time.monotonicNanos();
         KnownRecord started =
-                write(current, current.record().withNewOrder(writer.drawNonce(), plans.version(), recorded));
+                write(current, current.record().withNewOrder(writer.newNonce(), plans.version(), recorded));
         if (elapsedSince(recordSentAt).compareTo(timings.sendWindow()) >= 0) {
             // Writing the record took too long. Another agent may already treat this order as unable to arrive.
             return recordOutcome(started, recorded, RecordedOrderState.WITHDRAWN);
@@ -360,7 +360,7 @@
 
     private ExecutorStep recordOutcome(KnownRecord current, RecordedOrder order, RecordedOrderState state)
             throws StoreException {
-        write(current, current.record().withOrderState(writer.drawNonce(), state));
+        write(current, current.record().withOrderState(writer.newNonce(), state));
         failedAtNanos = state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanos()) : Optional.empty();
         return new ExecutorStep.Resolved(order.id(), state);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanHolder.java
@@ -82,7 +82,7 @@
             return new PublishResult.NotHolder();
         }
         HeldLease held = heldLease.orElseThrow();
-        PlanRecord next = held.plan().withPlan(writer.drawNonce(), expiry(), engines);
+        PlanRecord next = held.plan().withPlan(writer.newNonce(), expiry(), engines);
         try {
             write(Optional.of(held.stored()), next);
             return new PublishResult.Published(next);
@@ -99,7 +99,7 @@
         }
         HeldLease held = heldLease.get();
         dropLease();
-        PlanRecord released = held.plan().withLeaseReleased(writer.drawNonce());
+        PlanRecord released = held.plan().withLeaseReleased(writer.newNonce());
         writer.write(key, Optional.of(held.stored()), released.nonce(), PlanCodec.write(released));
     }
 
@@ -131,12 +131,12 @@
 
     private LeaseStep create() throws StoreException {
         PlanRecord first = new PlanRecord(
-                owner, writer.drawNonce(), new PlanVersion(1, 0), timings.duration(), expiry(), false, Map.of());
+                owner, writer.newNonce(), new PlanVersion(1, 0), timings.duration(), expiry(), false, Map.of());
         return acquire(Optional.empty(), first);
     }
 
     private LeaseStep takeOver(StoredObject stored, PlanRecord plan) throws StoreException {
-        return acquire(Optional.of(stored), plan.takenOver(owner, writer.drawNonce(), timings.duration(), expiry()));
+        return acquire(Optional.of(stored), plan.takenOver(owner, writer.newNonce(), timings.duration(), expiry()));
     }
 
     private LeaseStep acquire(Optional<StoredObject> base, PlanRecord plan) throws StoreException {
@@ -151,7 +151,7 @@
 
     private LeaseStep renew(StoredObject stored, PlanRecord plan) throws StoreException {
         try {
-            write(Optional.of(stored), plan.renewed(writer.drawNonce(), expiry()));
+            write(Optional.of(stored), plan.renewed(writer.newNonce(), expiry()));
             return new LeaseStep.Renewed(plan.version().term());
         } catch (StoreConflictException superseded) {
             dropLease();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembler.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/stream/AnswerAssembler.java
@@ -71,8 +71,8 @@
     }
 
     /** Returns whether frames of the given attempt are still processed. */
-    public boolean isCurrent(int otherAttempt) {
-        return !ended && otherAttempt == attempt;
+    public boolean isCurrent(int frameAttempt) {
+        return !ended && frameAttempt == attempt;
     }
 
     /** Returns the number of the current attempt; 0 before the first attempt. */
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -32,24 +32,24 @@
 
     private ManualTimeSource time;
     private FakeStore store;
-    private ScriptedStoreFaults faultsOfFirst;
-    private PlanHolder first;
-    private PlanHolder second;
+    private ScriptedStoreFaults firstHolderFaults;
+    private PlanHolder firstHolder;
+    private PlanHolder secondHolder;
 
     @BeforeMethod
     public void setUp() {
         time = new ManualTimeSource();
         store = new FakeStore();
-        faultsOfFirst = new ScriptedStoreFaults();
-        first = holder("entry-1", faultsOfFirst, 1);
-        second = holder("entry-2", new ScriptedStoreFaults(), 2);
+        firstHolderFaults = new ScriptedStoreFaults();
+        firstHolder = holder("entry-1", firstHolderFaults, 1);
+        secondHolder = holder("entry-2", new ScriptedStoreFaults(), 2);
     }
 
     @Test
     public void should_acquire_lease_and_publish_when_no_lease_exists() throws StoreException {
-        assertEquals(first.maintainLease(), new LeaseStep.Acquired(1));
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Acquired(1));
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
 
         assertEquals(stored().version(), new PlanVersion(1, 1));
         assertEquals(stored().engines(), FIRST_PLAN);
@@ -57,13 +57,13 @@
 
     @Test
     public void should_not_acquire_lease_when_holder_renews_it() throws StoreException {
-        first.maintainLease();
+        firstHolder.maintainLease();
         for (int second = 0; second < 60; second++) {
             time.advance(Duration.ofSeconds(1));
-            first.maintainLease();
-            assertTrue(this.second.maintainLease() instanceof LeaseStep.Observing);
+            firstHolder.maintainLease();
+            assertTrue(this.secondHolder.maintainLease() instanceof LeaseStep.Observing);
         }
-        assertTrue(first.mayDecide());
+        assertTrue(firstHolder.mayDecide());
         assertEquals(stored().version(), new PlanVersion(1, 0));
     }
 
@@ -71,14 +71,14 @@
     // over under the next term, without any operator action.
     @Test
     public void should_take_over_with_next_term_when_lease_passed_without_change() throws StoreException {
-        first.maintainLease();
-        first.publish(FIRST_PLAN);
-        second.maintainLease();
+        firstHolder.maintainLease();
+        firstHolder.publish(FIRST_PLAN);
+        secondHolder.maintainLease();
         time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1));
-        assertTrue(second.maintainLease() instanceof LeaseStep.Observing);
+        assertTrue(secondHolder.maintainLease() instanceof LeaseStep.Observing);
         time.advance(Duration.ofMillis(1));
 
-        assertEquals(second.maintainLease(), new LeaseStep.Acquired(2));
+        assertEquals(secondHolder.maintainLease(), new LeaseStep.Acquired(2));
 
         assertEquals(stored().version(), new PlanVersion(2, 1));
         assertEquals(stored().engines(), FIRST_PLAN);
@@ -88,12 +88,12 @@
     // would revert the role changes of its successor.
     @Test
     public void should_not_publish_when_paused_beyond_lease() throws StoreException {
-        first.maintainLease();
+        firstHolder.maintainLease();
         long writes = store.writes();
         time.advance(LeaseTimings.DEFAULT.usableDuration());
 
-        assertEquals(first.publish(FIRST_PLAN), new PublishResult.NotHolder());
-        assertFalse(first.mayDecide());
+        assertEquals(firstHolder.publish(FIRST_PLAN), new PublishResult.NotHolder());
+        assertFalse(firstHolder.mayDecide());
         assertEquals(store.writes(), writes);
     }
 
@@ -101,15 +101,15 @@
     // were accepted afterwards, it would silently replace the plan of the successor.
     @Test
     public void should_reject_plan_when_successor_took_over_during_its_transit() throws StoreException {
-        first.maintainLease();
-        second.maintainLease();
-        faultsOfFirst.beforeNextEffect(() -> {
+        firstHolder.maintainLease();
+        secondHolder.maintainLease();
+        firstHolderFaults.beforeNextEffect(() -> {
             time.advance(LeaseTimings.DEFAULT.duration());
-            maintainLeaseUnchecked(second);
-            publishUnchecked(second, SECOND_PLAN);
+            maintainLeaseUnchecked(secondHolder);
+            publishUnchecked(secondHolder, SECOND_PLAN);
         });
 
-        assertEquals(first.publish(FIRST_PLAN), new PublishResult.Superseded());
+        assertEquals(firstHolder.publish(FIRST_PLAN), new PublishResult.Superseded());
 
         assertEquals(stored().version(), new PlanVersion(2, 1));
         assertEquals(stored().engines(), SECOND_PLAN);
@@ -119,34 +119,34 @@
     // holder, and a successor has to wait a complete lease again because the version changed.
     @Test
     public void should_accept_plan_when_it_arrives_after_expiry_and_before_takeover() throws StoreException {
-        first.maintainLease();
-        second.maintainLease();
-        faultsOfFirst.beforeNextEffect(
+        firstHolder.maintainLease();
+        secondHolder.maintainLease();
+        firstHolderFaults.beforeNextEffect(
                 () -> time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1)));
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
         time.advance(Duration.ofMillis(1));
 
-        assertTrue(second.maintainLease() instanceof LeaseStep.Observing);
+        assertTrue(secondHolder.maintainLease() instanceof LeaseStep.Observing);
         assertEquals(stored().version(), new PlanVersion(1, 1));
-        assertFalse(first.mayDecide());
+        assertFalse(firstHolder.mayDecide());
     }
 
     // The holder is paused after its plan took effect and before it receives the response, and a successor takes over
     // meanwhile. The former holder must not continue to decide.
     @Test
     public void should_stop_deciding_when_paused_after_write() throws StoreException {
-        first.maintainLease();
-        faultsOfFirst.afterNextEffect(() -> {
-            maintainLeaseUnchecked(second);
+        firstHolder.maintainLease();
+        firstHolderFaults.afterNextEffect(() -> {
+            maintainLeaseUnchecked(secondHolder);
             time.advance(LeaseTimings.DEFAULT.duration());
-            maintainLeaseUnchecked(second);
+            maintainLeaseUnchecked(secondHolder);
         });
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
 
-        assertFalse(first.mayDecide());
-        assertEquals(first.maintainLease(), new LeaseStep.Lost(1));
+        assertFalse(firstHolder.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Lost(1));
         assertEquals(stored().version(), new PlanVersion(2, 1));
     }
 
@@ -154,12 +154,12 @@
     // caused by its own plan and give up a lease that it holds; the service would have no planner for one lease.
     @Test
     public void should_read_object_when_response_to_publish_is_lost() throws StoreException {
-        first.maintainLease();
-        faultsOfFirst.addWriteFault(StoreFault.ANSWER_LOST);
+        firstHolder.maintainLease();
+        firstHolderFaults.addWriteFault(StoreFault.ANSWER_LOST);
 
-        assertTrue(first.publish(FIRST_PLAN) instanceof PublishResult.Published);
-        assertTrue(first.mayDecide());
-        assertTrue(first.publish(SECOND_PLAN) instanceof PublishResult.Published);
+        assertTrue(firstHolder.publish(FIRST_PLAN) instanceof PublishResult.Published);
+        assertTrue(firstHolder.mayDecide());
+        assertTrue(firstHolder.publish(SECOND_PLAN) instanceof PublishResult.Published);
         assertEquals(stored().version(), new PlanVersion(1, 2));
     }
 
@@ -167,25 +167,25 @@
     // knowing since when, so it may decide only after a renewal.
     @Test
     public void should_renew_before_deciding_when_own_record_is_found() throws StoreException {
-        faultsOfFirst.addWriteFault(StoreFault.ANSWER_LOST);
-        faultsOfFirst.addReadFault(StoreFault.NONE);
-        faultsOfFirst.addReadFault(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::maintainLease);
-        assertFalse(first.mayDecide());
+        firstHolderFaults.addWriteFault(StoreFault.ANSWER_LOST);
+        firstHolderFaults.addReadFault(StoreFault.NONE);
+        firstHolderFaults.addReadFault(StoreFault.UNAVAILABLE);
+        expectThrows(StoreUnavailableException.class, firstHolder::maintainLease);
+        assertFalse(firstHolder.mayDecide());
 
-        assertEquals(first.maintainLease(), new LeaseStep.Renewed(1));
-        assertTrue(first.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Renewed(1));
+        assertTrue(firstHolder.mayDecide());
     }
 
     // The write of a plan is delayed in the network and its sender gives up on it. It arrives after the sender has
     // published another plan, which it must not replace.
     @Test
     public void should_not_replace_later_plan_when_delayed_write_arrives() throws StoreException {
-        first.maintainLease();
-        faultsOfFirst.addWriteFault(StoreFault.LANDS_LATE);
-        expectThrows(StoreOutcomeUnknownException.class, () -> first.publish(FIRST_PLAN));
-        first.maintainLease();
-        first.publish(SECOND_PLAN);
+        firstHolder.maintainLease();
+        firstHolderFaults.addWriteFault(StoreFault.LANDS_LATE);
+        expectThrows(StoreOutcomeUnknownException.class, () -> firstHolder.publish(FIRST_PLAN));
+        firstHolder.maintainLease();
+        firstHolder.publish(SECOND_PLAN);
 
         assertTrue(store.deliverDelayed());
 
@@ -196,24 +196,24 @@
     // holder publishes nothing, and it continues under the same term when the store is available again.
     @Test
     public void should_continue_under_same_term_when_store_is_available_again() throws StoreException {
-        first.maintainLease();
-        first.publish(FIRST_PLAN);
+        firstHolder.maintainLease();
+        firstHolder.publish(FIRST_PLAN);
         time.advance(Duration.ofMinutes(30));
-        faultsOfFirst.addWriteFault(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::maintainLease);
-        assertFalse(first.mayDecide());
+        firstHolderFaults.addWriteFault(StoreFault.UNAVAILABLE);
+        expectThrows(StoreUnavailableException.class, firstHolder::maintainLease);
+        assertFalse(firstHolder.mayDecide());
 
-        assertEquals(first.maintainLease(), new LeaseStep.Renewed(1));
-        assertTrue(first.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Renewed(1));
+        assertTrue(firstHolder.mayDecide());
     }
 
     @Test
     public void should_take_over_immediately_when_holder_resigned() throws StoreException {
-        first.maintainLease();
-        first.resign();
+        firstHolder.maintainLease();
+        firstHolder.resign();
 
-        assertFalse(first.mayDecide());
-        assertEquals(second.maintainLease(), new LeaseStep.Acquired(2));
+        assertFalse(firstHolder.mayDecide());
+        assertEquals(secondHolder.maintainLease(), new LeaseStep.Acquired(2));
     }
 
     // The object was edited by hand and is invalid. The error names the object and the field.
@@ -221,7 +221,7 @@
     public void should_name_object_and_field_when_record_is_malformed() throws StoreException {
         store.client(new ScriptedStoreFaults()).create(KEY, "{\"owner\": \"entry-9\", \"engines\": {}, \"nonce\": 4}");
 
-        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, first::maintainLease);
+        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, firstHolder::maintainLease);
 
         assertEquals(malformed.place(), "roleplans/seitkali/drafting.almaty-1#nonce");
     }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriter.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriter.java
@@ -65,8 +65,8 @@
             return new WriteOutcome.Applied(write.send());
         } catch (StoreConflictException conflict) {
             return new WriteOutcome.Superseded(Optional.empty());
-        } catch (StoreOutcomeUnknownException lost) {
-            return resolveByReading(write, key, condition, isOwnWrite, lost);
+        } catch (StoreOutcomeUnknownException responseLost) {
+            return resolveByReading(write, key, condition, isOwnWrite, responseLost);
         }
     }
 
@@ -76,8 +76,8 @@
             ObjectKey key,
             Optional<String> condition,
             Predicate<StoredObject> isOwnWrite,
-            StoreOutcomeUnknownException lost) {
-        StoreException cause = lost;
+            StoreOutcomeUnknownException responseLost) {
+        StoreException cause = responseLost;
         for (int retry = 0; retry < MAX_RETRIES; retry++) {
             try {
                 Optional<StoredObject> current = store.read(key);
@@ -90,8 +90,8 @@
                 return new WriteOutcome.Applied(write.send());
             } catch (StoreConflictException conflict) {
                 cause = conflict;
-            } catch (StoreOutcomeUnknownException lostAgain) {
-                cause = lostAgain;
+            } catch (StoreOutcomeUnknownException responseLostAgain) {
+                cause = responseLostAgain;
             } catch (StoreException unreadable) {
                 return new WriteOutcome.Unknown(unreadable);
             }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriterTest.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/OutcomeResolvingWriterTest.java
@@ -63,8 +63,8 @@
 
         WriteOutcome outcome = writes.update(read, OURS);
 
-        assertTrue(outcome instanceof WriteOutcome.Superseded lost
-                && lost.current().orElseThrow().equals(theirs));
+        assertTrue(outcome instanceof WriteOutcome.Superseded superseded
+                && superseded.current().orElseThrow().equals(theirs));
     }
 
     @Test
