--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/SoakWorld.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
-import org.aspenmoor.internal.authority.SlotTerms;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.authority.SlotTimings;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.fake.FakeStore;
 import org.aspenmoor.internal.membership.HostListEntry;
 import org.aspenmoor.internal.time.ManualTimeSource;
@@ -47,7 +47,7 @@
     SoakWorld(long seed, List<String> teams) {
         this.random = new SplittableRandom(seed);
         this.calls = new CallTraffic(this);
-        store.onWrite(orders::written);
+        store.addWriteListener(orders::written);
         for (String team : teams) {
             SoakHouse house = new SoakHouse(this, team);
             houses.add(house);
@@ -90,12 +90,12 @@
     }
 
     /** Lets an order that is held up arrive, within its longest time on the wire or after it. */
-    void scheduleLateOrder(NumberedOrder order, boolean beyondWindow) {
-        long longest = SlotTerms.DEFAULT.longestOnTheWire().toMillis();
+    void scheduleLateOrder(FencedOrder order, boolean beyondWindow) {
+        long longest = SlotTimings.DEFAULT.maxTransitTime().toMillis();
         long delay = beyondWindow ? longest + 1 + random.nextLong(3 * longest) : random.nextLong(longest + 1);
         events.schedule(
                 Duration.ofMillis(delay),
-                () -> engines().forEach(site -> site.engine().deliverLate(order)));
+                () -> engines().forEach(site -> site.engine().deliverDelayed(order)));
     }
 
     List<HostListEntry> laggingHostList() {
@@ -157,7 +157,7 @@
     }
 
     long now() {
-        return time.monotonicNanoseconds();
+        return time.monotonicNanos();
     }
 
     ManualTimeSource time() {
@@ -239,13 +239,13 @@
     private void advance(Duration duration) {
         events.advance(duration);
         if (chance(WRITE_LANDS)) {
-            store.deliverLate();
+            store.deliverDelayed();
         }
     }
 
     private void moveEngines() {
         for (SoakEngine site : engines()) {
-            if (site.engine().busy() && chance(ORDER_FINISHES)) {
+            if (site.engine().isBusy() && chance(ORDER_FINISHES)) {
                 site.endOrder();
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/OrderExecutor.java
@@ -16,105 +16,105 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Gives one engine the orders that bring it to what the role plan wants.
+ * Sends one engine the orders that bring it to the state in the role plan.
  *
- * <p>Every order is recorded as started by a conditional update before it is given, and as settled after it. Without
- * the record, an agent that is restarted in the middle of a change, or a second agent for the same engine, would give
- * another order while the first is carried out or on its way; the engine would be seen changing twice, or ending in a
- * role that nobody planned. An unsettled order is settled first, by asking the engine.
+ * <p>Every order is recorded with a conditional update before it is sent, and its outcome is recorded afterwards.
+ * Without the record, an agent that is restarted during a change, or a second agent for the same engine, could send
+ * another order while the first is being executed or in transit; the engine would change twice, or end in a role that
+ * is not planned. An order with unknown outcome is resolved first, by querying the engine.
  *
- * <p>An order that the engine has not seen may still be on its way. It is given up only once its longest time on the
- * wire has passed: counted from its sending for an own order, and from the first sight of the order for another
- * agent's. That agent sends nothing once so much of its right has passed that the order might arrive later.
+ * <p>An order that the engine has not received may still be in transit. It is abandoned only after the maximum transit
+ * time, counted from sending for an own order, and from the first read of the record for an order of another agent. The
+ * other agent does not send an order so late in its order lease that the order could arrive after that time.
  *
- * <p>An agent takes the engine over once, by a write, when it starts. It does not merely read: an old replica of the
- * store might not show an order that is on its way. An agent that finds itself replaced never gives an order again;
- * otherwise a paused agent would wake up and take the engine back from its successor.
+ * <p>An agent takes the engine over once, with a write, when it starts. Reading alone would not be sufficient, because
+ * an outdated replica of the store might not show an order in transit. An agent that was replaced never sends an order
+ * again; otherwise an agent that resumes after a pause would take the engine back from its successor.
  *
- * <p>Used by one thread only; each step makes at most one change.
+ * <p>Not thread-safe; each step makes at most one change.
  */
 public final class OrderExecutor {
     private final SlotIdentity slot;
     private final ObjectStore store;
     private final EngineControl engine;
     private final StreamDrain drain;
-    private final SlotTerms terms;
+    private final SlotTimings timings;
     private final TimeSource time;
-    private final SettledWriter writer;
+    private final NonceWriter writer;
     private final PlanReader plans = new PlanReader();
 
-    private Optional<KnownRecord> known = Optional.empty();
+    private Optional<KnownRecord> lastKnown = Optional.empty();
     private Optional<String> sentOrderId = Optional.empty();
-    private long sentAtNanoseconds;
+    private long sentAtNanos;
     private Optional<String> unsentOrderId = Optional.empty();
     private Optional<String> firstSeenOrderId = Optional.empty();
-    private long firstSeenNanoseconds;
-    private Optional<Long> failedAtNanoseconds = Optional.empty();
+    private long firstSeenNanos;
+    private Optional<Long> failedAtNanos = Optional.empty();
     private boolean draining;
     private Optional<Long> ownSlotTerm = Optional.empty();
     private boolean replaced;
-    private boolean mustProve;
-    private long highestNumberSeen;
-    private long confirmedNanoseconds;
-    private long ordersFromNanoseconds;
+    private boolean mustConfirmOwnership;
+    private long highestFencingNumberSeen;
+    private long confirmedAtNanos;
+    private long ordersAllowedFromNanos;
 
     public OrderExecutor(
             SlotIdentity slot,
             ObjectStore store,
             EngineControl engine,
             StreamDrain drain,
-            SlotTerms terms,
+            SlotTimings timings,
             TimeSource time,
             RandomGenerator random) {
         this.slot = slot;
         this.store = store;
         this.engine = engine;
         this.drain = drain;
-        this.terms = terms;
+        this.timings = timings;
         this.time = time;
-        this.writer = new SettledWriter(store, random);
+        this.writer = new NonceWriter(store, random);
     }
 
-    /** Takes a plan that a watch or a read has shown; older ones are ignored. */
+    /** Accepts a plan from a watch or a read; plans that are not newer than the current one are ignored. */
     public void offer(StoredObject plan) throws StoreException {
         plans.offer(plan);
     }
 
-    /** Returns the plan that is obeyed, if any was ever read. */
+    /** Returns the plan in force; empty if none was read yet. */
     public Optional<PlanRecord> plan() {
         return plans.inForce();
     }
 
     /**
-     * Says whether the engine was taken over and no order is due or unsettled, so that new work may start.
+     * Returns whether the engine was taken over and no order is due or unresolved, so that new work may start.
      *
-     * <p>An agent that has just started does not know yet whether an order of its predecessor is on its way.
+     * <p>An agent that has just started does not know yet whether an order of its predecessor is in transit.
      */
     public boolean mayServe() {
-        return ownSlotTerm.isPresent() && !replaced && !draining && !mustProve;
+        return ownSlotTerm.isPresent() && !replaced && !draining && !mustConfirmOwnership;
     }
 
     /**
-     * Lets no new work start until this agent has proved by a write that the engine is still its own; called on waking
-     * up from a pause.
+     * Prevents new work from starting until this agent has confirmed with a write that it still owns the engine; called
+     * when the process resumes after a pause.
      *
-     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be let in
-     * in the middle of its successor's change, and be cut.
+     * <p>A paused agent does not know whether it was replaced. Requests that reached it before the pause would be
+     * accepted during a change ordered by its successor, and be cut.
      */
-    public void wokeFromPause() {
-        mustProve = true;
+    public void onPauseDetected() {
+        mustConfirmOwnership = true;
     }
 
-    /** Makes the next step towards the plan. */
+    /** Makes the next step towards the planned state. */
     public ExecutorStep step() {
         try {
             return advance();
-        } catch (StoreException trouble) {
-            known = known.map(KnownRecord::uncertain);
-            serveThroughOutage();
-            return new ExecutorStep.StoreTrouble(trouble);
-        } catch (EngineUnreachableException silent) {
-            return new ExecutorStep.EngineSilent(silent);
+        } catch (StoreException failure) {
+            lastKnown = lastKnown.map(KnownRecord::asUnconfirmed);
+            resumeWorkDuringOutage();
+            return new ExecutorStep.StoreFailed(failure);
+        } catch (EngineUnreachableException unreachable) {
+            return new ExecutorStep.EngineUnreachable(unreachable);
         }
     }
 
@@ -123,32 +123,32 @@
             return new ExecutorStep.Replaced();
         }
         KnownRecord current = currentRecord();
-        if (isOld(current.record())) {
-            known = known.map(KnownRecord::uncertain);
-            return new ExecutorStep.Waiting("the store answered with an old record");
+        if (isStale(current.record())) {
+            lastKnown = lastKnown.map(KnownRecord::asUnconfirmed);
+            return new ExecutorStep.Waiting("an up-to-date engine record from the store");
         }
         if (!current.record().owner().equals(slot.owner())) {
-            return ownSlotTerm.isPresent() ? retire() : takeOver(current);
+            return ownSlotTerm.isPresent() ? onReplaced() : takeOver(current);
         }
         if (ownSlotTerm.isEmpty()) {
-            // The answer to the takeover was lost; it took effect.
-            beginTenure(current);
+            // The response to the takeover was lost, but the takeover took effect.
+            onTakenOver(current);
         }
-        if (mustProve) {
-            return prove(current);
+        if (mustConfirmOwnership) {
+            return confirmOwnership(current);
         }
-        if (current.record().unsettled().isPresent()) {
-            return settle(current, current.record().unsettled().get());
+        if (current.record().unresolvedOrder().isPresent()) {
+            return resolve(current, current.record().unresolvedOrder().get());
         }
-        Optional<EngineAssignment> wanted = wantedAssignment();
-        if (wanted.isEmpty()) {
-            return mayNeedFence(current.record()) ? new ExecutorStep.Waiting("a first plan") : idle();
+        Optional<EngineAssignment> planned = plannedAssignment();
+        if (planned.isEmpty()) {
+            return mayNeedHigherFencingNumber(current.record()) ? new ExecutorStep.Waiting("a first plan") : idle();
         }
         if (current.record().planVersion().isAfter(plans.version())) {
-            return new ExecutorStep.PlanBehind(plans.version());
+            return new ExecutorStep.PlanOutdated(plans.version());
         }
         EngineStatus status = engine.status();
-        Optional<EngineOrder> next = nextOrder(wanted.get(), status, current.record());
+        Optional<EngineOrder> next = nextOrder(planned.get(), status, current.record());
         if (next.isEmpty()) {
             return idle();
         }
@@ -156,49 +156,49 @@
     }
 
     /**
-     * Says whether an old replica answered: with the record from before the takeover, or from before the last order.
+     * Returns whether the record comes from an outdated replica, from before the takeover or before the last order.
      *
-     * <p>By the former an agent would believe that it was replaced; by the latter, that no order is on its way, and it
-     * would let streams in that the order cuts.
+     * <p>With the former an agent would assume that it was replaced. With the latter it would assume that no order is
+     * in transit, and accept streams that the order then cuts.
      */
-    private boolean isOld(EngineRecord record) {
+    private boolean isStale(EngineRecord record) {
         boolean beforeTakeover = ownSlotTerm.isPresent() && record.slotTerm() < ownSlotTerm.get();
-        return beforeTakeover || record.lastFencingNumber() < highestNumberSeen;
+        return beforeTakeover || record.lastFencingNumber() < highestFencingNumberSeen;
     }
 
     private ExecutorStep takeOver(KnownRecord current) throws StoreException {
-        if (current.record().unsettled().isPresent() || mayNeedFence(current.record())) {
-            // The order may still arrive, and would cut whatever streams had been let in meanwhile.
+        if (current.record().unresolvedOrder().isPresent() || mayNeedHigherFencingNumber(current.record())) {
+            // The order may still arrive, and would cut the streams that were accepted meanwhile.
             stopNewWork();
         }
-        KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.drawNonce()));
-        beginTenure(taken);
+        KnownRecord taken = write(current, current.record().takenOver(slot.owner(), writer.newNonce()));
+        onTakenOver(taken);
         return new ExecutorStep.TookOver(taken.record().slotTerm());
     }
 
-    private void beginTenure(KnownRecord taken) {
+    private void onTakenOver(KnownRecord taken) {
         long slotTerm = taken.record().slotTerm();
         ownSlotTerm = Optional.of(slotTerm);
         boolean hadPredecessor = slotTerm > 1;
-        ordersFromNanoseconds =
-                time.monotonicNanoseconds() + (hadPredecessor ? terms.handover().toNanos() : 0);
-        mustProve = false;
+        ordersAllowedFromNanos = time.monotonicNanos()
+                + (hadPredecessor ? timings.takeoverDelay().toNanos() : 0);
+        mustConfirmOwnership = false;
     }
 
-    /** Writes the record as it is; the write fails where another agent has taken the engine over. */
-    private ExecutorStep prove(KnownRecord current) throws StoreException {
-        write(current, current.record().proven(writer.drawNonce()));
-        mustProve = false;
-        return new ExecutorStep.Waiting("proved after a pause that the engine is still this agent's");
+    /** Writes the record without changes; the write fails if another agent has taken the engine over. */
+    private ExecutorStep confirmOwnership(KnownRecord current) throws StoreException {
+        write(current, current.record().confirmed(writer.newNonce()));
+        mustConfirmOwnership = false;
+        return new ExecutorStep.Waiting("its next step, after confirming that it still owns the engine");
     }
 
-    private ExecutorStep retire() {
+    private ExecutorStep onReplaced() {
         replaced = true;
         stopNewWork();
         return new ExecutorStep.Replaced();
     }
 
-    private Optional<EngineAssignment> wantedAssignment() {
+    private Optional<EngineAssignment> plannedAssignment() {
         return plans.inForce().flatMap(plan -> plan.assignment(slot.engine()));
     }
 
@@ -211,17 +211,17 @@
     }
 
     /**
-     * Takes work again where no order can be on its way.
+     * Accepts work again if no order can be in transit.
      *
-     * <p>A change that is due needs the store. An agent that went on draining for it would leave its engine idle for as
-     * long as the store is out.
+     * <p>A change that is due cannot be made without the store. An agent that continued to drain would leave its engine
+     * idle for the duration of the store outage.
      */
-    private void serveThroughOutage() {
-        if (replaced || ownSlotTerm.isEmpty() || known.isEmpty()) {
+    private void resumeWorkDuringOutage() {
+        if (replaced || ownSlotTerm.isEmpty() || lastKnown.isEmpty()) {
             return;
         }
-        EngineRecord record = known.get().record();
-        if (record.unsettled().isEmpty() && !mayNeedFence(record) && !isOld(record)) {
+        EngineRecord record = lastKnown.get().record();
+        if (record.unresolvedOrder().isEmpty() && !mayNeedHigherFencingNumber(record) && !isStale(record)) {
             idle();
         }
     }
@@ -233,62 +233,61 @@
         }
     }
 
-    private Optional<EngineOrder> nextOrder(EngineAssignment wanted, EngineStatus status, EngineRecord record) {
-        EngineOrder changeRole = new EngineOrder.ChangeRole(wanted.role());
-        if (status.role() != wanted.role() || mustFence(record, status)) {
+    private Optional<EngineOrder> nextOrder(EngineAssignment planned, EngineStatus status, EngineRecord record) {
+        EngineOrder changeRole = new EngineOrder.ChangeRole(planned.role());
+        if (status.role() != planned.role() || needsHigherFencingNumber(record, status)) {
             return Optional.of(changeRole);
         }
-        return wanted.loads().stream()
+        return planned.loads().stream()
                 .filter(item -> !status.loaded().contains(item.label()))
                 .findFirst()
                 .map(LoadItem::order);
     }
 
     /**
-     * Says whether the engine needs a higher number than those of orders which were given up.
+     * Returns whether the engine still has to receive a higher fencing number than that of the abandoned orders.
      *
-     * <p>An order can come off the wire later than any time-out foresees. An engine that checks numbers refuses it,
-     * but only once it was given a higher one. The last order's state does not tell: the order that was to bring the
-     * higher number may itself have been withdrawn.
+     * <p>An order can arrive later than any timeout allows for. An engine that checks numbers refuses it, but only
+     * after it has received a higher number. The state of the last order does not show this: the order that was to
+     * deliver the higher number may itself have been withdrawn.
      */
-    private boolean mustFence(EngineRecord record, EngineStatus status) {
-        return mayNeedFence(record) && status.highestFencingNumber() < record.highestAbandoned();
+    private boolean needsHigherFencingNumber(EngineRecord record, EngineStatus status) {
+        return mayNeedHigherFencingNumber(record) && status.highestFencingNumber() < record.highestAbandoned();
     }
 
-    private boolean mayNeedFence(EngineRecord record) {
-        return slot.engineChecksNumbers() && record.highestAbandoned() > 0;
+    private boolean mayNeedHigherFencingNumber(EngineRecord record) {
+        return slot.engineChecksFencingNumbers() && record.highestAbandoned() > 0;
     }
 
     private ExecutorStep prepare(KnownRecord current, EngineOrder order, EngineStatus status)
             throws StoreException, EngineUnreachableException {
         if (status.lastOrderState() == OrderState.RUNNING || !status.ready()) {
-            return new ExecutorStep.Waiting("the engine is not ready");
+            return new ExecutorStep.Waiting("the engine to become ready");
         }
-        if (time.monotonicNanoseconds() - ordersFromNanoseconds < 0) {
-            return new ExecutorStep.Waiting("an earlier agent may not have noticed its successor yet");
+        if (time.monotonicNanos() - ordersAllowedFromNanos < 0) {
+            return new ExecutorStep.Waiting("the previous agent to detect that it was replaced");
         }
-        if (failedAtNanoseconds.isPresent()
-                && since(failedAtNanoseconds.get()).compareTo(terms.pauseAfterFailure()) < 0) {
-            return new ExecutorStep.Waiting("the last order failed a moment ago");
+        if (failedAtNanos.isPresent() && elapsedSince(failedAtNanos.get()).compareTo(timings.delayAfterFailure()) < 0) {
+            return new ExecutorStep.Waiting("the delay after a failed order");
         }
         stopNewWork();
         int running = Math.max(drain.running(), status.load().runningSequences());
         if (running > 0) {
             return new ExecutorStep.Draining(running);
         }
-        if (planMovedOn()) {
-            return new ExecutorStep.Waiting("the plan has moved on");
+        if (planChanged()) {
+            return new ExecutorStep.Waiting("its next step, after reading a newer plan");
         }
-        return give(current, order, status);
+        return recordAndSend(current, order, status);
     }
 
     /**
-     * Reads the plan once more before an order is given.
+     * Reads the plan again before an order is sent, and returns whether it has changed.
      *
-     * <p>A watch lags, and an agent that was paused may obey a plan whose holder lost its lease long ago; the engine
-     * would be moved and moved back.
+     * <p>A watch lags, and an agent that was paused may hold a plan whose publisher lost its lease long ago; the engine
+     * would be changed and changed back.
      */
-    private boolean planMovedOn() throws StoreException {
+    private boolean planChanged() throws StoreException {
         Optional<StoredObject> stored = store.read(slot.planKey());
         if (stored.isEmpty()) {
             return false;
@@ -296,21 +295,23 @@
         return plans.offer(stored.get()).isPresent();
     }
 
-    private ExecutorStep give(KnownRecord current, EngineOrder order, EngineStatus status)
+    private ExecutorStep recordAndSend(KnownRecord current, EngineOrder order, EngineStatus status)
             throws StoreException, EngineUnreachableException {
-        long number = FencingNumbers.next(
+        long fencingNumber = FencingNumbers.next(
                 current.record().lastFencingNumber(),
                 status.highestFencingNumber(),
                 plans.version().term());
-        String id = writer.drawNonce();
-        RecordedOrder recorded = new RecordedOrder(id, number, order, RecordedOrderState.STARTED);
-        // Until it is sent, this order counts as never sent, also if its record lands after a lost answer.
+        String id = writer.newNonce();
+        RecordedOrder recorded = new RecordedOrder(id, fencingNumber, order, RecordedOrderState.STARTED);
+        // Until it is sent, this order counts as never sent, even if its record write takes effect after a lost
+        // response.
         unsentOrderId = Optional.of(id);
-        long recordSentAt = time.monotonicNanoseconds();
-        KnownRecord started = write(current, current.record().started(writer.drawNonce(), plans.version(), recorded));
-        if (since(recordSentAt).compareTo(terms.sendable()) >= 0) {
-            // Paused while the record was written. Another agent may believe that this order can no longer arrive.
-            return settleAs(started, recorded, RecordedOrderState.WITHDRAWN);
+        long recordSentAt = time.monotonicNanos();
+        KnownRecord started =
+                write(current, current.record().withNewOrder(writer.newNonce(), plans.version(), recorded));
+        if (elapsedSince(recordSentAt).compareTo(timings.sendWindow()) >= 0) {
+            // Writing the record took too long. Another agent may already treat this order as unable to arrive.
+            return recordOutcome(started, recorded, RecordedOrderState.WITHDRAWN);
         }
         unsentOrderId = Optional.empty();
         return send(started, recorded);
@@ -320,49 +321,48 @@
             throws StoreException, EngineUnreachableException {
         sentOrderId = Optional.of(recorded.id());
         try {
-            engine.order(recorded.numbered());
-            return new ExecutorStep.Ordered(recorded.numbered());
+            engine.order(recorded.toFencedOrder());
+            return new ExecutorStep.Ordered(recorded.toFencedOrder());
         } catch (EngineRefusedOrderException refused) {
-            return settleAs(started, recorded, RecordedOrderState.FAILED);
+            return recordOutcome(started, recorded, RecordedOrderState.FAILED);
         } finally {
-            // Counted from the end of the call: a pause within it delays the sending itself.
-            sentAtNanoseconds = time.monotonicNanoseconds();
+            // Taken at the end of the call, because a pause during the call delays the sending itself.
+            sentAtNanos = time.monotonicNanos();
         }
     }
 
-    private ExecutorStep settle(KnownRecord current, RecordedOrder order)
+    private ExecutorStep resolve(KnownRecord current, RecordedOrder order)
             throws StoreException, EngineUnreachableException {
         if (unsentOrderId.equals(Optional.of(order.id()))) {
-            return settleAs(current, order, RecordedOrderState.WITHDRAWN);
+            return recordOutcome(current, order, RecordedOrderState.WITHDRAWN);
         }
-        // The time is taken before the engine is asked, so that its answer is about a later moment.
-        Duration remaining = longestStillOnTheWire(order);
+        // The time is taken before the engine is queried, so that the reported status is not older than it.
+        Duration remaining = remainingTransitTime(order);
         EngineStatus status = engine.status();
         if (!status.lastOrderId().equals(Optional.of(order.id()))) {
             return remaining.isPositive()
-                    ? new ExecutorStep.Settling(order.id(), remaining)
-                    : settleAs(current, order, RecordedOrderState.ABANDONED);
+                    ? new ExecutorStep.InTransit(order.id(), remaining)
+                    : recordOutcome(current, order, RecordedOrderState.ABANDONED);
         }
         return switch (status.lastOrderState()) {
             case RUNNING -> new ExecutorStep.Running(order.id());
-            case DONE -> settleAs(current, order, RecordedOrderState.FINISHED);
-            case FAILED, NEVER_SEEN -> settleAs(current, order, RecordedOrderState.FAILED);
+            case DONE -> recordOutcome(current, order, RecordedOrderState.FINISHED);
+            case FAILED, NEVER_SEEN -> recordOutcome(current, order, RecordedOrderState.FAILED);
         };
     }
 
-    private Duration longestStillOnTheWire(RecordedOrder order) {
+    private Duration remainingTransitTime(RecordedOrder order) {
         if (sentOrderId.equals(Optional.of(order.id()))) {
-            return terms.longestOnTheWire().minus(since(sentAtNanoseconds));
+            return timings.maxTransitTime().minus(elapsedSince(sentAtNanos));
         }
-        return terms.length().minus(since(firstSeenNanoseconds));
+        return timings.orderLeaseDuration().minus(elapsedSince(firstSeenNanos));
     }
 
-    private ExecutorStep settleAs(KnownRecord current, RecordedOrder order, RecordedOrderState state)
+    private ExecutorStep recordOutcome(KnownRecord current, RecordedOrder order, RecordedOrderState state)
             throws StoreException {
-        write(current, current.record().settled(writer.drawNonce(), state));
-        failedAtNanoseconds =
-                state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanoseconds()) : Optional.empty();
-        return new ExecutorStep.Settled(order.id(), state);
+        write(current, current.record().withOrderState(writer.newNonce(), state));
+        failedAtNanos = state == RecordedOrderState.FAILED ? Optional.of(time.monotonicNanos()) : Optional.empty();
+        return new ExecutorStep.Resolved(order.id(), state);
     }
 
     private KnownRecord write(KnownRecord current, EngineRecord next) throws StoreException {
@@ -370,20 +370,20 @@
             StoredObject stored =
                     writer.write(slot.recordKey(), current.stored(), next.nonce(), EngineRecordCodec.write(next));
             return remember(new KnownRecord(Optional.of(stored), next, false));
-        } catch (StoreConflictException overtaken) {
-            known = Optional.empty();
-            throw overtaken;
+        } catch (StoreConflictException conflict) {
+            lastKnown = Optional.empty();
+            throw conflict;
         }
     }
 
-    /** Returns the record as last read or written; read anew where it is unsettled or in doubt. */
+    /** Returns the record as last read or written; reads it again if it is unresolved, unconfirmed or too old. */
     private KnownRecord currentRecord() throws StoreException {
-        boolean certain = known.isPresent()
-                && !known.get().inDoubt()
-                && known.get().record().unsettled().isEmpty()
-                && since(confirmedNanoseconds).compareTo(terms.confirmEvery()) < 0;
-        if (certain) {
-            return known.get();
+        boolean upToDate = lastKnown.isPresent()
+                && !lastKnown.get().unconfirmed()
+                && lastKnown.get().record().unresolvedOrder().isEmpty()
+                && elapsedSince(confirmedAtNanos).compareTo(timings.confirmInterval()) < 0;
+        if (upToDate) {
+            return lastKnown.get();
         }
         Optional<StoredObject> stored = store.read(slot.recordKey());
         if (stored.isEmpty()) {
@@ -393,24 +393,25 @@
     }
 
     private KnownRecord remember(KnownRecord seen) {
-        known = Optional.of(seen);
-        confirmedNanoseconds = time.monotonicNanoseconds();
-        highestNumberSeen = Math.max(highestNumberSeen, seen.record().lastFencingNumber());
-        Optional<String> unsettled = seen.record().unsettled().map(RecordedOrder::id);
-        if (unsettled.isPresent() && !unsettled.equals(firstSeenOrderId)) {
-            firstSeenOrderId = unsettled;
-            firstSeenNanoseconds = time.monotonicNanoseconds();
+        lastKnown = Optional.of(seen);
+        confirmedAtNanos = time.monotonicNanos();
+        highestFencingNumberSeen =
+                Math.max(highestFencingNumberSeen, seen.record().lastFencingNumber());
+        Optional<String> unresolved = seen.record().unresolvedOrder().map(RecordedOrder::id);
+        if (unresolved.isPresent() && !unresolved.equals(firstSeenOrderId)) {
+            firstSeenOrderId = unresolved;
+            firstSeenNanos = time.monotonicNanos();
         }
         return seen;
     }
 
-    private Duration since(long nanoseconds) {
-        return Duration.ofNanos(time.monotonicNanoseconds() - nanoseconds);
+    private Duration elapsedSince(long startNanos) {
+        return Duration.ofNanos(time.monotonicNanos() - startNanos);
     }
 
-    /** The record as it was read or written last; in doubt after trouble with the store. */
-    private record KnownRecord(Optional<StoredObject> stored, EngineRecord record, boolean inDoubt) {
-        KnownRecord uncertain() {
+    /** The record as last read or written; unconfirmed after a failed store call. */
+    private record KnownRecord(Optional<StoredObject> stored, EngineRecord record, boolean unconfirmed) {
+        KnownRecord asUnconfirmed() {
             return new KnownRecord(stored, record, true);
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/PlanCodec.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.store.StoredFields;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Role plans as JSON. */
+/** Converts role plans to and from JSON. */
 public final class PlanCodec {
     private PlanCodec() {}
 
@@ -27,7 +27,7 @@
         root.put("term", plan.version().term());
         root.put("revision", plan.version().revision());
         root.put("leaseMilliseconds", plan.leaseLength().toMillis());
-        root.put("expiry", plan.shownExpiry().toString());
+        root.put("expiry", plan.displayedExpiry().toString());
         root.put("resigned", plan.resigned());
         ObjectNode engines = root.putObject("engines");
         plan.sortedEngines().forEach((name, assignment) -> writeAssignment(engines.putObject(name), assignment));
@@ -45,10 +45,10 @@
         return new PlanRecord(
                 root.text("owner"),
                 root.text("nonce"),
-                new PlanVersion(root.number("term"), root.number("revision")),
-                Duration.ofMillis(root.number("leaseMilliseconds")),
+                new PlanVersion(root.nonNegativeLong("term"), root.nonNegativeLong("revision")),
+                Duration.ofMillis(root.nonNegativeLong("leaseMilliseconds")),
                 readExpiry(root),
-                root.truth("resigned"),
+                root.bool("resigned"),
                 engines);
     }
 
@@ -68,14 +68,14 @@
         for (StoredFields load : fields.objects("loads")) {
             loads.add(new LoadItem(load.text("model"), load.optionalText("adapter"), load.text("version")));
         }
-        return new EngineAssignment(fields.constant("role", EngineRole.class), loads);
+        return new EngineAssignment(fields.enumConstant("role", EngineRole.class), loads);
     }
 
     private static Instant readExpiry(StoredFields root) throws StoreMalformedException {
         try {
             return Instant.parse(root.text("expiry"));
         } catch (DateTimeParseException notADate) {
-            throw root.refuse("expiry", "The text is no date.");
+            throw root.invalid("expiry", "The text is not an ISO 8601 instant.");
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/authority/RecordedOrder.java
@@ -1,24 +1,24 @@
 package org.aspenmoor.internal.authority;
 
 import org.aspenmoor.internal.engine.EngineOrder;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /**
- * The last order of an engine, as its record says.
+ * An order as stored in the record of its engine.
  *
- * @param id unique over all orders
- * @param fencingNumber the number that the engine is given with it
- * @param order what to do
- * @param state how far it is
+ * @param id unique among all orders
+ * @param fencingNumber the fencing number sent with the order
+ * @param order the order
+ * @param state the state of the order
  */
 public record RecordedOrder(String id, long fencingNumber, EngineOrder order, RecordedOrderState state) {
-    /** Returns the order as the engine is given it. */
-    NumberedOrder numbered() {
-        return new NumberedOrder(id, fencingNumber, order);
+    /** Returns the order in the form sent to the engine. */
+    FencedOrder toFencedOrder() {
+        return new FencedOrder(id, fencingNumber, order);
     }
 
-    /** Returns the order in another state. */
-    RecordedOrder in(RecordedOrderState newState) {
+    /** Returns the order with another state. */
+    RecordedOrder withState(RecordedOrderState newState) {
         return new RecordedOrder(id, fencingNumber, order, newState);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/EngineCallFaults.java
@@ -1,22 +1,22 @@
 package org.aspenmoor.internal.fake;
 
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
-/** Decides what goes wrong with the calls of one agent to its engine. */
+/** Injects faults into the calls of one agent to its engine. */
 public interface EngineCallFaults {
-    /** Nothing goes wrong. */
+    /** Injects no faults. */
     EngineCallFaults NONE = new EngineCallFaults() {};
 
-    /** Returns the fault of a question for the status. */
+    /** Returns the fault of a status query. */
     default EngineFault onStatus() {
         return EngineFault.NONE;
     }
 
     /** Returns the fault of an order. */
-    default EngineFault onOrder(NumberedOrder order) {
+    default EngineFault onOrder(FencedOrder order) {
         return EngineFault.NONE;
     }
 
-    /** Called after the agent decided to send an order and before its bytes leave. */
-    default void beforeSending(NumberedOrder order) {}
+    /** Called after the agent has decided to send an order and before the order is sent. */
+    default void beforeSending(FencedOrder order) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngine.java
@@ -12,87 +12,87 @@
 import org.aspenmoor.internal.engine.EngineRefusedOrderException;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.engine.EngineStatus;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 import org.aspenmoor.internal.engine.OrderState;
 
-/** An engine that takes orders; it checks fencing numbers or ignores them, and crashes on demand. */
+/** An in-memory engine that executes orders; it checks or ignores fencing numbers, and crashes on demand. */
 public final class FakeEngine {
     private static final int CACHE_PIECES = 2000;
 
     private final String name;
-    private final boolean checksNumbers;
+    private final boolean checksFencingNumbers;
     private final List<OrderArrival> arrivals = new ArrayList<>();
-    private final List<NumberedOrder> onTheWire = new ArrayList<>();
+    private final List<FencedOrder> inTransit = new ArrayList<>();
     private final List<Consumer<OrderArrival>> listeners = new ArrayList<>();
     private final Set<String> loaded = new HashSet<>();
-    private int starts = 1;
+    private int startCount = 1;
     private int runningStreams;
-    private long highestNumber;
+    private long highestFencingNumber;
     private EngineRole role = EngineRole.WHOLE;
-    private Optional<NumberedOrder> lastOrder = Optional.empty();
+    private Optional<FencedOrder> lastOrder = Optional.empty();
     private OrderState lastState = OrderState.NEVER_SEEN;
 
-    public FakeEngine(String name, boolean checksNumbers) {
+    public FakeEngine(String name, boolean checksFencingNumbers) {
         this.name = name;
-        this.checksNumbers = checksNumbers;
+        this.checksFencingNumbers = checksFencingNumbers;
     }
 
-    /** Returns an agent's way to the engine. */
+    /** Returns a control interface for one agent, with its own faults. */
     public EngineControl control(EngineCallFaults faults) {
         return new FakeEngineControl(this, faults);
     }
 
-    /** Calls the listener with every order that arrives. */
-    public void onArrival(Consumer<OrderArrival> listener) {
+    /** Registers a listener that is called with every order that arrives. */
+    public void addArrivalListener(Consumer<OrderArrival> listener) {
         listeners.add(listener);
     }
 
     /** Returns whether the engine checks fencing numbers. */
-    public boolean checksNumbers() {
-        return checksNumbers;
+    public boolean checksFencingNumbers() {
+        return checksFencingNumbers;
     }
 
-    /** Returns its name. */
+    /** Returns the name of the engine. */
     public String name() {
         return name;
     }
 
-    /** Returns the role it has. */
+    /** Returns the current role. */
     public EngineRole role() {
         return role;
     }
 
-    /** Returns every order that arrived, oldest first. */
+    /** Returns all orders that arrived, oldest first. */
     public List<OrderArrival> arrivals() {
         return List.copyOf(arrivals);
     }
 
-    /** Returns the orders that were begun, oldest first. */
-    public List<NumberedOrder> begun() {
+    /** Returns the orders that the engine started to execute, oldest first. */
+    public List<FencedOrder> startedOrders() {
         return arrivals.stream()
-                .filter(OrderArrival::begun)
+                .filter(OrderArrival::started)
                 .map(OrderArrival::order)
                 .toList();
     }
 
-    /** Returns how many streams run. */
+    /** Returns the number of running streams. */
     public int runningStreams() {
         return runningStreams;
     }
 
-    /** Sets how many streams run. */
+    /** Sets the number of running streams. */
     public void setRunningStreams(int streams) {
         runningStreams = streams;
     }
 
-    /** Says whether an order is being carried out. */
-    public boolean busy() {
+    /** Returns whether an order is being executed. */
+    public boolean isBusy() {
         return lastState == OrderState.RUNNING;
     }
 
-    /** Finishes the order that is being carried out. */
+    /** Finishes the order that is being executed, if any. */
     public void finishOrder() {
-        if (!busy()) {
+        if (!isBusy()) {
             return;
         }
         switch (lastOrder.orElseThrow().order()) {
@@ -105,76 +105,76 @@
         lastState = OrderState.DONE;
     }
 
-    /** Gives the order up halfway; the engine stays as it was. */
+    /** Aborts the order that is being executed, if any; the state of the engine does not change. */
     public void failOrder() {
-        if (busy()) {
+        if (isBusy()) {
             lastState = OrderState.FAILED;
         }
     }
 
-    /** Crashes and starts again; it forgets its last order, but not the highest number. */
+    /** Crashes and restarts the engine, which loses its last order but keeps the highest fencing number. */
     public void crash() {
-        starts++;
+        startCount++;
         runningStreams = 0;
         loaded.clear();
         lastOrder = Optional.empty();
         lastState = OrderState.NEVER_SEEN;
     }
 
-    /** Lets the oldest order that is still on its way arrive. */
-    public boolean deliverLate() {
-        if (onTheWire.isEmpty()) {
+    /** Delivers the oldest order in transit; returns false if there is none. */
+    public boolean deliverDelayed() {
+        if (inTransit.isEmpty()) {
             return false;
         }
-        receive(onTheWire.removeFirst());
+        receive(inTransit.removeFirst());
         return true;
     }
 
-    /** Returns the orders that are still on their way, oldest first. */
-    public List<NumberedOrder> onTheWire() {
-        return List.copyOf(onTheWire);
+    /** Returns the orders in transit, oldest first. */
+    public List<FencedOrder> inTransit() {
+        return List.copyOf(inTransit);
     }
 
-    /** Lets one order that is still on its way arrive. */
-    public void deliverLate(NumberedOrder order) {
-        if (onTheWire.remove(order)) {
+    /** Delivers the given order if it is in transit. */
+    public void deliverDelayed(FencedOrder order) {
+        if (inTransit.remove(order)) {
             receive(order);
         }
     }
 
-    void receiveLater(NumberedOrder order) {
-        onTheWire.add(order);
+    void addInTransit(FencedOrder order) {
+        inTransit.add(order);
     }
 
     EngineStatus status() {
         EngineLoad load = new EngineLoad(1, 0, runningStreams, CACHE_PIECES, CACHE_PIECES, CACHE_PIECES);
         return new EngineStatus(
-                name + "#" + starts,
+                name + "#" + startCount,
                 role,
-                !busy(),
-                lastOrder.map(NumberedOrder::orderId),
+                !isBusy(),
+                lastOrder.map(FencedOrder::orderId),
                 lastState,
-                checksNumbers ? highestNumber : 0,
+                checksFencingNumbers ? highestFencingNumber : 0,
                 loaded,
                 load);
     }
 
-    void order(NumberedOrder order) throws EngineRefusedOrderException {
+    void order(FencedOrder order) throws EngineRefusedOrderException {
         if (!receive(order)) {
-            throw new EngineRefusedOrderException("The engine refused the order.", name, "Ask for its status.");
+            throw new EngineRefusedOrderException("The engine refused the order.", name, "Query its status.");
         }
     }
 
-    private boolean receive(NumberedOrder order) {
-        boolean repeated = lastOrder.map(NumberedOrder::orderId).equals(Optional.of(order.orderId()));
+    private boolean receive(FencedOrder order) {
+        boolean repeated = lastOrder.map(FencedOrder::orderId).equals(Optional.of(order.orderId()));
         if (repeated) {
             return true;
         }
-        boolean refused = checksNumbers && (order.fencingNumber() < highestNumber || busy());
-        OrderArrival arrival = new OrderArrival(name, order, !refused, busy(), runningStreams);
+        boolean refused = checksFencingNumbers && (order.fencingNumber() < highestFencingNumber || isBusy());
+        OrderArrival arrival = new OrderArrival(name, order, !refused, isBusy(), runningStreams);
         arrivals.add(arrival);
         listeners.forEach(listener -> listener.accept(arrival));
-        highestNumber = Math.max(highestNumber, order.fencingNumber());
+        highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber());
         if (refused) {
             return false;
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeEngineControl.java
@@ -4,9 +4,9 @@
 import org.aspenmoor.internal.engine.EngineRefusedOrderException;
 import org.aspenmoor.internal.engine.EngineStatus;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
-/** One agent's way to a {@link FakeEngine}. */
+/** The control interface of a {@link FakeEngine} for one agent, with injected faults. */
 final class FakeEngineControl implements EngineControl {
     private final FakeEngine engine;
     private final EngineCallFaults faults;
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void order(NumberedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
+    public void order(FencedOrder order) throws EngineRefusedOrderException, EngineUnreachableException {
         faults.beforeSending(order);
         switch (faults.onOrder(order)) {
             case NONE -> engine.order(order);
@@ -35,13 +35,13 @@
                 throw unreachable();
             }
             case ARRIVES_LATE -> {
-                engine.receiveLater(order);
+                engine.addInTransit(order);
                 throw unreachable();
             }
         }
     }
 
     private EngineUnreachableException unreachable() {
-        return new EngineUnreachableException("The engine does not answer.", engine.name(), "Ask for its status.");
+        return new EngineUnreachableException("The engine does not respond.", engine.name(), "Query its status.");
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/FakeStore.java
@@ -11,42 +11,42 @@
 import org.aspenmoor.internal.store.StoreConflictException;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** The contents of an object store in memory; processes reach it through clients with faults of their own. */
+/** An in-memory object store; each process accesses it through its own client with its own faults. */
 public final class FakeStore {
     private final Map<ObjectKey, StoredObject> objects = new HashMap<>();
-    private final Map<ObjectKey, StoredObject> earlier = new HashMap<>();
-    private final List<LateWrite> onTheWire = new ArrayList<>();
+    private final Map<ObjectKey, StoredObject> previousStates = new HashMap<>();
+    private final List<DelayedWrite> inTransit = new ArrayList<>();
     private final List<Consumer<StoreWrite>> listeners = new ArrayList<>();
     private long version;
     private long reads;
     private long writes;
 
-    /** Returns a process's way to the store. */
+    /** Returns a client for one process, with its own faults. */
     public ObjectStore client(StoreCallFaults faults) {
         return new FakeStoreClient(this, faults);
     }
 
-    /** Calls the listener with every write that takes effect. */
-    public void onWrite(Consumer<StoreWrite> listener) {
+    /** Registers a listener that is called with every write that takes effect. */
+    public void addWriteListener(Consumer<StoreWrite> listener) {
         listeners.add(listener);
     }
 
-    /** Lets the oldest write that is still on its way arrive; its condition is checked then. */
-    public boolean deliverLate() {
-        if (onTheWire.isEmpty()) {
+    /** Delivers the oldest write in transit and checks its condition then; returns false if there is none. */
+    public boolean deliverDelayed() {
+        if (inTransit.isEmpty()) {
             return false;
         }
-        LateWrite late = onTheWire.removeFirst();
+        DelayedWrite delayed = inTransit.removeFirst();
         try {
-            put(late.key(), late.base(), late.value());
-        } catch (StoreConflictException outrun) {
-            // The store has moved on; nobody waits for this answer.
+            put(delayed.key(), delayed.base(), delayed.value());
+        } catch (StoreConflictException conflict) {
+            // The object has changed since; the sender no longer waits for the response.
             return true;
         }
         return true;
     }
 
-    /** Returns an object as it is, without counting a call. */
+    /** Returns the current state of an object, without counting a call. */
     public Optional<StoredObject> peek(ObjectKey key) {
         return Optional.ofNullable(objects.get(key));
     }
@@ -56,12 +56,12 @@
         return List.copyOf(objects.values());
     }
 
-    /** Returns how many reads arrived. */
+    /** Returns the number of reads that arrived. */
     public long reads() {
         return reads;
     }
 
-    /** Returns how many writes arrived, taken or refused. */
+    /** Returns the number of writes that arrived, whether accepted or refused. */
     public long writes() {
         return writes;
     }
@@ -73,7 +73,7 @@
 
     Optional<StoredObject> getStale(ObjectKey key) {
         reads++;
-        return Optional.ofNullable(earlier.getOrDefault(key, objects.get(key)));
+        return Optional.ofNullable(previousStates.getOrDefault(key, objects.get(key)));
     }
 
     StoredObject put(ObjectKey key, Optional<StoredObject> base, String value) throws StoreConflictException {
@@ -82,21 +82,21 @@
         Optional<String> expected = base.map(StoredObject::version);
         if (!before.map(StoredObject::version).equals(expected)) {
             throw new StoreConflictException(
-                    "The object has another version than the one read.", key.toString(), "Read it and decide again.");
+                    "The object has changed since it was read.", key.toString(), "Read it and repeat the decision.");
         }
         version++;
         StoredObject after = new StoredObject(key, String.valueOf(version), value);
-        before.ifPresent(old -> earlier.put(key, old));
+        before.ifPresent(old -> previousStates.put(key, old));
         objects.put(key, after);
         StoreWrite write = new StoreWrite(before, after);
         listeners.forEach(listener -> listener.accept(write));
         return after;
     }
 
-    void putLater(ObjectKey key, Optional<StoredObject> base, String value) {
-        onTheWire.add(new LateWrite(key, base, value));
+    void addInTransit(ObjectKey key, Optional<StoredObject> base, String value) {
+        inTransit.add(new DelayedWrite(key, base, value));
     }
 
-    /** A write that is still on its way. */
-    private record LateWrite(ObjectKey key, Optional<StoredObject> base, String value) {}
+    /** A write in transit. */
+    private record DelayedWrite(ObjectKey key, Optional<StoredObject> base, String value) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/fake/OrderArrival.java
@@ -1,14 +1,14 @@
 package org.aspenmoor.internal.fake;
 
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
 /**
- * An order that reached an engine.
+ * An order that arrived at an engine.
  *
- * @param engine the engine's name
+ * @param engine the name of the engine
  * @param order the order
- * @param begun whether the engine began it
- * @param whileBusy whether another order was being carried out
- * @param streamsCut how many streams ran
+ * @param started whether the engine started to execute it
+ * @param engineBusy whether another order was being executed at the time
+ * @param runningStreams the number of streams that were running at the time
  */
-public record OrderArrival(String engine, NumberedOrder order, boolean begun, boolean whileBusy, int streamsCut) {}
+public record OrderArrival(String engine, FencedOrder order, boolean started, boolean engineBusy, int runningStreams) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/limit/TokenBucket.java
@@ -3,36 +3,37 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * A token bucket: so many a second in the long run, and some more at once after a quiet time. It starts full.
+ * A token bucket that allows a sustained rate and, after an idle period, a burst up to its capacity. It starts full.
  *
- * <p>Used by one thread only.
+ * <p>Not thread-safe.
  */
 public final class TokenBucket {
-    private static final double NANOSECONDS_OF_SECOND = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final TimeSource time;
-    private final double perSecond;
-    private final double mostSaved;
-    private double saved;
-    private long refilledAt;
+    private final double tokensPerSecond;
+    private final double capacity;
+    private double availableTokens;
+    private long lastRefillNanos;
 
-    public TokenBucket(TimeSource time, double perSecond, double mostSaved) {
+    public TokenBucket(TimeSource time, double tokensPerSecond, double capacity) {
         this.time = time;
-        this.perSecond = perSecond;
-        this.mostSaved = mostSaved;
-        this.saved = mostSaved;
-        this.refilledAt = time.monotonicNanoseconds();
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = capacity;
+        this.availableTokens = capacity;
+        this.lastRefillNanos = time.monotonicNanos();
     }
 
-    /** Takes one if there is one left. */
-    public boolean take() {
-        long now = time.monotonicNanoseconds();
-        saved = Math.min(mostSaved, saved + (now - refilledAt) / NANOSECONDS_OF_SECOND * perSecond);
-        refilledAt = now;
-        if (saved < 1) {
+    /** Takes one token if available; returns whether one was taken. */
+    public boolean tryAcquire() {
+        long now = time.monotonicNanos();
+        availableTokens =
+                Math.min(capacity, availableTokens + (now - lastRefillNanos) / NANOS_PER_SECOND * tokensPerSecond);
+        lastRefillNanos = now;
+        if (availableTokens < 1) {
             return false;
         }
-        saved -= 1;
+        availableTokens -= 1;
         return true;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Member.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/membership/Member.java
@@ -4,93 +4,93 @@
 import java.util.Deque;
 import java.util.Optional;
 
-/** What one entry has heard of one backend server. */
+/** What one entry knows about one backend server. */
 final class Member {
-    private static final int MOST_LEFT_INCARNATIONS = 8;
+    private static final int MAX_DEPARTED_INCARNATIONS = 8;
 
-    private final Deque<String> leftIncarnations = new ArrayDeque<>();
+    private final Deque<String> departedIncarnations = new ArrayDeque<>();
     private Optional<String> incarnation = Optional.empty();
     private long connection = -1;
-    private boolean linkUp;
-    private long aliveAtNanoseconds;
-    private Optional<Standing.Witness> listWitness = Optional.empty();
+    private boolean connected;
+    private long lastAliveNanoseconds;
+    private Optional<MembershipState.Source> listSource = Optional.empty();
     private Optional<String> withdrawnIncarnation = Optional.empty();
-    private boolean everListed;
+    private boolean wasListed;
 
-    /** Takes a hello; one of an earlier connection is ignored. */
-    void hello(String newIncarnation, long newConnection, long provenAt) {
+    /** Records a hello; one from an earlier connection is ignored. */
+    void helloReceived(String newIncarnation, long newConnection, long provenAtNanoseconds) {
         if (newConnection < connection) {
             return;
         }
         connection = newConnection;
         incarnation = Optional.of(newIncarnation);
-        linkUp = true;
-        aliveAtNanoseconds = provenAt;
+        connected = true;
+        lastAliveNanoseconds = provenAtNanoseconds;
     }
 
-    void alive(long onConnection, long provenAt) {
-        if (onConnection == connection && linkUp) {
-            aliveAtNanoseconds = Math.max(aliveAtNanoseconds, provenAt);
+    void probeAnswered(long probedConnection, long provenAtNanoseconds) {
+        if (probedConnection == connection && connected) {
+            lastAliveNanoseconds = Math.max(lastAliveNanoseconds, provenAtNanoseconds);
         }
     }
 
     void linkLost(long lostConnection) {
         if (lostConnection == connection) {
-            linkUp = false;
+            connected = false;
         }
     }
 
-    void leaving(String leavingIncarnation) {
-        if (leftIncarnations.contains(leavingIncarnation)) {
+    void leavingAnnounced(String leavingIncarnation) {
+        if (departedIncarnations.contains(leavingIncarnation)) {
             return;
         }
-        leftIncarnations.add(leavingIncarnation);
-        if (leftIncarnations.size() > MOST_LEFT_INCARNATIONS) {
-            leftIncarnations.remove();
+        departedIncarnations.add(leavingIncarnation);
+        if (departedIncarnations.size() > MAX_DEPARTED_INCARNATIONS) {
+            departedIncarnations.remove();
         }
     }
 
     void listed(boolean leaving) {
-        everListed = true;
+        wasListed = true;
         if (leaving) {
-            withdraw(Standing.Witness.HOST_LIST);
+            withdraw(MembershipState.Source.HOST_LIST);
         } else {
-            listWitness = Optional.empty();
+            listSource = Optional.empty();
             withdrawnIncarnation = Optional.empty();
         }
     }
 
-    void unlisted() {
-        if (everListed) {
-            withdraw(Standing.Witness.GONE_FROM_HOST_LIST);
+    void removedFromList() {
+        if (wasListed) {
+            withdraw(MembershipState.Source.GONE_FROM_HOST_LIST);
         }
     }
 
-    private void withdraw(Standing.Witness witness) {
+    private void withdraw(MembershipState.Source source) {
         if (withdrawnIncarnation.isEmpty()) {
             withdrawnIncarnation = incarnation;
         }
-        listWitness = Optional.of(witness);
+        listSource = Optional.of(source);
     }
 
-    Standing standing(long now, long silenceAllowedNanoseconds) {
+    MembershipState state(long nowNanoseconds, long linkTimeoutNanoseconds) {
         if (incarnation.isEmpty()) {
-            return new Standing.Unmet();
+            return new MembershipState.NeverConnected();
         }
-        if (leftIncarnations.contains(incarnation.get())) {
-            return new Standing.Leaving(Standing.Witness.AGENT);
+        if (departedIncarnations.contains(incarnation.get())) {
+            return new MembershipState.Leaving(MembershipState.Source.AGENT);
         }
-        if (!linkUp || now - aliveAtNanoseconds >= silenceAllowedNanoseconds) {
-            return new Standing.Silent();
+        if (!connected || nowNanoseconds - lastAliveNanoseconds >= linkTimeoutNanoseconds) {
+            return new MembershipState.Unresponsive();
         }
-        if (listWitness.isPresent() && !startedAfterWithdrawal()) {
-            return new Standing.Leaving(listWitness.get());
+        if (listSource.isPresent() && !isStartedAfterWithdrawal()) {
+            return new MembershipState.Leaving(listSource.get());
         }
-        return new Standing.Serving();
+        return new MembershipState.Serving();
     }
 
-    /** Says whether the agent on the link is another one than that which the list withdrew. */
-    private boolean startedAfterWithdrawal() {
+    /** Returns whether the connected agent is another incarnation than the one that the host list withdrew. */
+    private boolean isStartedAfterWithdrawal() {
         return withdrawnIncarnation.isPresent() && !withdrawnIncarnation.equals(incarnation);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/CircuitBreaker.java
@@ -5,17 +5,18 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Keeps attempts away from one backend server that fails or stalls.
+ * Withholds attempts from one backend server that fails or stalls.
  *
- * <p>An engine that accepts requests and answers none looks idle, so a router that goes by load alone sends it more and
- * more; callers would see deadlines missed while other engines have room. After some failures in a row the engine gets
- * nothing for a while, then one trial. Pauses vary by a quarter, so that entries do not all try at one moment.
+ * <p>An engine that accepts requests and answers none looks idle, so a router that considers load alone sends it
+ * more and more requests, and deadlines are missed while other engines have capacity. After a number of consecutive
+ * failures the breaker opens for a while, then allows one trial. The time it stays open varies by a quarter in
+ * either direction, so that entries do not all send their trials at the same moment.
  *
  * <p>Used by one thread only.
  */
 public final class CircuitBreaker {
-    private static final double SHORTEST_SHARE = 0.75;
-    private static final double VARYING_SHARE = 0.5;
+    private static final double MIN_JITTER_FACTOR = 0.75;
+    private static final double JITTER_RANGE = 0.5;
 
     private final BreakerSettings settings;
     private final TimeSource time;
@@ -28,71 +29,74 @@
         this.random = random;
     }
 
-    /** Asks for an attempt; a {@link BreakerDecision.Trial} has to be followed by its success or failure. */
-    public BreakerDecision ask() {
+    /**
+     * Requests permission for an attempt; a {@link BreakerDecision.Trial} must be followed by its success or
+     * failure.
+     */
+    public BreakerDecision tryAcquire() {
         return switch (state) {
-            case State.Closed closed -> new BreakerDecision.Pass();
-            case State.Opened opened -> askOpened(opened);
-            case State.Trying trying -> askTrying(trying);
+            case State.Closed closed -> new BreakerDecision.Allowed();
+            case State.Open open -> tryAcquireOpen(open);
+            case State.HalfOpen halfOpen -> tryAcquireHalfOpen(halfOpen);
         };
     }
 
-    /** Notes an attempt that was answered. */
-    public void succeeded() {
+    /** Records an attempt that was answered. */
+    public void recordSuccess() {
         state = new State.Closed(0);
     }
 
-    /** Notes an attempt that failed or stalled. */
-    public void failed() {
+    /** Records an attempt that failed or stalled. */
+    public void recordFailure() {
         switch (state) {
             case State.Closed closed
-            when closed.failures() + 1 < settings.failuresInARow() -> state = new State.Closed(closed.failures() + 1);
-            case State.Closed closed -> open(settings.firstPause());
-            case State.Trying trying -> open(longer(trying.pause()));
-            case State.Opened opened -> {
-                // An attempt from before the breaker opened; it says nothing new.
+            when closed.failures() + 1 < settings.failureThreshold() -> state = new State.Closed(closed.failures() + 1);
+            case State.Closed closed -> open(settings.initialOpenTime());
+            case State.HalfOpen halfOpen -> open(doubledOpenTime(halfOpen.openTime()));
+            case State.Open open -> {
+                // The attempt was sent before the breaker opened and adds no information.
             }
         }
     }
 
-    private BreakerDecision askOpened(State.Opened opened) {
-        long remaining = opened.untilNanoseconds() - time.monotonicNanoseconds();
+    private BreakerDecision tryAcquireOpen(State.Open open) {
+        long remaining = open.untilNanoseconds() - time.monotonicNanos();
         if (remaining > 0) {
-            return new BreakerDecision.Open(Duration.ofNanos(remaining));
+            return new BreakerDecision.Rejected(Duration.ofNanos(remaining));
         }
-        state = new State.Trying(opened.pause(), time.monotonicNanoseconds());
+        state = new State.HalfOpen(open.openTime(), time.monotonicNanos());
         return new BreakerDecision.Trial();
     }
 
-    private BreakerDecision askTrying(State.Trying trying) {
-        Duration age = Duration.ofNanos(time.monotonicNanoseconds() - trying.sinceNanoseconds());
+    private BreakerDecision tryAcquireHalfOpen(State.HalfOpen halfOpen) {
+        Duration age = Duration.ofNanos(time.monotonicNanos() - halfOpen.sinceNanoseconds());
         if (age.compareTo(settings.trialTimeout()) < 0) {
-            return new BreakerDecision.Open(settings.trialTimeout().minus(age));
+            return new BreakerDecision.Rejected(settings.trialTimeout().minus(age));
         }
-        open(longer(trying.pause()));
-        return ask();
+        open(doubledOpenTime(halfOpen.openTime()));
+        return tryAcquire();
     }
 
-    private void open(Duration pause) {
-        double share = SHORTEST_SHARE + VARYING_SHARE * random.nextDouble();
-        long varied = (long) (pause.toNanos() * share);
-        state = new State.Opened(pause, time.monotonicNanoseconds() + varied);
+    private void open(Duration openTime) {
+        double jitterFactor = MIN_JITTER_FACTOR + JITTER_RANGE * random.nextDouble();
+        long jitteredNanos = (long) (openTime.toNanos() * jitterFactor);
+        state = new State.Open(openTime, time.monotonicNanos() + jitteredNanos);
     }
 
-    private Duration longer(Duration pause) {
-        Duration doubled = pause.multipliedBy(2);
-        return doubled.compareTo(settings.longestPause()) < 0 ? doubled : settings.longestPause();
+    private Duration doubledOpenTime(Duration openTime) {
+        Duration doubled = openTime.multipliedBy(2);
+        return doubled.compareTo(settings.maxOpenTime()) < 0 ? doubled : settings.maxOpenTime();
     }
 
-    /** What the breaker knows. */
+    /** State of the breaker. */
     private sealed interface State {
-        /** Attempts pass; so many failed in a row. */
+        /** Attempts are allowed; counts the consecutive failures. */
         record Closed(int failures) implements State {}
 
-        /** Nothing passes until then. */
-        record Opened(Duration pause, long untilNanoseconds) implements State {}
+        /** Attempts are rejected until the given time. */
+        record Open(Duration openTime, long untilNanoseconds) implements State {}
 
-        /** One attempt is finding out. */
-        record Trying(Duration pause, long sinceNanoseconds) implements State {}
+        /** One trial is in progress. */
+        record HalfOpen(Duration openTime, long sinceNanoseconds) implements State {}
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/retry/RetryBudget.java
@@ -3,50 +3,50 @@
 import java.time.Duration;
 
 /**
- * Limits the retries of one team to a share of its requests.
+ * Limits the retries of one team to a fraction of its requests.
  *
- * <p>When engines are overloaded, attempts fail, and if each is repeated the load doubles or triples and nothing
- * recovers: one would see attempts grow while answers fall. Each first attempt therefore earns a part of a retry, and a
- * retry takes a whole one. There is no refill by time, so silence earns nothing.
+ * <p>When engines are overloaded, attempts fail. If each is retried, the load doubles or triples and the system
+ * does not recover: attempts increase while answers decrease. Each first attempt therefore earns a fraction of a
+ * retry, and a retry costs a whole one. The budget is not refilled over time, so idle periods earn nothing.
  *
  * <p>Used by one thread only.
  */
 public final class RetryBudget {
-    private final double earnedByRequest;
-    private final double mostSaved;
-    private final Duration comeBackAfter;
-    private double saved;
+    private final double retriesPerRequest;
+    private final double maxRetries;
+    private final Duration retryAfter;
+    private double availableRetries;
 
     /**
-     * Makes a budget that starts full.
+     * Creates a budget that starts full.
      *
-     * @param earnedByRequest retries earned by each first attempt, for example 0.1
-     * @param mostSaved how many retries may be saved up
-     * @param comeBackAfter what a caller is told when the budget is spent
+     * @param retriesPerRequest retries earned by each first attempt, for example 0.1
+     * @param maxRetries the maximum number of retries in the budget
+     * @param retryAfter the wait that a caller is told when the budget is exhausted
      */
-    public RetryBudget(double earnedByRequest, double mostSaved, Duration comeBackAfter) {
-        this.earnedByRequest = earnedByRequest;
-        this.mostSaved = mostSaved;
-        this.comeBackAfter = comeBackAfter;
-        this.saved = mostSaved;
+    public RetryBudget(double retriesPerRequest, double maxRetries, Duration retryAfter) {
+        this.retriesPerRequest = retriesPerRequest;
+        this.maxRetries = maxRetries;
+        this.retryAfter = retryAfter;
+        this.availableRetries = maxRetries;
     }
 
-    /** Notes a first attempt. */
-    public void firstAttempt() {
-        saved = Math.min(mostSaved, saved + earnedByRequest);
+    /** Records a first attempt. */
+    public void recordFirstAttempt() {
+        availableRetries = Math.min(maxRetries, availableRetries + retriesPerRequest);
     }
 
-    /** Takes a retry if there is one left. */
-    public RetryDecision retry() {
-        if (saved < 1) {
-            return new RetryDecision.Spent(comeBackAfter);
+    /** Takes a retry from the budget if one is left. */
+    public RetryDecision tryAcquire() {
+        if (availableRetries < 1) {
+            return new RetryDecision.Exhausted(retryAfter);
         }
-        saved -= 1;
+        availableRetries -= 1;
         return new RetryDecision.Granted();
     }
 
-    /** Returns how many retries are left. */
-    public double saved() {
-        return saved;
+    /** Returns the number of retries left. */
+    public double availableRetries() {
+        return availableRetries;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
 
 /**
  * The registered backend servers, as far as this process knows. Confined to one thread.
@@ -36,7 +36,7 @@
     private static final int MAX_DRAINING = 512;
 
     private final Map<String, BackendServer> servers = new LinkedHashMap<>();
-    private final Set<ServerStart> draining = new LinkedHashSet<>();
+    private final Set<ServerIncarnation> draining = new LinkedHashSet<>();
     private final Map<String, Long> unconfirmedUntil = new LinkedHashMap<>();
     private long interruptedAt = Long.MIN_VALUE;
     private boolean interrupted;
@@ -48,9 +48,9 @@
      * store was restored from an older copy.
      */
     public BackendServer registrationChanged(BackendServer server) {
-        BackendServer known = draining.contains(ServerStart.of(server)) ? server.asDraining() : server;
+        BackendServer known = draining.contains(ServerIncarnation.of(server)) ? server.asDraining() : server;
         if (known.state() == BackendState.DRAINING) {
-            rememberDraining(ServerStart.of(server));
+            rememberDraining(ServerIncarnation.of(server));
         }
         servers.put(server.id(), known);
         unconfirmedUntil.remove(server.id());
@@ -108,7 +108,7 @@
         return expired;
     }
 
-    private void rememberDraining(ServerStart start) {
+    private void rememberDraining(ServerIncarnation start) {
         draining.add(start);
         if (draining.size() > MAX_DRAINING) {
             draining.remove(draining.iterator().next());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerReport.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 
 /**
  * A load report from another entry.
@@ -27,7 +27,7 @@
         List<LearnedSpeed> speeds,
         List<EventSize> eventSizes,
         List<RoleChange> roleChanges,
-        List<ServerEnd> serverTerminations,
+        List<ServerTermination> serverTerminations,
         boolean stopping) {
     public PeerReport {
         loads = Map.copyOf(loads);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
@@ -42,7 +42,7 @@
         this.ratio = ratio;
         this.slack = slack;
         this.bucketNanoseconds = window.toNanos() / BUCKETS;
-        this.currentBucket = time.monotonicNanoseconds() / bucketNanoseconds;
+        this.currentBucket = time.monotonicNanos() / bucketNanoseconds;
     }
 
     /** Records a request to the service. */
@@ -67,7 +67,7 @@
     }
 
     private void advance() {
-        long now = time.monotonicNanoseconds() / bucketNanoseconds;
+        long now = time.monotonicNanos() / bucketNanoseconds;
         long steps = Math.min(BUCKETS, now - currentBucket);
         for (long step = 1; step <= steps; step++) {
             requests[index(currentBucket + step)] = 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/InMemoryObjectStore.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/store/InMemoryObjectStore.java
@@ -8,13 +8,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * An object store in the memory of one process, for tests and benches.
+ * An object store in the memory of one process, for tests and simulations.
  *
- * <p>Watches hear of a change on the thread that made it, after it took effect.
+ * <p>Watch listeners are called on the thread that made the change, after the change took effect.
  */
 public final class InMemoryObjectStore implements ObjectStore {
-    /** Versions of different generations differ. */
-    private static final long VERSIONS_OF_A_GENERATION = 1_000_000_000_000L;
+    /** Spaces the version numbers of two generations so far apart that they never coincide. */
+    private static final long VERSIONS_PER_GENERATION = 1_000_000_000_000L;
 
     private final Object lock = new Object();
     private final Map<ObjectKey, StoredObject> objects = new LinkedHashMap<>();
@@ -29,26 +29,28 @@
         }
     }
 
-    /** Returns a copy of all objects, from which the store can come back later. */
-    public List<StoredObject> copy() {
+    /** Returns a snapshot of all objects, for {@link #restoreFrom}. */
+    public List<StoredObject> snapshot() {
         synchronized (lock) {
             return List.copyOf(objects.values());
         }
     }
 
-    /** Comes back from an older copy: what was written since is gone, the generation rises, and all watches end. */
-    public void comeBackFrom(List<StoredObject> copy) {
+    /**
+     * Restores the store from an older snapshot: later writes are lost, the generation increases, and all watches end.
+     */
+    public void restoreFrom(List<StoredObject> snapshot) {
         synchronized (lock) {
             generation++;
             objects.clear();
-            lastVersion = generation * VERSIONS_OF_A_GENERATION;
-            copy.forEach(object -> put(object.key(), object.value()));
+            lastVersion = generation * VERSIONS_PER_GENERATION;
+            snapshot.forEach(object -> put(object.key(), object.value()));
         }
         StoreUnavailableException cause = new StoreUnavailableException(
-                "The store has come back from an older copy.", "memory", "List the objects again.");
-        List<Subscription> ended = List.copyOf(subscriptions);
-        subscriptions.removeAll(ended);
-        ended.forEach(subscription -> subscription.listener.ended(cause));
+                "The store was restored from an older snapshot.", "memory", "List the objects again.");
+        List<Subscription> endedSubscriptions = List.copyOf(subscriptions);
+        subscriptions.removeAll(endedSubscriptions);
+        endedSubscriptions.forEach(subscription -> subscription.listener.ended(cause));
     }
 
     @Override
@@ -80,11 +82,12 @@
         StoredObject created;
         synchronized (lock) {
             if (objects.containsKey(key)) {
-                throw new StoreConflictException("The object exists.", key.toString(), "Read it and update it.");
+                throw new StoreConflictException(
+                        "The object already exists.", key.toString(), "Read it and update it.");
             }
             created = put(key, value);
         }
-        tellChanged(created);
+        notifyChanged(created);
         return created;
     }
 
@@ -95,7 +98,7 @@
             requireUnchanged(read);
             updated = put(read.key(), value);
         }
-        tellChanged(updated);
+        notifyChanged(updated);
         return updated;
     }
 
@@ -143,11 +146,11 @@
             throw new StoreConflictException(
                     "The object has changed since it was read.",
                     read.key().toString(),
-                    "Read it again and decide anew.");
+                    "Read it again and repeat the decision.");
         }
     }
 
-    private void tellChanged(StoredObject object) {
+    private void notifyChanged(StoredObject object) {
         for (Subscription subscription : subscriptions) {
             if (subscription.kind == object.key().kind()) {
                 subscription.listener.changed(object);
@@ -155,7 +158,7 @@
         }
     }
 
-    /** One running watch. */
+    /** An open watch. */
     private static final class Subscription {
         private final ObjectKind kind;
         private final StoreWatchListener listener;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/time/ManualTimeSource.java
@@ -3,29 +3,29 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** A clock that moves only when told to, for tests and benches. */
+/** A clock that moves only when it is advanced, for tests and simulations. */
 public final class ManualTimeSource implements TimeSource {
     private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-    private long nanoseconds;
+    private long elapsedNanos;
 
-    /** Moves the clock forward. */
+    /** Advances the clock. */
     public void advance(Duration step) {
-        advanceNanoseconds(step.toNanos());
+        advanceNanos(step.toNanos());
     }
 
-    /** Moves the clock forward by nanoseconds. */
-    public void advanceNanoseconds(long step) {
-        nanoseconds += step;
+    /** Advances the clock by the given nanoseconds. */
+    public void advanceNanos(long nanos) {
+        elapsedNanos += nanos;
     }
 
     @Override
-    public long monotonicNanoseconds() {
-        return nanoseconds;
+    public long monotonicNanos() {
+        return elapsedNanos;
     }
 
     @Override
-    public Instant timeOfDay() {
-        return START.plusNanos(nanoseconds);
+    public Instant wallClockTime() {
+        return START.plusNanos(elapsedNanos);
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/OneEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/EngineFixture.java
@@ -19,30 +19,30 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.time.ManualTimeSource;
 
-/** One engine, its first agent, and a planner. */
-final class OneEngine {
+/** A test fixture with one engine, its first agent, and a planner. */
+final class EngineFixture {
     private static final ObjectKey PLAN = new ObjectKey(ObjectKind.ROLE_PLAN, "seitkali", "drafting.almaty-1");
     private static final ObjectKey RECORD =
             new ObjectKey(ObjectKind.ENGINE_RECORD, ObjectKey.PLATFORM_NAMESPACE, "engine-1");
 
     private final ManualTimeSource time = new ManualTimeSource();
     private final FakeStore store = new FakeStore();
-    private final ScriptedStoreFaults faults = new ScriptedStoreFaults();
+    private final ScriptedStoreFaults storeFaults = new ScriptedStoreFaults();
     private final ScriptedEngineFaults engineFaults = new ScriptedEngineFaults();
     private final FakeEngine engine;
-    private final CountingDrain drain;
+    private final EngineDrain drain;
     private final OrderExecutor agent;
 
     private final PlanHolder planner;
-    private int agents;
+    private int agentCount;
 
-    OneEngine(FakeEngine engine) throws StoreException {
+    EngineFixture(FakeEngine engine) throws StoreException {
         this.engine = engine;
-        this.drain = new CountingDrain(engine);
+        this.drain = new EngineDrain(engine);
         this.planner = new PlanHolder(
-                store.client(StoreCallFaults.NONE), PLAN, "entry-1", LeaseTerms.DEFAULT, time, new Random(7));
-        planner.tend();
-        this.agent = agent("agent-1", faults, engineFaults);
+                store.client(StoreCallFaults.NONE), PLAN, "entry-1", LeaseTimings.DEFAULT, time, new Random(7));
+        planner.maintainLease();
+        this.agent = agent("agent-1", storeFaults, engineFaults);
         agent.step();
     }
 
@@ -54,8 +54,8 @@
         return store;
     }
 
-    ScriptedStoreFaults faults() {
-        return faults;
+    ScriptedStoreFaults storeFaults() {
+        return storeFaults;
     }
 
     ScriptedEngineFaults engineFaults() {
@@ -66,7 +66,7 @@
         return engine;
     }
 
-    CountingDrain drain() {
+    EngineDrain drain() {
         return drain;
     }
 
@@ -74,13 +74,13 @@
         return agent;
     }
 
-    /** Publishes a plan and shows it to the first agent. */
+    /** Publishes a plan and offers it to the first agent. */
     void publish(EngineRole role) throws StoreException {
-        publishUnseen(role);
+        publishWithoutOffer(role);
         agent.offer(planObject());
     }
 
-    void publishUnseen(EngineRole role) throws StoreException {
+    void publishWithoutOffer(EngineRole role) throws StoreException {
         publish(EngineAssignment.ofRole(role));
     }
 
@@ -97,15 +97,15 @@
         return store.peek(PLAN).orElseThrow();
     }
 
-    /** Starts another agent that knows the plan and has taken the engine over. */
+    /** Starts another agent, which takes the engine over and is offered the plan. */
     OrderExecutor newAgent(String owner) throws StoreException {
         return newAgent(owner, StoreCallFaults.NONE);
     }
 
-    OrderExecutor newAgent(String owner, StoreCallFaults ofAgent) throws StoreException {
-        OrderExecutor executor = agent(owner, ofAgent, EngineCallFaults.NONE);
+    OrderExecutor newAgent(String owner, StoreCallFaults agentStoreFaults) throws StoreException {
+        OrderExecutor executor = agent(owner, agentStoreFaults, EngineCallFaults.NONE);
         executor.step();
-        time.advance(SlotTerms.DEFAULT.handover());
+        time.advance(SlotTimings.DEFAULT.takeoverDelay());
         if (store.peek(PLAN).isPresent()) {
             executor.offer(planObject());
         }
@@ -138,29 +138,29 @@
     }
 
     private void publish(EngineAssignment assignment) throws StoreException {
-        planner.tend();
+        planner.maintainLease();
         planner.publish(Map.of("engine-1", assignment));
     }
 
-    private OrderExecutor agent(String owner, StoreCallFaults storeFaults, EngineCallFaults callFaults) {
-        agents++;
-        SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksNumbers());
+    private OrderExecutor agent(String owner, StoreCallFaults agentStoreFaults, EngineCallFaults callFaults) {
+        agentCount++;
+        SlotIdentity slot = new SlotIdentity("engine-1", owner, RECORD, PLAN, engine.checksFencingNumbers());
         return new OrderExecutor(
                 slot,
-                store.client(storeFaults),
+                store.client(agentStoreFaults),
                 engine.control(callFaults),
                 drain,
-                SlotTerms.DEFAULT,
+                SlotTimings.DEFAULT,
                 time,
-                new Random(agents));
+                new Random(agentCount));
     }
 
-    /** A drain that reports the engine's own streams. */
-    static final class CountingDrain implements StreamDrain {
+    /** A drain that reports the running streams of the engine. */
+    static final class EngineDrain implements StreamDrain {
         private final FakeEngine engine;
         private boolean draining;
 
-        CountingDrain(FakeEngine engine) {
+        EngineDrain(FakeEngine engine) {
             this.engine = engine;
         }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanHolderTest.java
@@ -32,202 +32,202 @@
 
     private ManualTimeSource time;
     private FakeStore store;
-    private ScriptedStoreFaults faultsOfFirst;
-    private PlanHolder first;
-    private PlanHolder second;
+    private ScriptedStoreFaults firstHolderFaults;
+    private PlanHolder firstHolder;
+    private PlanHolder secondHolder;
 
     @BeforeMethod
     public void setUp() {
         time = new ManualTimeSource();
         store = new FakeStore();
-        faultsOfFirst = new ScriptedStoreFaults();
-        first = holder("entry-1", faultsOfFirst, 1);
-        second = holder("entry-2", new ScriptedStoreFaults(), 2);
+        firstHolderFaults = new ScriptedStoreFaults();
+        firstHolder = holder("entry-1", firstHolderFaults, 1);
+        secondHolder = holder("entry-2", new ScriptedStoreFaults(), 2);
     }
 
     @Test
-    public void should_take_a_lease_that_nobody_holds_and_publish() throws StoreException {
-        assertEquals(first.tend(), new HolderStep.Acquired(1));
+    public void should_acquire_lease_and_publish_when_no_lease_exists() throws StoreException {
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Acquired(1));
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
 
         assertEquals(stored().version(), new PlanVersion(1, 1));
         assertEquals(stored().engines(), FIRST_PLAN);
     }
 
     @Test
-    public void should_keep_others_away_while_the_holder_renews() throws StoreException {
-        first.tend();
+    public void should_not_acquire_lease_when_holder_renews_it() throws StoreException {
+        firstHolder.maintainLease();
         for (int second = 0; second < 60; second++) {
             time.advance(Duration.ofSeconds(1));
-            first.tend();
-            assertTrue(this.second.tend() instanceof HolderStep.Observing);
+            firstHolder.maintainLease();
+            assertTrue(this.secondHolder.maintainLease() instanceof LeaseStep.Observing);
         }
-        assertTrue(first.mayDecide());
+        assertTrue(firstHolder.mayDecide());
         assertEquals(stored().version(), new PlanVersion(1, 0));
     }
 
-    // The holder is killed. Its plan stays in force, and after a full lease without a change another entry plans on
-    // under the next term; nobody has to do anything.
+    // The holder is killed. Its plan stays in force, and after a complete lease without a change another entry takes
+    // over under the next term, without any operator action.
     @Test
-    public void should_take_over_with_the_next_term_after_a_whole_lease_without_change() throws StoreException {
-        first.tend();
-        first.publish(FIRST_PLAN);
-        second.tend();
-        time.advance(LeaseTerms.DEFAULT.length().minusMillis(1));
-        assertTrue(second.tend() instanceof HolderStep.Observing);
+    public void should_take_over_with_next_term_when_lease_passed_without_change() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolder.publish(FIRST_PLAN);
+        secondHolder.maintainLease();
+        time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1));
+        assertTrue(secondHolder.maintainLease() instanceof LeaseStep.Observing);
         time.advance(Duration.ofMillis(1));
 
-        assertEquals(second.tend(), new HolderStep.Acquired(2));
+        assertEquals(secondHolder.maintainLease(), new LeaseStep.Acquired(2));
 
         assertEquals(stored().version(), new PlanVersion(2, 1));
         assertEquals(stored().engines(), FIRST_PLAN);
     }
 
-    // The holder's host is paused past its lease. When it runs again it still has a plan in hand; published, it would
-    // move engines that its successor has just moved.
+    // The host of the holder is paused beyond its lease. When it resumes it must not publish its pending plan, which
+    // would revert the role changes of its successor.
     @Test
-    public void should_not_publish_after_a_pause_past_the_lease() throws StoreException {
-        first.tend();
+    public void should_not_publish_when_paused_beyond_lease() throws StoreException {
+        firstHolder.maintainLease();
         long writes = store.writes();
-        time.advance(LeaseTerms.DEFAULT.usable());
+        time.advance(LeaseTimings.DEFAULT.usableDuration());
 
-        assertEquals(first.publish(FIRST_PLAN), new PublishResult.NotHolder());
-        assertFalse(first.mayDecide());
+        assertEquals(firstHolder.publish(FIRST_PLAN), new PublishResult.NotHolder());
+        assertFalse(firstHolder.mayDecide());
         assertEquals(store.writes(), writes);
     }
 
-    // The pause comes in the moment between the look at the lease and the write, and a successor takes over meanwhile.
-    // The write leaves only then; taken, it would silently replace the successor's plan.
+    // The pause falls between the check of the lease and the write, and a successor takes over meanwhile. If the write
+    // were accepted afterwards, it would silently replace the plan of the successor.
     @Test
-    public void should_refuse_a_plan_that_was_on_its_way_when_a_successor_took_over() throws StoreException {
-        first.tend();
-        second.tend();
-        faultsOfFirst.beforeNextEffect(() -> {
-            time.advance(LeaseTerms.DEFAULT.length());
-            tendQuietly(second);
-            publishQuietly(second, SECOND_PLAN);
+    public void should_reject_plan_when_successor_took_over_during_its_transit() throws StoreException {
+        firstHolder.maintainLease();
+        secondHolder.maintainLease();
+        firstHolderFaults.beforeNextEffect(() -> {
+            time.advance(LeaseTimings.DEFAULT.duration());
+            maintainLeaseUnchecked(secondHolder);
+            publishUnchecked(secondHolder, SECOND_PLAN);
         });
 
-        assertEquals(first.publish(FIRST_PLAN), new PublishResult.Superseded());
+        assertEquals(firstHolder.publish(FIRST_PLAN), new PublishResult.Superseded());
 
         assertEquals(stored().version(), new PlanVersion(2, 1));
         assertEquals(stored().engines(), SECOND_PLAN);
     }
 
-    // The same pause, but nobody has taken over when the write lands. The plan is the holder's last act under its own
-    // term: it counts, and a would-be successor has to wait a whole lease again because the version moved.
+    // The same pause, but no successor has taken over when the write arrives. The plan is valid under the term of the
+    // holder, and a successor has to wait a complete lease again because the version changed.
     @Test
-    public void should_count_a_plan_that_lands_after_the_lapse_and_before_any_takeover() throws StoreException {
-        first.tend();
-        second.tend();
-        faultsOfFirst.beforeNextEffect(
-                () -> time.advance(LeaseTerms.DEFAULT.length().minusMillis(1)));
+    public void should_accept_plan_when_it_arrives_after_expiry_and_before_takeover() throws StoreException {
+        firstHolder.maintainLease();
+        secondHolder.maintainLease();
+        firstHolderFaults.beforeNextEffect(
+                () -> time.advance(LeaseTimings.DEFAULT.duration().minusMillis(1)));
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
         time.advance(Duration.ofMillis(1));
 
-        assertTrue(second.tend() instanceof HolderStep.Observing);
+        assertTrue(secondHolder.maintainLease() instanceof LeaseStep.Observing);
         assertEquals(stored().version(), new PlanVersion(1, 1));
-        assertFalse(first.mayDecide());
+        assertFalse(firstHolder.mayDecide());
     }
 
-    // The holder is paused after its plan took effect and before it hears so. Meanwhile a successor takes over and
-    // publishes. The former holder must not go on as if it still planned.
+    // The holder is paused after its plan took effect and before it receives the response, and a successor takes over
+    // meanwhile. The former holder must not continue to decide.
     @Test
-    public void should_stop_deciding_when_paused_after_the_write() throws StoreException {
-        first.tend();
-        faultsOfFirst.afterNextEffect(() -> {
-            tendQuietly(second);
-            time.advance(LeaseTerms.DEFAULT.length());
-            tendQuietly(second);
+    public void should_stop_deciding_when_paused_after_write() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolderFaults.afterNextEffect(() -> {
+            maintainLeaseUnchecked(secondHolder);
+            time.advance(LeaseTimings.DEFAULT.duration());
+            maintainLeaseUnchecked(secondHolder);
         });
 
-        first.publish(FIRST_PLAN);
+        firstHolder.publish(FIRST_PLAN);
 
-        assertFalse(first.mayDecide());
-        assertEquals(first.tend(), new HolderStep.Lost(1));
+        assertFalse(firstHolder.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Lost(1));
         assertEquals(stored().version(), new PlanVersion(2, 1));
     }
 
-    // The store takes a plan and its answer is lost. Taken for a failure, the holder would meet its own plan as a
-    // conflict and give up a lease that it holds; the service would be without a planner for a lease.
+    // A plan is written and the response is lost. If this were treated as a failure, the holder would get a conflict
+    // caused by its own plan and give up a lease that it holds; the service would have no planner for one lease.
     @Test
-    public void should_settle_a_lost_answer_by_reading() throws StoreException {
-        first.tend();
-        faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
+    public void should_read_object_when_response_to_publish_is_lost() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolderFaults.addWriteFault(StoreFault.ANSWER_LOST);
 
-        assertTrue(first.publish(FIRST_PLAN) instanceof PublishResult.Published);
-        assertTrue(first.mayDecide());
-        assertTrue(first.publish(SECOND_PLAN) instanceof PublishResult.Published);
+        assertTrue(firstHolder.publish(FIRST_PLAN) instanceof PublishResult.Published);
+        assertTrue(firstHolder.mayDecide());
+        assertTrue(firstHolder.publish(SECOND_PLAN) instanceof PublishResult.Published);
         assertEquals(stored().version(), new PlanVersion(1, 2));
     }
 
-    // The answer to a takeover is lost, and so is the read that would settle it. The entry owns the lease without
-    // knowing since when, so it may decide only after it has renewed.
+    // The response to a takeover is lost, and the read that would resolve it fails. The entry owns the lease without
+    // knowing since when, so it may decide only after a renewal.
     @Test
-    public void should_renew_before_deciding_when_it_finds_its_own_record() throws StoreException {
-        faultsOfFirst.nextWrite(StoreFault.ANSWER_LOST);
-        faultsOfFirst.nextRead(StoreFault.NONE);
-        faultsOfFirst.nextRead(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::tend);
-        assertFalse(first.mayDecide());
+    public void should_renew_before_deciding_when_own_record_is_found() throws StoreException {
+        firstHolderFaults.addWriteFault(StoreFault.ANSWER_LOST);
+        firstHolderFaults.addReadFault(StoreFault.NONE);
+        firstHolderFaults.addReadFault(StoreFault.UNAVAILABLE);
+        expectThrows(StoreUnavailableException.class, firstHolder::maintainLease);
+        assertFalse(firstHolder.mayDecide());
 
-        assertEquals(first.tend(), new HolderStep.Renewed(1));
-        assertTrue(first.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Renewed(1));
+        assertTrue(firstHolder.mayDecide());
     }
 
-    // A plan's write is held up in the network and its sender gives up on it. It lands later, after the sender has
-    // published another plan; the older one must not come back.
+    // The write of a plan is delayed in the network and its sender gives up on it. It arrives after the sender has
+    // published another plan, which it must not replace.
     @Test
-    public void should_never_let_a_held_up_plan_replace_a_later_one() throws StoreException {
-        first.tend();
-        faultsOfFirst.nextWrite(StoreFault.LANDS_LATE);
-        expectThrows(StoreOutcomeUnknownException.class, () -> first.publish(FIRST_PLAN));
-        first.tend();
-        first.publish(SECOND_PLAN);
+    public void should_not_replace_later_plan_when_delayed_write_arrives() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolderFaults.addWriteFault(StoreFault.LANDS_LATE);
+        expectThrows(StoreOutcomeUnknownException.class, () -> firstHolder.publish(FIRST_PLAN));
+        firstHolder.maintainLease();
+        firstHolder.publish(SECOND_PLAN);
 
-        assertTrue(store.deliverLate());
+        assertTrue(store.deliverDelayed());
 
         assertEquals(stored().engines(), SECOND_PLAN);
     }
 
-    // The store is out for longer than the lease. Nobody can take over, and nothing waits: the plan stays in force, the
-    // holder publishes nothing, and the same holder goes on under the same term when the store is back.
+    // The store is unavailable for longer than the lease. No other entry can take over; the plan stays in force, the
+    // holder publishes nothing, and it continues under the same term when the store is available again.
     @Test
-    public void should_go_on_under_the_same_term_after_an_outage() throws StoreException {
-        first.tend();
-        first.publish(FIRST_PLAN);
+    public void should_continue_under_same_term_when_store_is_available_again() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolder.publish(FIRST_PLAN);
         time.advance(Duration.ofMinutes(30));
-        faultsOfFirst.nextWrite(StoreFault.UNAVAILABLE);
-        expectThrows(StoreUnavailableException.class, first::tend);
-        assertFalse(first.mayDecide());
+        firstHolderFaults.addWriteFault(StoreFault.UNAVAILABLE);
+        expectThrows(StoreUnavailableException.class, firstHolder::maintainLease);
+        assertFalse(firstHolder.mayDecide());
 
-        assertEquals(first.tend(), new HolderStep.Renewed(1));
-        assertTrue(first.mayDecide());
+        assertEquals(firstHolder.maintainLease(), new LeaseStep.Renewed(1));
+        assertTrue(firstHolder.mayDecide());
     }
 
     @Test
-    public void should_let_a_successor_in_at_once_after_a_planned_stop() throws StoreException {
-        first.tend();
-        first.resign();
+    public void should_take_over_immediately_when_holder_resigned() throws StoreException {
+        firstHolder.maintainLease();
+        firstHolder.resign();
 
-        assertFalse(first.mayDecide());
-        assertEquals(second.tend(), new HolderStep.Acquired(2));
+        assertFalse(firstHolder.mayDecide());
+        assertEquals(secondHolder.maintainLease(), new LeaseStep.Acquired(2));
     }
 
-    // Somebody wrote nonsense into the object by hand. The error names the object and the field.
+    // The object was edited by hand and is invalid. The error names the object and the field.
     @Test
-    public void should_name_the_place_in_a_malformed_record() throws StoreException {
+    public void should_name_object_and_field_when_record_is_malformed() throws StoreException {
         store.client(new ScriptedStoreFaults()).create(KEY, "{\"owner\": \"entry-9\", \"engines\": {}, \"nonce\": 4}");
 
-        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, first::tend);
+        StoreMalformedException malformed = expectThrows(StoreMalformedException.class, firstHolder::maintainLease);
 
         assertEquals(malformed.place(), "roleplans/seitkali/drafting.almaty-1#nonce");
     }
 
     private PlanHolder holder(String owner, ScriptedStoreFaults faults, long seed) {
-        return new PlanHolder(store.client(faults), KEY, owner, LeaseTerms.DEFAULT, time, new Random(seed));
+        return new PlanHolder(store.client(faults), KEY, owner, LeaseTimings.DEFAULT, time, new Random(seed));
     }
 
     private PlanRecord stored() throws StoreException {
@@ -235,15 +235,15 @@
         return PlanCodec.read(object);
     }
 
-    private static void tendQuietly(PlanHolder holder) {
+    private static void maintainLeaseUnchecked(PlanHolder holder) {
         try {
-            holder.tend();
+            holder.maintainLease();
         } catch (StoreException unexpected) {
             throw new AssertionError(unexpected);
         }
     }
 
-    private static void publishQuietly(PlanHolder holder, Map<String, EngineAssignment> plan) {
+    private static void publishUnchecked(PlanHolder holder, Map<String, EngineAssignment> plan) {
         try {
             holder.publish(plan);
         } catch (StoreException unexpected) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/authority/PlanReaderTest.java
@@ -18,10 +18,10 @@
 public class PlanReaderTest {
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.ROLE_PLAN, "hojas", "hazard.lima-1");
 
-    // A watch starts again after a gap and an old replica answers: plans come twice and out of order. An agent that
-    // obeyed them all would move its engine back and forth.
+    // A watch is restarted and served by an outdated replica, so that plans arrive twice and out of order. An agent
+    // that executed all of them would change its engine back and forth.
     @Test
-    public void should_only_move_forward() throws StoreMalformedException {
+    public void should_ignore_plan_when_version_is_not_higher() throws StoreMalformedException {
         PlanReader reader = new PlanReader();
         reader.offer(stored(plan("a", 3, 9)));
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    public void should_read_back_what_was_written() throws StoreMalformedException {
+    public void should_return_equal_plan_when_encoded_and_decoded() throws StoreMalformedException {
         PlanRecord plan = plan("n", 5, 6);
 
         assertEquals(PlanCodec.read(stored(plan)), plan);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedEngineFaults.java
@@ -2,19 +2,19 @@
 
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.aspenmoor.internal.engine.NumberedOrder;
+import org.aspenmoor.internal.engine.FencedOrder;
 
-/** Engine faults in the order in which a test wants them. */
+/** Injects engine faults in the order given by a test. */
 public final class ScriptedEngineFaults implements EngineCallFaults {
-    private final Deque<EngineFault> onOrders = new ArrayDeque<>();
+    private final Deque<EngineFault> orderFaults = new ArrayDeque<>();
 
-    /** Makes the next order without a fault yet end in this one. */
-    public void nextOrder(EngineFault fault) {
-        onOrders.add(fault);
+    /** Adds a fault for the next order that has none yet. */
+    public void addOrderFault(EngineFault fault) {
+        orderFaults.add(fault);
     }
 
     @Override
-    public EngineFault onOrder(NumberedOrder order) {
-        return onOrders.isEmpty() ? EngineFault.NONE : onOrders.remove();
+    public EngineFault onOrder(FencedOrder order) {
+        return orderFaults.isEmpty() ? EngineFault.NONE : orderFaults.remove();
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/fake/ScriptedStoreFaults.java
@@ -4,41 +4,41 @@
 import java.util.Deque;
 import org.aspenmoor.internal.store.ObjectKey;
 
-/** Store faults in the order in which a test wants them. */
+/** Injects store faults in the order given by a test. */
 public final class ScriptedStoreFaults implements StoreCallFaults {
-    private final Deque<StoreFault> onReads = new ArrayDeque<>();
-    private final Deque<StoreFault> onWrites = new ArrayDeque<>();
+    private final Deque<StoreFault> readFaults = new ArrayDeque<>();
+    private final Deque<StoreFault> writeFaults = new ArrayDeque<>();
     private Runnable beforeEffect = () -> {};
     private Runnable afterEffect = () -> {};
 
-    /** Makes the next read without a fault yet end in this one. */
-    public void nextRead(StoreFault fault) {
-        onReads.add(fault);
+    /** Adds a fault for the next read that has none yet. */
+    public void addReadFault(StoreFault fault) {
+        readFaults.add(fault);
     }
 
-    /** Makes the next write without a fault yet end in this one. */
-    public void nextWrite(StoreFault fault) {
-        onWrites.add(fault);
+    /** Adds a fault for the next write that has none yet. */
+    public void addWriteFault(StoreFault fault) {
+        writeFaults.add(fault);
     }
 
-    /** Does something once while the next write is on its way. */
+    /** Runs an action once while the next write is in transit. */
     public void beforeNextEffect(Runnable action) {
         beforeEffect = action;
     }
 
-    /** Does something once while the answer to the next write is on its way. */
+    /** Runs an action once while the response to the next write is in transit. */
     public void afterNextEffect(Runnable action) {
         afterEffect = action;
     }
 
     @Override
     public StoreFault onRead(ObjectKey key) {
-        return onReads.isEmpty() ? StoreFault.NONE : onReads.remove();
+        return readFaults.isEmpty() ? StoreFault.NONE : readFaults.remove();
     }
 
     @Override
     public StoreFault onWrite(ObjectKey key) {
-        return onWrites.isEmpty() ? StoreFault.NONE : onWrites.remove();
+        return writeFaults.isEmpty() ? StoreFault.NONE : writeFaults.remove();
     }
 
     @Override
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.Outcome;
 import org.aspenmoor.RefusalReason;
-import org.aspenmoor.internal.accounting.ChunkAccount;
-import org.aspenmoor.internal.accounting.RequestAccount;
+import org.aspenmoor.internal.accounting.ChunkCounters;
+import org.aspenmoor.internal.accounting.RequestCounters;
 import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.duty.DutyHandler;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.link.Link;
-import org.aspenmoor.internal.membership.Standing;
+import org.aspenmoor.internal.membership.MembershipState;
 import org.aspenmoor.internal.planner.EngineSnapshot;
 import org.aspenmoor.internal.settings.EntrySettings;
 import org.aspenmoor.internal.time.TimeSource;
@@ -77,7 +77,7 @@
 
     @Override
     public void handle(EntryMessage message) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         switch (message) {
             case EntryMessage.RequestCame came -> requestCame(came.request(), now);
             case EntryMessage.CallerTook took -> requestTable.find(took.id()).ifPresent(receiver::returnCredit);
@@ -231,7 +231,7 @@
     // requests would hang until the caller's own time-out. An agent that answers none within the bound loses its link.
     private void closeSilentLinks() {
         for (AgentPeer peer : directory.all()) {
-            if (peer.link().isPresent() && directory.standing(peer) instanceof Standing.Silent) {
+            if (peer.link().isPresent() && directory.standing(peer) instanceof MembershipState.Unresponsive) {
                 LOG.warnf("entry: agent of %s is silent, closing its link", peer.backend());
                 peer.link().get().close();
             }
@@ -284,7 +284,7 @@
 
     private ObjectNode dump() {
         ObjectNode dump = JsonNodeFactory.instance.objectNode();
-        RequestAccount.Totals totals = requestTable.totals();
+        RequestCounters.Totals totals = requestTable.totals();
         dump.putObject("requests")
                 .put("received", totals.received())
                 .put("answered", totals.answered())
@@ -293,7 +293,7 @@
                 .put("cancelled", totals.cancelled())
                 .put("inFlight", requestTable.size())
                 .put("waiting", waitingRequests.size());
-        ChunkAccount.Totals chunkTotals = receiver.chunks().totals();
+        ChunkCounters.Totals chunkTotals = receiver.chunks().totals();
         dump.putObject("chunks")
                 .put("received", chunkTotals.received())
                 .put("delivered", chunkTotals.delivered())
@@ -319,12 +319,12 @@
         load.getLoadedList().forEach(loaded::add);
     }
 
-    private static String leavingText(Standing standing) {
+    private static String leavingText(MembershipState standing) {
         return switch (standing) {
-            case Standing.Leaving leaving -> "said by " + leaving.said();
-            case Standing.Silent ignored -> "its agent is silent";
-            case Standing.Unmet ignored -> "";
-            case Standing.Serving ignored -> "";
+            case MembershipState.Leaving leaving -> "said by " + leaving.source();
+            case MembershipState.Unresponsive ignored -> "its agent is silent";
+            case MembershipState.NeverConnected ignored -> "";
+            case MembershipState.Serving ignored -> "";
         };
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -34,25 +34,25 @@
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 import org.aspenmoor.internal.gateway.membership.ConfigurationListener;
 import org.aspenmoor.internal.gateway.membership.RegistrationDecoder;
-import org.aspenmoor.internal.gateway.membership.ServerListener;
+import org.aspenmoor.internal.gateway.membership.ServerRegistrationListener;
 import org.aspenmoor.internal.gateway.peers.PeerDirectory;
 import org.aspenmoor.internal.gateway.peers.PeerExchange;
 import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
 import org.aspenmoor.internal.gateway.protocol.CallerProtocol;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequestKeeper;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestSynchroniser;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 import org.aspenmoor.internal.gateway.request.GatewayMetrics;
 import org.aspenmoor.internal.gateway.request.RequestDispatcher;
-import org.aspenmoor.internal.gateway.request.RequestTools;
+import org.aspenmoor.internal.gateway.request.ServingContext;
 import org.aspenmoor.internal.gateway.request.ServingState;
-import org.aspenmoor.internal.gateway.request.WaitingRequests;
+import org.aspenmoor.internal.gateway.request.WaitQueues;
 import org.aspenmoor.internal.gateway.roles.FleetSnapshot;
-import org.aspenmoor.internal.gateway.roles.RoleKeeper;
+import org.aspenmoor.internal.gateway.roles.RoleCoordinator;
 import org.aspenmoor.internal.gateway.settings.GatewaySettings;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.PeerReport;
 import org.aspenmoor.internal.serving.RoleChange;
-import org.aspenmoor.internal.serving.roles.OrderRight;
+import org.aspenmoor.internal.serving.roles.OrderLease;
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.ObjectStore;
@@ -76,8 +76,8 @@
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final ServingState state;
     private final BackendConnections connections;
-    private final WaitingRequests waitingRequests;
-    private final FatalRequests fatalRequests;
+    private final WaitQueues waitingRequests;
+    private final FatalRequestTracker fatalRequests;
     private final RequestDispatcher dispatcher;
     private final CallerServer callers;
     private final GracefulStop gracefulStop;
@@ -103,14 +103,15 @@
         this.backendProtocol = backendProtocol;
         this.state = new ServingState(time, random, settings.repeats(), log, settings.placement());
         this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
-        this.waitingRequests = new WaitingRequests(time, eventLoop);
-        this.fatalRequests = new FatalRequests(time, log);
-        RequestTools tools = new RequestTools(
+        this.waitingRequests = new WaitQueues(time, eventLoop);
+        this.fatalRequests = new FatalRequestTracker(time, log);
+        ServingContext tools = new ServingContext(
                 state,
                 connections,
                 backendProtocol,
                 eventLoop,
-                new GatewayMetrics(registry, connections::openedTotal, state::servers, fatalRequests::quarantined),
+                new GatewayMetrics(
+                        registry, connections::openedTotal, state::serverSummaries, fatalRequests::quarantinedCount),
                 waitingRequests,
                 fatalRequests);
         this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.maxBodyBytes());
@@ -132,9 +133,9 @@
                 store,
                 storeSettings,
                 ObjectKind.BACKEND_SERVER,
-                new ServerListener(decoder, state, connections, eventLoop, time, log, store::generation));
-        FatalRequestKeeper fatalRequestManager =
-                new FatalRequestKeeper(store, fatalRequests, state::fatalRequestsKnown, eventLoop, time, random, log);
+                new ServerRegistrationListener(decoder, state, connections, eventLoop, time, log, store::generation));
+        FatalRequestSynchroniser fatalRequestManager = new FatalRequestSynchroniser(
+                store, fatalRequests, state::fatalRequestsLoaded, eventLoop, time, random, log);
         watch(store, storeSettings, ObjectKind.FATAL_REQUEST, fatalRequestManager);
         fatalRequestManager.start();
         GaugeWithCallback.builder()
@@ -152,7 +153,7 @@
                         store,
                         settings.process(),
                         peers.address(),
-                        addresses -> eventLoop.execute(() -> peers.know(addresses)),
+                        addresses -> eventLoop.execute(() -> peers.replacePeers(addresses)),
                         log)
                 .start();
         eventLoop.execute(this::reportToPeers);
@@ -190,7 +191,7 @@
 
     /** Begins a graceful stop. */
     public void stop() {
-        eventLoop.execute(() -> gracefulStop.begin(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> gracefulStop.begin(time.monotonicNanos()));
     }
 
     /** Waits until a graceful stop has finished. */
@@ -212,12 +213,12 @@
 
     private void startRoleManagement(ObjectStore store) {
         ObjectKey key = new ObjectKey(ObjectKind.ORDER_RIGHT, ObjectKey.PLATFORM_NAMESPACE, "engines");
-        OrderRight orderLease = new OrderRight(store, key, settings.process(), time);
+        OrderLease orderLease = new OrderLease(store, key, settings.process(), time);
         Supplier<FleetSnapshot> fleetSnapshot =
-                () -> CompletableFuture.supplyAsync(() -> state.snapshot(settings.process()), eventLoop)
+                () -> CompletableFuture.supplyAsync(() -> state.fleetSnapshot(settings.process()), eventLoop)
                         .join();
-        Consumer<RoleChange> onAcceptedOrder = change -> eventLoop.execute(() -> state.roleOrdered(change));
-        new RoleKeeper(
+        Consumer<RoleChange> onAcceptedOrder = change -> eventLoop.execute(() -> state.roleChangeOrdered(change));
+        new RoleCoordinator(
                         settings.process(),
                         fleetSnapshot,
                         onAcceptedOrder,
@@ -230,28 +231,28 @@
     }
 
     private void receivePeerReport(PeerReport report) {
-        state.peerHeard(report, time.monotonicNanoseconds());
-        fatalRequests.heard(report.serverTerminations(), report.entry());
+        state.peerReported(report, time.monotonicNanos());
+        fatalRequests.terminationsReported(report.serverTerminations(), report.entry());
     }
 
     private void reportToPeers() {
-        peers.tell(
-                state.ownShares(),
-                state.takeUntoldPrompts(),
+        peers.sendReport(
+                state.ownLoadShares(),
+                state.takeUnreportedPrompts(),
                 state.learntSpeeds(),
                 state.eventLengths(),
-                state.roleChanges(),
-                fatalRequests.takeNews(),
+                state.pendingRoleChanges(),
+                fatalRequests.takeNextReport(),
                 gracefulStop.begun());
-        eventLoop.schedule(this::reportToPeers, peers.pause().toMillis(), TimeUnit.MILLISECONDS);
+        eventLoop.schedule(this::reportToPeers, peers.reportInterval().toMillis(), TimeUnit.MILLISECONDS);
     }
 
     private void runPeriodicChecks() {
-        long nowNanos = time.monotonicNanoseconds();
+        long nowNanos = time.monotonicNanos();
         state.expirePeers(nowNanos);
-        fatalRequests.check();
-        state.samplePressure(waitingRequests::anyFor);
-        state.takeUnlistedEngines().forEach(this::queryCacheList);
+        fatalRequests.expire();
+        state.samplePressure(waitingRequests::anyWaiting);
+        state.takeEnginesToList().forEach(this::queryCacheList);
         state.expireServers(nowNanos).forEach(connections::remove);
         connections.closeStale();
         callers.enforceTimeouts(nowNanos);
@@ -268,7 +269,7 @@
                         .write();
                 return;
             }
-            state.cacheListed(engine, backendProtocol.readCacheList(cacheList.body()), time.monotonicNanoseconds());
+            state.cacheListingReceived(engine, backendProtocol.readCacheList(cacheList.body()), time.monotonicNanos());
         });
         connections.send(engine, "", backendProtocol.createCacheListRequest(engine.id()), collector);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/StateDump.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import org.aspenmoor.internal.gateway.backend.BackendConnections;
 import org.aspenmoor.internal.gateway.caller.CallerServer;
-import org.aspenmoor.internal.gateway.quarantine.FatalRequests;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
 import org.aspenmoor.internal.gateway.request.ServingState;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.ServerSummary;
@@ -21,7 +21,7 @@
     private final CallerServer callers;
     private final BackendConnections connections;
     private final GracefulStop gracefulStop;
-    private final FatalRequests fatalRequests;
+    private final FatalRequestTracker fatalRequests;
 
     StateDump(
             String process,
@@ -29,7 +29,7 @@
             CallerServer callers,
             BackendConnections connections,
             GracefulStop gracefulStop,
-            FatalRequests fatalRequests) {
+            FatalRequestTracker fatalRequests) {
         this.process = process;
         this.state = state;
         this.callers = callers;
@@ -46,13 +46,13 @@
         dump.put(
                 "configuration",
                 state.configuration().map(ServingConfiguration::version).orElse(-1L));
-        dump.put("otherEntries", state.heardEntries());
+        dump.put("otherEntries", state.peerCount());
         dump.put("callerConnections", callers.openConnections());
         dump.put("requests", callers.servedRequests());
         dump.put("connectionsOpened", connections.openedTotal());
-        dump.put("quarantinedRequests", fatalRequests.quarantined());
+        dump.put("quarantinedRequests", fatalRequests.quarantinedCount());
         ArrayNode servers = dump.putArray("servers");
-        state.servers().forEach(server -> writeServer(server, servers.addObject()));
+        state.serverSummaries().forEach(server -> writeServer(server, servers.addObject()));
         return dump;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnectionPool.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/backend/ServerConnectionPool.java
@@ -75,7 +75,7 @@
     }
 
     long nowNanos() {
-        return time.monotonicNanoseconds();
+        return time.monotonicNanos();
     }
 
     /** Closes idle connections that have almost reached the server's idle timeout. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/caller/CallerConnection.java
@@ -57,14 +57,14 @@
         this.channel = channel;
         this.service = service;
         this.time = time;
-        this.lastActivityNanos = time.monotonicNanoseconds();
+        this.lastActivityNanos = time.monotonicNanos();
     }
 
     /** Records that bytes have been received, which may be the start of a request. */
     void bytesReceived() {
         if (!receiving && !serving) {
             receiving = true;
-            lastActivityNanos = time.monotonicNanoseconds();
+            lastActivityNanos = time.monotonicNanos();
         }
     }
 
@@ -193,7 +193,7 @@
     }
 
     private void handleHead(HttpRequest request) {
-        lastActivityNanos = time.monotonicNanoseconds();
+        lastActivityNanos = time.monotonicNanos();
         headReceivedAtNanos = lastActivityNanos;
         receiving = true;
         if (request.decoderResult().isFailure()) {
@@ -217,7 +217,7 @@
     }
 
     private void handleContent(HttpContent content) {
-        lastActivityNanos = time.monotonicNanoseconds();
+        lastActivityNanos = time.monotonicNanos();
         if (content.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, "The request's body cannot be read.");
             return;
@@ -275,7 +275,7 @@
         serving = false;
         service.releaseBodyBytes(reservedBytes);
         reservedBytes = 0;
-        lastActivityNanos = time.monotonicNanoseconds();
+        lastActivityNanos = time.monotonicNanos();
         if (!keepOpen) {
             closing = true;
             writeFuture.addListener(ChannelFutureListener.CLOSE);
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -9,36 +9,36 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Writes decisions as JSON lines from a thread of its own.
+ * Writes decisions as JSON lines, asynchronously in a separate thread.
  *
- * <p>Whoever decides never waits for the reader of the output: a line that finds the queue full, or that is beyond the
- * rate, is left out and counted, and the count is written with the next line. Lines about failures have a rate of their
- * own, so that a flood of ordinary ends does not hide them.
+ * <p>Logging never blocks on the output: a line is dropped and counted if the queue is full or the rate
+ * limit is exceeded, and the count is added to the next line. Notable lines, such as failures, have a separate rate
+ * limit, so that many routine lines do not displace them.
  */
 public final class DecisionLog {
-    /** Lines a second about what went well; enough to follow single requests, little beside their own cost. */
-    private static final double USUAL_LINES_PER_SECOND = 40;
+    /** Maximum rate of routine lines: enough to follow single requests, at little cost compared with the requests. */
+    private static final double ROUTINE_LINES_PER_SECOND = 40;
 
-    /** Lines a second about refusals, failures and changes of belief. */
+    /** Maximum rate of lines about refusals, failures and changes of known state. */
     private static final double NOTABLE_LINES_PER_SECOND = 200;
 
     private static final double BURST_SECONDS = 2;
-    private static final int MOST_WAITING_LINES = 1024;
+    private static final int MAX_QUEUED_LINES = 1024;
 
     private final TimeSource time;
     private final String process;
     private final PrintStream out;
-    private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING_LINES);
-    private final AtomicLong leftOut = new AtomicLong();
-    private final AtomicLong toldLeftOut = new AtomicLong();
-    private final TokenBucket usual;
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong reportedDropped = new AtomicLong();
+    private final TokenBucket routine;
     private final TokenBucket notable;
 
     public DecisionLog(TimeSource time, String process, PrintStream out) {
         this.time = time;
         this.process = process;
         this.out = out;
-        this.usual = new TokenBucket(time, USUAL_LINES_PER_SECOND, USUAL_LINES_PER_SECOND * BURST_SECONDS);
+        this.routine = new TokenBucket(time, ROUTINE_LINES_PER_SECOND, ROUTINE_LINES_PER_SECOND * BURST_SECONDS);
         this.notable = new TokenBucket(time, NOTABLE_LINES_PER_SECOND, NOTABLE_LINES_PER_SECOND * BURST_SECONDS);
     }
 
@@ -47,61 +47,61 @@
         Thread.ofPlatform().daemon().name("decision-log").start(this::writeAll);
     }
 
-    /** Begins a line about something that went as it should. */
-    public LogLine usual(String event) {
-        return line(event, usual);
+    /** Begins a line about a normal event. */
+    public LogLine routine(String event) {
+        return line(event, routine);
     }
 
-    /** Begins a line about a refusal, a failure, or a change of what the process believes. */
+    /** Begins a line about a refusal, a failure, or a change of the state known to this process. */
     public LogLine notable(String event) {
         return line(event, notable);
     }
 
-    /** Writes what still waits, at the process's end. */
+    /** Writes the queued lines; called when the process stops. */
     public void flush() {
-        for (String line = waiting.poll(); line != null; line = waiting.poll()) {
+        for (String line = queue.poll(); line != null; line = queue.poll()) {
             out.println(line);
         }
         out.flush();
     }
 
-    /** Returns how many lines were left out since the start; lines name it whenever it has grown. */
-    public long leftOut() {
-        return leftOut.get();
+    /** Returns how many lines have been dropped since the start. */
+    public long droppedLines() {
+        return dropped.get();
     }
 
     private LogLine line(String event, TokenBucket bucket) {
         boolean granted;
         synchronized (bucket) {
-            granted = bucket.take();
+            granted = bucket.tryAcquire();
         }
         if (!granted) {
-            leftOut.incrementAndGet();
-            return new LogLine(null, this::offer);
+            dropped.incrementAndGet();
+            return new LogLine(null, this::enqueue);
         }
-        LogLine line = new LogLine(JsonNodeFactory.instance.objectNode(), this::offer)
-                .with("time", time.timeOfDay().toString())
+        LogLine line = new LogLine(JsonNodeFactory.instance.objectNode(), this::enqueue)
+                .with("time", time.wallClockTime().toString())
                 .with("process", process)
                 .with("event", event);
-        long missing = leftOut.get();
-        if (missing != toldLeftOut.getAndSet(missing)) {
-            line.with("leftOut", missing);
+        long droppedSoFar = dropped.get();
+        if (droppedSoFar != reportedDropped.getAndSet(droppedSoFar)) {
+            line.with("leftOut", droppedSoFar);
         }
         return line;
     }
 
-    private void offer(String line) {
-        if (!waiting.offer(line)) {
-            leftOut.incrementAndGet();
+    private void enqueue(String line) {
+        if (!queue.offer(line)) {
+            dropped.incrementAndGet();
         }
     }
 
     private void writeAll() {
         try {
             while (true) {
-                out.println(waiting.take());
+                out.println(queue.take());
             }
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/GenerationLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/StoreGenerationLog.java
@@ -2,16 +2,16 @@
 
 import org.aspenmoor.internal.store.client.StoreGeneration;
 
-/** Writes what the store's answers tell of the generation of its history. */
-public final class GenerationLog implements StoreGeneration.Listener {
+/** Logs changes of the store's history generation as reported in its answers. */
+public final class StoreGenerationLog implements StoreGeneration.Listener {
     private final DecisionLog log;
 
-    public GenerationLog(DecisionLog log) {
+    public StoreGenerationLog(DecisionLog log) {
         this.log = log;
     }
 
     @Override
-    public void rose(long before, long now) {
+    public void generationIncreased(long before, long now) {
         log.notable("store-came-back-older")
                 .with("generation", now)
                 .with("before", before)
@@ -19,15 +19,15 @@
     }
 
     @Override
-    public void fell(long before, long told) {
+    public void generationDecreased(long before, long reported) {
         log.notable("store-generation-not-believed")
                 .with("generation", before)
-                .with("told", told)
+                .with("told", reported)
                 .write();
     }
 
     @Override
-    public void unreadable(String written) {
+    public void generationUnreadable(String written) {
         log.notable("store-generation-unreadable").with("written", written).write();
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
@@ -10,29 +10,29 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.store.client.CollectionListener;
 
-/** Takes each configuration that the store tells of to the event loop. */
+/** Passes each configuration read from the store to the event loop. */
 public final class ConfigurationListener implements CollectionListener {
     private final RegistrationDecoder decoder;
     private final ServingState state;
     private final Executor eventLoop;
     private final DecisionLog log;
-    private final DependencyLog configurations;
+    private final DependencyLog dependency;
 
     public ConfigurationListener(RegistrationDecoder decoder, ServingState state, Executor eventLoop, DecisionLog log) {
         this.decoder = decoder;
         this.state = state;
         this.eventLoop = eventLoop;
         this.log = log;
-        this.configurations = new DependencyLog(log, "configuration");
+        this.dependency = new DependencyLog(log, "configuration");
     }
 
     @Override
     public void changed(StoredObject object) {
         try {
-            ServingConfiguration read = decoder.readConfiguration(object);
-            eventLoop.execute(() -> state.configure(read));
+            ServingConfiguration configuration = decoder.readConfiguration(object);
+            eventLoop.execute(() -> state.configure(configuration));
         } catch (StoreMalformedException malformed) {
-            // What is in force goes on: a configuration that cannot be read must not take the routes away.
+            // The current configuration stays in force: an unreadable one must not remove the routes.
             log.notable("configuration-unreadable")
                     .with("object", object.key().toString())
                     .with("revision", object.version())
@@ -45,17 +45,17 @@
     public void deleted(StoredObject object) {
         log.notable("configuration-deleted")
                 .with("object", object.key().toString())
-                .with("outcome", "the one in force goes on")
+                .with("outcome", "the current configuration stays in force")
                 .write();
     }
 
     @Override
     public void synchronised() {
-        configurations.back();
+        dependency.restored();
     }
 
     @Override
     public void interrupted(StoreException cause) {
-        configurations.lost(cause.problem());
+        dependency.lost(cause.problem());
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ServerRegistrationListener.java
@@ -13,25 +13,25 @@
 import org.aspenmoor.internal.store.client.CollectionListener;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Takes each registration of a backend server to the event loop. */
-public final class ServerListener implements CollectionListener {
+/** Passes each change to the registration of a backend server to the event loop. */
+public final class ServerRegistrationListener implements CollectionListener {
     private final RegistrationDecoder decoder;
     private final ServingState state;
     private final BackendConnections connections;
     private final Executor eventLoop;
     private final TimeSource time;
     private final DecisionLog log;
-    private final DependencyLog registrations;
+    private final DependencyLog dependency;
     private final LongSupplier generation;
-    private long knownGeneration;
+    private long lastGeneration;
     private boolean synchronisedBefore;
 
     /**
-     * Makes a listener.
+     * Creates a listener.
      *
-     * @param generation the generation of the store's history
+     * @param generation supplies the generation of the store's history
      */
-    public ServerListener(
+    public ServerRegistrationListener(
             RegistrationDecoder decoder,
             ServingState state,
             BackendConnections connections,
@@ -45,60 +45,64 @@
         this.eventLoop = eventLoop;
         this.time = time;
         this.log = log;
-        this.registrations = new DependencyLog(log, "servers");
+        this.dependency = new DependencyLog(log, "servers");
         this.generation = generation;
     }
 
     @Override
     public void changed(StoredObject object) {
         try {
-            BackendServer read = decoder.readServer(object);
-            eventLoop.execute(() -> state.serverChanged(read));
+            BackendServer server = decoder.readServer(object);
+            eventLoop.execute(() -> state.serverRegistered(server));
         } catch (StoreMalformedException malformed) {
-            // Anybody may write a registration that makes no sense. It names no server to use; the others hold.
+            // Any process may write an invalid registration. It describes no usable server; the other registrations
+            // stay valid.
             log.notable("server-unreadable")
                     .with("object", object.key().toString())
                     .with("revision", object.version())
                     .with("reason", malformed.problem())
                     .write();
-            remove(object);
+            serverRemoved(object);
         }
     }
 
     @Override
     public void deleted(StoredObject object) {
-        remove(object);
+        serverRemoved(object);
     }
 
     @Override
     public void synchronised() {
-        registrations.back();
-        noteGeneration();
+        dependency.restored();
+        detectStoreRestore();
         synchronisedBefore = true;
-        eventLoop.execute(() -> state.serversSynchronised(time.monotonicNanoseconds()));
+        eventLoop.execute(() -> state.serverListSynchronised(time.monotonicNanos()));
     }
 
     @Override
     public void interrupted(StoreException cause) {
-        registrations.lost(cause.problem());
-        eventLoop.execute(() -> state.serversInterrupted(time.monotonicNanoseconds()));
+        dependency.lost(cause.problem());
+        eventLoop.execute(() -> state.serverListInterrupted(time.monotonicNanos()));
     }
 
-    /** A server may be missing because the store has lost its last seconds, and not because it has left. */
-    private void noteGeneration() {
-        long now = generation.getAsLong();
-        boolean rose = synchronisedBefore && now > knownGeneration;
-        knownGeneration = now;
-        if (rose) {
-            eventLoop.execute(() -> state.storeCameBackOlder(time.monotonicNanoseconds()));
+    /**
+     * Detects a store that was restored from an older copy: a server may then be missing because the store has lost
+     * its latest writes, and not because the server has left.
+     */
+    private void detectStoreRestore() {
+        long currentGeneration = generation.getAsLong();
+        boolean restored = synchronisedBefore && currentGeneration > lastGeneration;
+        lastGeneration = currentGeneration;
+        if (restored) {
+            eventLoop.execute(() -> state.storeRolledBack(time.monotonicNanos()));
         }
     }
 
-    private void remove(StoredObject object) {
+    private void serverRemoved(StoredObject object) {
         String id = object.key().name();
-        noteGeneration();
+        detectStoreRestore();
         eventLoop.execute(() -> {
-            if (state.serverMissing(id, time.monotonicNanoseconds())) {
+            if (state.registrationMissing(id, time.monotonicNanos())) {
                 connections.remove(id);
             }
         });
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -26,30 +26,31 @@
 import org.aspenmoor.internal.serving.LearnedSpeed;
 import org.aspenmoor.internal.serving.PeerReport;
 import org.aspenmoor.internal.serving.RoleChange;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Tells the other entries this entry's part of the load, and hears theirs. Confined to the event loop.
+ * Reports this entry's part of the load to the other entries and receives their reports. Confined to the event
+ * loop.
  *
- * <p>Datagrams, since a report that was lost or is late is replaced by the next one; nothing waits for it.
+ * <p>Uses datagrams, since a lost or late report is superseded by the next one and nothing waits for it.
  */
 public final class PeerExchange {
-    /** Pause between reports among few entries; an engine takes about as long over one long prompt. */
-    private static final Duration SHORTEST_PAUSE = Duration.ofMillis(100);
+    /** Minimum interval between reports, used with few entries; an engine takes about this long for one long prompt. */
+    private static final Duration MIN_REPORT_INTERVAL = Duration.ofMillis(100);
 
-    /** Added to the pause for each peer, so that what one entry sends and hears a second stays bounded. */
-    private static final Duration PAUSE_FOR_EACH_PEER = Duration.ofMillis(10);
+    /** Interval added per peer, so that the number of reports an entry sends and receives per second stays bounded. */
+    private static final Duration REPORT_INTERVAL_PER_PEER = Duration.ofMillis(10);
 
     private final String entry;
     private final EventLoop eventLoop;
     private final DecisionLog log;
     private final Consumer<PeerReport> listener;
     private final Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-    private final long start;
+    private final long startedAtMillis;
     private Channel channel;
     private long sequence;
-    private boolean quiet;
+    private boolean logSuppressed;
 
     public PeerExchange(
             String entry, TimeSource time, EventLoop eventLoop, DecisionLog log, Consumer<PeerReport> listener) {
@@ -57,7 +58,7 @@
         this.eventLoop = eventLoop;
         this.log = log;
         this.listener = listener;
-        this.start = time.timeOfDay().toEpochMilli();
+        this.startedAtMillis = time.wallClockTime().toEpochMilli();
     }
 
     /** Opens the port. */
@@ -69,70 +70,71 @@
         channel = ListeningPort.open(bootstrap, address, "The port for other entries");
     }
 
-    /** Returns the address that the port got. */
+    /** Returns the local address of the port. */
     public InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Takes the other entries' addresses in. */
-    public void know(Map<String, InetSocketAddress> addresses) {
+    /** Replaces the addresses of the other entries. */
+    public void replacePeers(Map<String, InetSocketAddress> addresses) {
         peers.clear();
         peers.putAll(addresses);
         peers.remove(entry);
     }
 
-    /** Returns how long to wait before the next report. */
-    public Duration pause() {
-        Duration scaled = PAUSE_FOR_EACH_PEER.multipliedBy(peers.size());
-        return scaled.compareTo(SHORTEST_PAUSE) > 0 ? scaled : SHORTEST_PAUSE;
+    /** Returns the interval before the next report. */
+    public Duration reportInterval() {
+        Duration scaledInterval = REPORT_INTERVAL_PER_PEER.multipliedBy(peers.size());
+        return scaledInterval.compareTo(MIN_REPORT_INTERVAL) > 0 ? scaledInterval : MIN_REPORT_INTERVAL;
     }
 
-    /** Sends a report to all others. */
-    public void tell(
+    /** Sends a report to all other entries. */
+    public void sendReport(
             Map<String, EntryLoad> shares,
             List<AssignedPrompt> prompts,
             List<LearnedSpeed> speeds,
             List<EventSize> lengths,
             List<RoleChange> changes,
-            List<ServerEnd> ends,
+            List<ServerTermination> terminations,
             boolean leaving) {
         sequence++;
-        byte[] datagram = PeerCodec.write(
-                new PeerReport(entry, start, sequence, shares, prompts, speeds, lengths, changes, ends, leaving));
+        byte[] datagram = PeerReportCodec.serialise(new PeerReport(
+                entry, startedAtMillis, sequence, shares, prompts, speeds, lengths, changes, terminations, leaving));
         for (InetSocketAddress peer : peers.values()) {
             channel.write(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peer));
         }
         channel.flush();
     }
 
-    private void took(String reason) {
-        if (!quiet) {
-            quiet = true;
+    private void logUnreadable(String reason) {
+        if (!logSuppressed) {
+            logSuppressed = true;
             log.notable("peer-report-unreadable").with("reason", reason).write();
-            eventLoop.schedule(() -> quiet = false, 1, TimeUnit.SECONDS);
+            eventLoop.schedule(() -> logSuppressed = false, 1, TimeUnit.SECONDS);
         }
     }
 
     private final class ReportHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            Optional<PeerReport> report = PeerCodec.read(ByteBufUtil.getBytes(packet.content()));
+            Optional<PeerReport> report = PeerReportCodec.parse(ByteBufUtil.getBytes(packet.content()));
             if (report.isEmpty()) {
-                took("a datagram from " + packet.sender() + " is no report");
+                logUnreadable("a datagram from " + packet.sender() + " is not a report");
                 return;
             }
             String sender = report.get().entry();
             if (sender.equals(entry)) {
                 return;
             }
-            // An entry that has just started tells those it found; so they learn of it before they list again.
+            // An entry that has just started reports to the entries it found, so they learn of it before their next
+            // listing.
             peers.putIfAbsent(sender, packet.sender());
             listener.accept(report.get());
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            took(String.valueOf(cause.getMessage()));
+            logUnreadable(String.valueOf(cause.getMessage()));
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerReportCodec.java
@@ -18,17 +18,17 @@
 import org.aspenmoor.internal.serving.PromptPart;
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.serving.quarantine.RequestDigest;
-import org.aspenmoor.internal.serving.quarantine.ServerEnd;
-import org.aspenmoor.internal.serving.quarantine.ServerStart;
+import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
+import org.aspenmoor.internal.serving.quarantine.ServerTermination;
 import org.aspenmoor.internal.wire.v1.PeerLoad;
 
-/** Turns reports into datagrams and back. */
-final class PeerCodec {
-    private static final double MICROSECONDS = 1e6;
+/** Converts reports to datagrams and back. */
+final class PeerReportCodec {
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private PeerCodec() {}
+    private PeerReportCodec() {}
 
-    static byte[] write(PeerReport report) {
+    static byte[] serialise(PeerReport report) {
         PeerLoad.Builder message = PeerLoad.newBuilder()
                 .setEntry(report.entry())
                 .setStart(report.incarnation())
@@ -37,13 +37,13 @@
         report.loads()
                 .forEach((server, share) -> message.addShares(PeerLoad.Share.newBuilder()
                         .setServer(server)
-                        .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROSECONDS))
+                        .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROS_PER_SECOND))
                         .setRequests(share.requests())
                         .setPaceEvents((float) share.eventIntervals().events())
                         .setPaceSeconds((float) share.eventIntervals().seconds())));
-        for (AssignedPrompt placed : report.prompts()) {
-            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placed.server());
-            for (PromptPart part : placed.parts()) {
+        for (AssignedPrompt placedPrompt : report.prompts()) {
+            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placedPrompt.server());
+            for (PromptPart part : placedPrompt.parts()) {
                 prompt.addParts(part.identity()).addTokens(part.tokens());
             }
             message.addPrompts(prompt);
@@ -62,34 +62,34 @@
                 .forEach(change -> message.addChanges(PeerLoad.Change.newBuilder()
                         .setServer(change.server())
                         .setRole(change.role().ordinal())));
-        report.serverTerminations().forEach(end -> message.addEnds(write(end)));
+        report.serverTerminations().forEach(termination -> message.addEnds(serialise(termination)));
         return message.build().toByteArray();
     }
 
-    private static PeerLoad.End write(ServerEnd end) {
+    private static PeerLoad.End serialise(ServerTermination termination) {
         return PeerLoad.End.newBuilder()
-                .setRequest(ByteString.copyFrom(end.request().bytes()))
-                .setServer(end.server().server())
-                .setStartedAt(end.server().startedAt())
-                .setAgeMilliseconds((int) end.age().toMillis())
-                .setExcused(end.excused())
+                .setRequest(ByteString.copyFrom(termination.request().bytes()))
+                .setServer(termination.incarnation().serverId())
+                .setStartedAt(termination.incarnation().startedAt())
+                .setAgeMilliseconds((int) termination.age().toMillis())
+                .setExcused(termination.cleared())
                 .build();
     }
 
-    private static List<ServerEnd> readEnds(PeerLoad message) {
-        List<ServerEnd> ends = new ArrayList<>();
+    private static List<ServerTermination> parseTerminations(PeerLoad message) {
+        List<ServerTermination> terminations = new ArrayList<>();
         for (PeerLoad.End end : message.getEndsList()) {
             if (end.getRequest().size() == RequestDigest.BYTES) {
                 RequestDigest request = RequestDigest.of(end.getRequest().toByteArray());
-                ServerStart server = new ServerStart(end.getServer(), end.getStartedAt());
+                ServerIncarnation incarnation = new ServerIncarnation(end.getServer(), end.getStartedAt());
                 Duration age = Duration.ofMillis(Integer.toUnsignedLong(end.getAgeMilliseconds()));
-                ends.add(new ServerEnd(request, server, age, end.getExcused()));
+                terminations.add(new ServerTermination(request, incarnation, age, end.getExcused()));
             }
         }
-        return ends;
+        return terminations;
     }
 
-    private static EventIntervals readPace(PeerLoad.Share share) {
+    private static EventIntervals parseEventInterval(PeerLoad.Share share) {
         boolean usable = Float.isFinite(share.getPaceEvents())
                 && Float.isFinite(share.getPaceSeconds())
                 && share.getPaceEvents() >= 0
@@ -97,7 +97,7 @@
         return usable ? new EventIntervals(share.getPaceEvents(), share.getPaceSeconds()) : EventIntervals.NONE;
     }
 
-    private static List<LearnedSpeed> readSpeeds(PeerLoad message) {
+    private static List<LearnedSpeed> parseSpeeds(PeerLoad message) {
         List<LearnedSpeed> speeds = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Speed speed : message.getSpeedsList()) {
@@ -113,14 +113,14 @@
         return speeds;
     }
 
-    private static List<EventSize> readLengths(PeerLoad message) {
+    private static List<EventSize> parseLengths(PeerLoad message) {
         return message.getLengthsList().stream()
                 .filter(length -> Float.isFinite(length.getTokens()) && length.getTokens() > 0)
                 .map(length -> new EventSize(length.getService(), length.getTokens()))
                 .toList();
     }
 
-    private static List<RoleChange> readChanges(PeerLoad message) {
+    private static List<RoleChange> parseChanges(PeerLoad message) {
         List<RoleChange> changes = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Change change : message.getChangesList()) {
@@ -131,7 +131,7 @@
         return changes;
     }
 
-    private static List<AssignedPrompt> readPrompts(PeerLoad message) {
+    private static List<AssignedPrompt> parsePrompts(PeerLoad message) {
         List<AssignedPrompt> prompts = new ArrayList<>();
         for (PeerLoad.Prompt prompt : message.getPromptsList()) {
             List<PromptPart> parts = new ArrayList<>();
@@ -144,8 +144,8 @@
         return prompts;
     }
 
-    /** Reads a datagram; empty where it is no report, since anybody may send to the port. */
-    static Optional<PeerReport> read(byte[] datagram) {
+    /** Parses a datagram; empty if it is not a report, since any process can send to the port. */
+    static Optional<PeerReport> parse(byte[] datagram) {
         try {
             PeerLoad message = PeerLoad.parseFrom(datagram);
             if (message.getEntry().isEmpty()) {
@@ -153,19 +153,19 @@
             }
             Map<String, EntryLoad> shares = new HashMap<>();
             for (PeerLoad.Share share : message.getSharesList()) {
-                double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROSECONDS;
-                shares.put(share.getServer(), new EntryLoad(seconds, share.getRequests(), readPace(share)));
+                double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROS_PER_SECOND;
+                shares.put(share.getServer(), new EntryLoad(seconds, share.getRequests(), parseEventInterval(share)));
             }
             return Optional.of(new PeerReport(
                     message.getEntry(),
                     message.getStart(),
                     message.getSequence(),
                     shares,
-                    readPrompts(message),
-                    readSpeeds(message),
-                    readLengths(message),
-                    readChanges(message),
-                    readEnds(message),
+                    parsePrompts(message),
+                    parseSpeeds(message),
+                    parseLengths(message),
+                    parseChanges(message),
+                    parseTerminations(message),
                     message.getLeaving()));
         } catch (InvalidProtocolBufferException malformed) {
             return Optional.empty();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
@@ -6,38 +6,38 @@
 import org.aspenmoor.internal.serving.PlacementPolicy;
 import org.aspenmoor.internal.serving.Prompt;
 
-/** Tells the placement what one request's answer shows of its engine and of the answers of its service. */
+/** Reports the progress of one request's answer to the placement policy, which estimates the load from it. */
 final class AnswerProgress {
-    private final PlacementPolicy placer;
+    private final PlacementPolicy placementPolicy;
     private final String service;
     private final Optional<Prompt> prompt;
     private final RequestTrace trace;
 
-    AnswerProgress(PlacementPolicy placer, String service, Optional<Prompt> prompt, RequestTrace trace) {
-        this.placer = placer;
+    AnswerProgress(PlacementPolicy placementPolicy, String service, Optional<Prompt> prompt, RequestTrace trace) {
+        this.placementPolicy = placementPolicy;
         this.service = service;
         this.prompt = prompt;
         this.trace = trace;
     }
 
-    /** Notes that the answer should be whole within some time. */
-    void wanted(Duration allowed, long now) {
-        prompt.ifPresent(wanted -> placer.answerRequested(service, wanted, allowed, now));
+    /** Records that the answer has to be complete within the given time. */
+    void expectWithin(Duration allowed, long now) {
+        prompt.ifPresent(expected -> placementPolicy.answerRequested(service, expected, allowed, now));
     }
 
     /**
-     * Notes an event.
+     * Records an event of the answer.
      *
-     * @param work the attempt that it came from
-     * @param allowed how long the request may take
+     * @param work the attempt that it belongs to
+     * @param allowed the time limit of the request
      */
-    void event(AssignedWork work, Duration allowed, long now) {
-        trace.event(now).ifPresent(pause -> placer.eventReceived(work, pause, now));
-        placer.answerStreaming(service, trace.told(), allowed, now);
+    void eventReceived(AssignedWork work, Duration allowed, long now) {
+        trace.eventReceived(now).ifPresent(gap -> placementPolicy.eventReceived(work, gap, now));
+        placementPolicy.answerStreaming(service, trace.answerDuration(), allowed, now);
     }
 
-    /** Notes that the last event has come. */
-    void whole() {
-        prompt.ifPresent(answered -> placer.answerCompleted(service, answered, trace.events()));
+    /** Records that the answer is complete. */
+    void completed() {
+        prompt.ifPresent(answered -> placementPolicy.answerCompleted(service, answered, trace.events()));
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.serving.Placement;
 import org.aspenmoor.internal.serving.Route;
 
-/** Makes what servers are sent for one request. */
+/** Builds the messages that are sent to backend servers for one request. */
 final class AttemptMessages {
     private final IncomingRequest incoming;
     private final BackendProtocol protocol;
@@ -26,34 +26,40 @@
         this.deadline = deadline;
     }
 
-    /** Returns the message that has only the prompt computed. */
-    FullHttpRequest prompt(Placement.Disaggregated staged, Optional<String> lastEvent, long now) {
-        return message(new DispatchParameters(
+    /** Returns the message that asks an engine for prefill only. */
+    FullHttpRequest prefillRequest(Placement.Disaggregated staged, Optional<String> lastEventId, long now) {
+        return buildMessage(new DispatchParameters(
                 staged.prefill().id(),
-                left(now),
+                remaining(now),
                 staged.promptPriority(route.priority()),
                 RequestedWork.PROMPT_ONLY,
                 Optional.empty(),
                 staged.cacheHolder(),
-                lastEvent));
+                lastEventId));
     }
 
-    /** Returns the message that asks for the answer, after an event that the caller has already got. */
-    FullHttpRequest answer(
+    /**
+     * Returns the message that asks a server for the answer.
+     *
+     * @param source the prompt cache to transfer, if another engine has done the prefill
+     * @param holder an engine that probably caches the shared beginning of the prompt
+     * @param lastEventId the last event that the caller has received, after which a resumed answer continues
+     */
+    FullHttpRequest answerRequest(
             BackendServer server,
             Optional<CacheSource> source,
             Optional<BackendServer> holder,
-            Optional<String> lastEvent,
+            Optional<String> lastEventId,
             long now) {
-        return message(new DispatchParameters(
-                server.id(), left(now), route.priority(), RequestedWork.ANSWER, source, holder, lastEvent));
+        return buildMessage(new DispatchParameters(
+                server.id(), remaining(now), route.priority(), RequestedWork.ANSWER, source, holder, lastEventId));
     }
 
-    private FullHttpRequest message(DispatchParameters delivery) {
+    private FullHttpRequest buildMessage(DispatchParameters delivery) {
         return OutgoingMessage.request(incoming, protocol, delivery);
     }
 
-    private Duration left(long now) {
+    private Duration remaining(long now) {
         return Duration.ofNanos(Math.max(0, deadline - now));
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
@@ -8,40 +8,41 @@
 import org.aspenmoor.internal.gateway.caller.AnswerWriter;
 
 /**
- * The events that a caller gets in one answer, whichever servers they come from. Confined to the event loop.
+ * The event stream sent to one caller, which several servers may contribute to. Confined to the event loop.
  *
- * <p>The head is that of the first server. Only whole events leave, so that another server can go on after the last one.
+ * <p>The head is that of the first server. Only complete events are sent, so that another server can continue after the
+ * last one.
  */
 final class CallerStream {
     private final AnswerWriter link;
-    private Optional<String> lastEvent = Optional.empty();
+    private Optional<String> lastEventId = Optional.empty();
     private boolean begun;
 
     CallerStream(AnswerWriter link) {
         this.link = link;
     }
 
-    void pass(HttpResponse head, ByteBuf event) {
-        Optional<String> identity = EventSplitter.identity(event);
+    void forward(HttpResponse head, ByteBuf event) {
+        Optional<String> eventId = EventSplitter.eventId(event);
         if (!begun) {
             begun = true;
-            HttpResponse first = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
-            first.headers().set(ForwardedHeaders.copy(head.headers()));
-            link.beginAnswer(first);
+            HttpResponse callerHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
+            callerHead.headers().set(ForwardedHeaders.copy(head.headers()));
+            link.beginAnswer(callerHead);
         }
-        if (identity.isPresent()) {
-            lastEvent = identity;
+        if (eventId.isPresent()) {
+            lastEventId = eventId;
         }
         link.sendPart(event);
     }
 
-    /** Returns whether the caller has got any event. */
+    /** Returns whether any event has been sent to the caller. */
     boolean begun() {
         return begun;
     }
 
-    /** Returns the identity of the last event that has one. */
-    Optional<String> lastEvent() {
-        return lastEvent;
+    /** Returns the id of the last event that has one. */
+    Optional<String> lastEventId() {
+        return lastEventId;
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -6,49 +6,50 @@
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** The attempt that a request has open at a server, of which there is one at most. Confined to the event loop. */
+/** The open attempt of a request; there is at most one at a time. Confined to the event loop. */
 final class CurrentAttempt {
-    private final RequestTools tools;
+    private final ServingContext context;
     private final String service;
     private final Duration objective;
     private AssignedWork work;
     private Exchange exchange;
 
-    CurrentAttempt(RequestTools tools, String service, Duration objective) {
-        this.tools = tools;
+    CurrentAttempt(ServingContext context, String service, Duration objective) {
+        this.context = context;
         this.service = service;
         this.objective = objective;
     }
 
-    /** Notes that an attempt begins. */
+    /** Begins an attempt and records it with the placement policy. */
     AssignedWork begin(BackendServer server, WorkKind kind, double promptSeconds) {
-        long now = tools.state().time().monotonicNanoseconds();
-        work = tools.state().placer().attemptStarted(server, kind, promptSeconds, objective, now);
+        long now = context.state().time().monotonicNanos();
+        work = context.state().placement().attemptStarted(server, kind, promptSeconds, objective, now);
         return work;
     }
 
     /**
-     * Notes the exchange of an attempt. It may have ended while it was being sent, and another attempt have begun. Taken
-     * for the current one, the ended exchange would be cancelled in place of the other, whose answer then met a request
-     * that had gone on.
+     * Sets the exchange of an attempt, unless the attempt is no longer the current one. An attempt can end while it
+     * is being sent, and the next one can begin. If the exchange of the ended attempt were stored as the current one,
+     * a later cancellation would cancel it instead of the open exchange, whose answer would then reach a request that
+     * has moved on.
      */
-    void sent(AssignedWork of, Exchange sent) {
-        if (of.equals(work)) {
-            exchange = sent;
+    void setExchange(AssignedWork sentWork, Exchange newExchange) {
+        if (sentWork.equals(work)) {
+            exchange = newExchange;
         }
     }
 
-    /** Notes that an attempt is over; its server has room for another request. */
-    void end(AssignedWork ended) {
-        tools.state().placer().attemptEnded(ended);
-        if (ended.equals(work)) {
+    /** Ends an attempt and dispatches waiting requests, since its server can accept another one. */
+    void end(AssignedWork endedWork) {
+        context.state().placement().attemptEnded(endedWork);
+        if (endedWork.equals(work)) {
             work = null;
             exchange = null;
         }
-        tools.lines().roomMayBe(service);
+        context.waitQueues().dispatchWaiting(service);
     }
 
-    /** Breaks the exchange off; the attempt is ended by whoever does so. */
+    /** Cancels the exchange; the caller of this method has to end the attempt. */
     void cancel() {
         if (exchange != null) {
             exchange.cancel();
@@ -56,7 +57,7 @@
         }
     }
 
-    /** Breaks off and ends whatever is open. */
+    /** Cancels and ends the open attempt, if there is one. */
     void abandon() {
         cancel();
         if (work != null) {
@@ -64,10 +65,10 @@
         }
     }
 
-    /** Stops or goes on reading the answer. */
-    void read(boolean on) {
+    /** Pauses or resumes reading the answer. */
+    void setReading(boolean reading) {
         if (exchange != null) {
-            exchange.setReading(on);
+            exchange.setReading(reading);
         }
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
@@ -11,21 +11,21 @@
 import java.util.function.Supplier;
 import org.aspenmoor.internal.serving.ServerSummary;
 
-/** What an entry counts about requests. */
+/** The request metrics of an entry. */
 public final class GatewayMetrics {
     private final Counter requests;
     private final Counter attempts;
     private final Counter repeats;
-    private final Counter serverEnds;
+    private final Counter serverTerminations;
     private final Counter quarantinedArrivals;
     private final Histogram firstByteSeconds;
 
     /**
      * Registers the metrics.
      *
-     * @param connectionsOpened how many connections to backend servers were opened
-     * @param servers what is believed of each backend server
-     * @param quarantined how many requests are kept from servers
+     * @param connectionsOpened supplies the number of connections to backend servers opened so far
+     * @param servers supplies the estimated load of each backend server
+     * @param quarantined supplies the number of requests currently in quarantine
      */
     public GatewayMetrics(
             PrometheusRegistry registry,
@@ -47,7 +47,7 @@
                 .help("Repeated arrivals asked of the shared budget, by service and whether it granted them.")
                 .labelNames("service", "granted")
                 .register(registry);
-        this.serverEnds = Counter.builder()
+        this.serverTerminations = Counter.builder()
                 .name("aspenmoor_requests_at_server_end_total")
                 .help(
                         "Requests that a backend server had when it ended, by service and whether it had said that it leaves.")
@@ -74,53 +74,53 @@
                 .help("Connections to backend servers that were opened.")
                 .callback(callback -> callback.call((double) connectionsOpened.getAsLong()))
                 .register(registry);
-        registerServers(registry, servers);
+        registerServerMetrics(registry, servers);
     }
 
-    private static void registerServers(PrometheusRegistry registry, Supplier<List<ServerSummary>> servers) {
+    private static void registerServerMetrics(PrometheusRegistry registry, Supplier<List<ServerSummary>> servers) {
         GaugeWithCallback.builder()
                 .name("aspenmoor_server_requests")
                 .help("Requests at a backend server, of all entries, by server and role.")
                 .labelNames("server", "role")
                 .callback(callback -> servers.get()
-                        .forEach(each -> callback.call(
-                                each.load().requests(),
-                                each.server().id(),
-                                each.server().role().name())))
+                        .forEach(summary -> callback.call(
+                                summary.load().requests(),
+                                summary.server().id(),
+                                summary.server().role().name())))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("aspenmoor_server_event_seconds")
                 .help("Seconds from one event of an answer to the next, of all entries, by server.")
                 .labelNames("server")
                 .callback(callback -> servers.get()
-                        .forEach(each -> each.load()
+                        .forEach(summary -> summary.load()
                                 .secondsPerEvent()
-                                .ifPresent(pace ->
-                                        callback.call(pace, each.server().id()))))
+                                .ifPresent(seconds ->
+                                        callback.call(seconds, summary.server().id()))))
                 .register(registry);
     }
 
-    void ended(String service, RequestOutcome outcome) {
+    void requestEnded(String service, RequestOutcome outcome) {
         requests.labelValues(service, outcome.name()).inc();
     }
 
-    void attempted(String service, String end) {
+    void attemptEnded(String service, String end) {
         attempts.labelValues(service, end).inc();
     }
 
-    void repeated(String service, boolean granted) {
+    void repeatRequested(String service, boolean granted) {
         repeats.labelValues(service, Boolean.toString(granted)).inc();
     }
 
-    void serverEnded(String service, boolean planned) {
-        serverEnds.labelValues(service, Boolean.toString(planned)).inc();
+    void serverTerminated(String service, boolean planned) {
+        serverTerminations.labelValues(service, Boolean.toString(planned)).inc();
     }
 
     void quarantined(String service) {
         quarantinedArrivals.labelValues(service).inc();
     }
 
-    void firstByte(String service, double seconds) {
+    void answerBegan(String service, double seconds) {
         firstByteSeconds.labelValues(service).observe(seconds);
     }
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/InterruptedAttempt.java
@@ -0,0 +1,17 @@
+package org.aspenmoor.internal.gateway.request;
+
+import java.time.Duration;
+import org.aspenmoor.internal.serving.BackendServer;
+import org.aspenmoor.internal.serving.quarantine.RequestDigest;
+
+/**
+ * An attempt whose connection broke before the answer was complete.
+ *
+ * @param requestId the request's id
+ * @param digest identifies the request among its repeated arrivals
+ * @param server the server that the request was sent to
+ * @param sinceSent time from sending the request to the break
+ * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
+ */
+record InterruptedAttempt(
+        String requestId, RequestDigest digest, BackendServer server, Duration sinceSent, Duration sinceAnswerBegan) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequestFactory.java
@@ -6,43 +6,43 @@
 import org.aspenmoor.internal.serving.RequestDeadlines;
 import org.aspenmoor.internal.serving.Route;
 
-/** Says what one request asks of its next placement. */
-final class PlacementRequests {
+/** Builds the placement requests of one caller's request. */
+final class PlacementRequestFactory {
     private final String service;
     private final CallerHeaders caller;
     private final Route route;
     private final RequestDeadlines times;
     private final RequestTrace trace;
     private final CallerStream stream;
-    private final TriedServers tried;
+    private final TriedServers triedServers;
 
-    PlacementRequests(
+    PlacementRequestFactory(
             String service,
             CallerHeaders caller,
             Route route,
             RequestDeadlines times,
             RequestTrace trace,
             CallerStream stream,
-            TriedServers tried) {
+            TriedServers triedServers) {
         this.service = service;
         this.caller = caller;
         this.route = route;
         this.times = times;
         this.trace = trace;
         this.stream = stream;
-        this.tried = tried;
+        this.triedServers = triedServers;
     }
 
-    PlacementRequest next(boolean othersWait, long now) {
-        Duration left = Duration.ofNanos(times.callerWaitsUntil(trace.lastEvent()) - now);
+    PlacementRequest create(boolean othersWait, long now) {
+        Duration remaining = Duration.ofNanos(times.callerWaitsUntil(trace.lastEventTime()) - now);
         return new PlacementRequest(
                 service,
                 caller.prompt(),
-                left,
+                remaining,
                 route.objective(),
                 stream.begun(),
-                tried.identities(),
-                tried.mayStage(),
+                triedServers.ids(),
+                triedServers.mayPrefill(),
                 caller.prompt().isPresent(),
                 othersWait);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -14,10 +14,10 @@
 import org.aspenmoor.internal.serving.AttemptEnd;
 import org.aspenmoor.internal.serving.Placement;
 
-/** The first stage of a generation: one engine computes the prompt and keeps it for another. */
+/** The first stage of a generation: one engine does the prefill and holds the cache for another engine. */
 final class PrefillAttempt implements ExchangeListener, WatchedAttempt {
-    /** An answer that names a handle is far shorter; anything longer is no such answer. */
-    private static final int MOST_BODY_BYTES = 8192;
+    /** From this length on, further data is ignored; an answer that contains a handle is far shorter. */
+    private static final int MAX_BODY_CHARACTERS = 8192;
 
     private final ServedRequest request;
     private final BackendProtocol protocol;
@@ -44,7 +44,7 @@
 
     @Override
     public void dataReceived(ByteBuf part) {
-        if (body.length() < MOST_BODY_BYTES) {
+        if (body.length() < MAX_BODY_CHARACTERS) {
             body.append(part.toString(StandardCharsets.UTF_8));
         }
     }
@@ -55,7 +55,7 @@
         Optional<String> handle = accepted ? protocol.readCacheHandle(body.toString()) : Optional.empty();
         if (handle.isEmpty()) {
             AttemptEnd end = rejected ? AnswerAttempt.rejection(status) : new AttemptEnd.Failed();
-            request.prefillEnded(placement, work, end, "status " + status.code() + ", no handle");
+            request.prefillFailed(placement, work, end, "status " + status.code() + ", no handle");
             return;
         }
         CacheSource source =
@@ -73,19 +73,19 @@
         return work;
     }
 
-    /** Notes that the engine is given up; the exchange was cancelled. */
+    /** Ends the attempt after the exchange was cancelled because the engine stalled. */
     void stalled() {
-        request.prefillEnded(placement, work, new AttemptEnd.Lost(), "no answer came in time");
+        request.prefillFailed(placement, work, new AttemptEnd.Lost(), "no answer arrived within the stall limit");
     }
 
     @Override
     public void neverSent(String reason) {
-        request.prefillEnded(placement, work, new AttemptEnd.NeverSent(), reason);
+        request.prefillFailed(placement, work, new AttemptEnd.NeverSent(), reason);
     }
 
     @Override
     public void failed(String reason) {
-        request.serverEnds().connectionBroke(placement.prefill(), work, Duration.ZERO);
-        request.prefillEnded(placement, work, new AttemptEnd.Lost(), reason);
+        request.fatalCheck().connectionBroken(placement.prefill(), work, Duration.ZERO);
+        request.prefillFailed(placement, work, new AttemptEnd.Lost(), reason);
     }
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
@@ -0,0 +1,49 @@
+package org.aspenmoor.internal.gateway.request;
+
+import org.aspenmoor.internal.serving.Placement;
+import org.aspenmoor.internal.serving.RequestDeadlines;
+import org.aspenmoor.internal.serving.WaitQueue;
+
+/** Records the steps of one request in the wait queue of its service: queued, dispatched to an engine, answered. */
+final class QueueTracker {
+    private final ServingContext context;
+    private final ServedRequest request;
+    private final RequestDeadlines times;
+    private final RequestTrace trace;
+    private long dispatchedAt;
+
+    QueueTracker(ServingContext context, ServedRequest request, RequestDeadlines times, RequestTrace trace) {
+        this.context = context;
+        this.request = request;
+        this.times = times;
+        this.trace = trace;
+    }
+
+    /**
+     * Adds the request to the queue until an engine has capacity.
+     *
+     * @param wantedBy when the answer has to begin at the latest to be of use, in nanoseconds of the monotonic clock
+     */
+    void enqueue(Placement.Queued held, long wantedBy) {
+        trace.queued(now());
+        context.waitQueues()
+                .add(new WaitQueue.QueuedRequest<>(
+                        request, held.promptSeconds(), times.arrivedAt(), times.objectiveDeadline(), wantedBy));
+    }
+
+    /** Records that the request is sent to an engine. */
+    void dispatched() {
+        dispatchedAt = now();
+        trace.dispatched(dispatchedAt);
+        context.waitQueues().dispatched(request.service(), times.objectiveDeadline(), dispatchedAt);
+    }
+
+    /** Records the first byte of the answer. */
+    void answerBegan() {
+        context.waitQueues().answerBegan(request.service(), dispatchedAt, now());
+    }
+
+    private long now() {
+        return context.state().time().monotonicNanos();
+    }
+}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
@@ -2,29 +2,29 @@
 
 import org.aspenmoor.internal.serving.AttemptTracker;
 
-/** Asks the budget that all entries share before an attempt of one request that would be a repeat. */
+/** Takes repeated attempts of one request out of the repeat budget, which all entries share. */
 final class RepeatPermit {
-    private final RequestTools tools;
+    private final ServingContext context;
     private final String service;
-    private final AttemptTracker account;
+    private final AttemptTracker attempts;
     private final RequestTrace trace;
 
-    RepeatPermit(RequestTools tools, String service, AttemptTracker account, RequestTrace trace) {
-        this.tools = tools;
+    RepeatPermit(ServingContext context, String service, AttemptTracker attempts, RequestTrace trace) {
+        this.context = context;
         this.service = service;
-        this.account = account;
+        this.attempts = attempts;
         this.trace = trace;
     }
 
-    /** Returns whether the next attempt may be made; the first of a request always may. */
-    boolean granted() {
-        if (!account.nextIsRetry()) {
+    /** Returns whether the next attempt is allowed; the first attempt of a request always is. */
+    boolean tryAcquire() {
+        if (!attempts.nextIsRetry()) {
             return true;
         }
-        boolean granted = tools.state().takeRepeat(service);
-        tools.metrics().repeated(service, granted);
+        boolean granted = context.state().tryTakeRepeat(service);
+        context.metrics().repeatRequested(service, granted);
         if (!granted) {
-            trace.because("the budget of repeats is used up; " + trace.reason());
+            trace.setReason("the repeat budget of the service is used up; " + trace.reason());
         }
         return granted;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -19,61 +19,62 @@
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.ServingConfiguration;
 
-/** Finds the route of each request and starts it on its way. Confined to the event loop. */
+/** Finds the route of each incoming request and starts serving it. Confined to the event loop. */
 public final class RequestDispatcher implements RequestService {
-    /** Callers of a process that has just started come back when it has probably read its configuration. */
-    private static final Duration START_PAUSE = Duration.ofSeconds(1);
+    /** Retry delay for callers of a process that has just started; by then it has probably read its configuration. */
+    private static final Duration START_RETRY_DELAY = Duration.ofSeconds(1);
 
     /**
-     * How long a request waits for a process that has just started. After a loss of power of all entries, callers find a
-     * port some tenths of a second before the configuration is read; refused there, most had no further try and got
-     * nothing, while those that wait are answered at once. Reading takes half a second; a store that is away takes longer.
+     * How long a request waits at most for a process that has just started. After a power failure of all entries, the
+     * port accepts callers some tenths of a second before the configuration is read. Most callers refused at that
+     * moment have no further attempt and get no answer, whereas those that wait are answered as soon as the entry is
+     * ready. Reading the configuration takes half a second, and longer if the store is unavailable.
      */
-    private static final Duration LONGEST_START_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAX_START_WAIT = Duration.ofSeconds(1);
 
-    /** How often the requests that wait for the start are looked at. */
-    private static final long START_LOOK_MILLISECONDS = 20;
+    /** Interval at which requests that wait for the process to become ready are checked. */
+    private static final long START_POLL_MILLISECONDS = 20;
 
-    private final RequestTools tools;
-    private final CallerProtocol callers;
-    private final long mostBodyBytes;
-    private final List<StartingRequest> starting = new ArrayList<>();
-    private Future<?> startLook;
-    private long bodyBytes;
+    private final ServingContext context;
+    private final CallerProtocol callerProtocol;
+    private final long maxBodyBytes;
+    private final List<DeferredRequest> deferredRequests = new ArrayList<>();
+    private Future<?> startPoll;
+    private long reservedBodyBytes;
     private boolean stopping;
 
     /**
-     * Makes a dispatcher.
+     * Creates a dispatcher.
      *
-     * @param mostBodyBytes how many bytes of request bodies may be held at once
+     * @param maxBodyBytes maximum total size of the request bodies held at once
      */
-    public RequestDispatcher(RequestTools tools, CallerProtocol callers, long mostBodyBytes) {
-        this.tools = tools;
-        this.callers = callers;
-        this.mostBodyBytes = mostBodyBytes;
+    public RequestDispatcher(ServingContext context, CallerProtocol callerProtocol, long maxBodyBytes) {
+        this.context = context;
+        this.callerProtocol = callerProtocol;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Keeps no caller's connection from now on. */
+    /** Makes callers' connections close after their current request. */
     public void stop() {
         stopping = true;
     }
 
     @Override
     public ActiveRequest serve(IncomingRequest incoming, AnswerWriter link) {
-        CallerHeaders caller = callers.readHead(incoming.head());
-        return ready() ? serveNow(incoming, caller, link) : waitForStart(incoming, caller, link);
+        CallerHeaders caller = callerProtocol.readHead(incoming.head());
+        return ready() ? serveNow(incoming, caller, link) : deferUntilReady(incoming, caller, link);
     }
 
     private boolean ready() {
-        return tools.state().ready() && tools.state().configuration().isPresent();
+        return context.state().ready() && context.state().configuration().isPresent();
     }
 
-    private ActiveRequest waitForStart(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
-        Duration wait = caller.maxWait()
-                .filter(patience -> patience.compareTo(LONGEST_START_WAIT) < 0)
-                .orElse(LONGEST_START_WAIT);
-        StartingRequest waiting = new StartingRequest(
-                incoming.receivedAtNanos() + wait.toNanos(),
+    private ActiveRequest deferUntilReady(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
+        Duration maxWait = caller.maxWait()
+                .filter(callerLimit -> callerLimit.compareTo(MAX_START_WAIT) < 0)
+                .orElse(MAX_START_WAIT);
+        DeferredRequest deferred = new DeferredRequest(
+                incoming.receivedAtNanos() + maxWait.toNanos(),
                 () -> serveNow(incoming, caller, link),
                 () -> refuse(
                         incoming,
@@ -81,32 +82,33 @@
                         link,
                         RequestOutcome.NOT_RUN,
                         LocalAnswers.notRun(
-                                "this entry has just started", tools.state().spread(START_PAUSE))),
+                                "this entry has just started and has not read its configuration yet",
+                                context.state().withJitter(START_RETRY_DELAY))),
                 () -> incoming.body().release());
-        starting.add(waiting);
-        if (startLook == null) {
-            startLook = tools.eventLoop()
+        deferredRequests.add(deferred);
+        if (startPoll == null) {
+            startPoll = context.eventLoop()
                     .scheduleWithFixedDelay(
-                            this::lookAtStarting,
-                            START_LOOK_MILLISECONDS,
-                            START_LOOK_MILLISECONDS,
+                            this::pollDeferred,
+                            START_POLL_MILLISECONDS,
+                            START_POLL_MILLISECONDS,
                             TimeUnit.MILLISECONDS);
         }
-        return waiting;
+        return deferred;
     }
 
-    private void lookAtStarting() {
-        long now = tools.state().time().monotonicNanoseconds();
+    private void pollDeferred() {
+        long now = context.state().time().monotonicNanos();
         boolean ready = ready();
-        starting.removeIf(each -> each.settled(ready, now));
-        if (starting.isEmpty()) {
-            startLook.cancel(false);
-            startLook = null;
+        deferredRequests.removeIf(each -> each.settle(ready, now));
+        if (deferredRequests.isEmpty()) {
+            startPoll.cancel(false);
+            startPoll = null;
         }
     }
 
     private ActiveRequest serveNow(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
-        Optional<ServingConfiguration> configuration = tools.state().configuration();
+        Optional<ServingConfiguration> configuration = context.state().configuration();
         Optional<Route> route = configuration.get().match(incoming.host(), incoming.path());
         if (route.isEmpty()) {
             return refuse(
@@ -114,11 +116,11 @@
                     caller,
                     link,
                     RequestOutcome.NO_ROUTE,
-                    LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route leads anywhere for this host and path."));
+                    LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route matches this host and path."));
         }
-        String service = route.get().serviceFor(tools.state().random().nextDouble());
+        String service = route.get().serviceFor(context.state().random().nextDouble());
         ServedRequest request = new ServedRequest(
-                tools,
+                context,
                 incoming,
                 caller,
                 link,
@@ -131,12 +133,12 @@
 
     @Override
     public void discard(IncomingRequest incoming) {
-        end(incoming, callers.readHead(incoming.head()), RequestOutcome.CALLER_LEFT);
+        endUnserved(incoming, callerProtocol.readHead(incoming.head()), RequestOutcome.CALLER_LEFT);
     }
 
     @Override
     public ConnectionLimits connectionLimits() {
-        return tools.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.defaults());
+        return context.state().configuration().map(ServingConfiguration::limits).orElse(ConnectionLimits.defaults());
     }
 
     @Override
@@ -146,16 +148,16 @@
 
     @Override
     public boolean reserveBodyBytes(int bytes) {
-        if (bodyBytes + bytes > mostBodyBytes) {
+        if (reservedBodyBytes + bytes > maxBodyBytes) {
             return false;
         }
-        bodyBytes += bytes;
+        reservedBodyBytes += bytes;
         return true;
     }
 
     @Override
     public void releaseBodyBytes(int bytes) {
-        bodyBytes -= bytes;
+        reservedBodyBytes -= bytes;
     }
 
     private ActiveRequest refuse(
@@ -164,16 +166,16 @@
             AnswerWriter link,
             RequestOutcome outcome,
             FullHttpResponse answer) {
-        end(incoming, caller, outcome);
+        endUnserved(incoming, caller, outcome);
         link.sendAnswer(answer);
-        return new EndedRequest();
+        return new LocallyAnsweredRequest();
     }
 
-    /** Ends a request that went nowhere. */
-    private void end(IncomingRequest incoming, CallerHeaders caller, RequestOutcome outcome) {
+    /** Ends a request that was not sent to any backend server. */
+    private void endUnserved(IncomingRequest incoming, CallerHeaders caller, RequestOutcome outcome) {
         incoming.body().release();
-        tools.metrics().ended("", outcome);
-        tools.state()
+        context.metrics().requestEnded("", outcome);
+        context.state()
                 .log()
                 .notable("request-ended")
                 .with("request", caller.requestId())
@@ -182,7 +184,7 @@
                 .with("path", incoming.path())
                 .with(
                         "configuration",
-                        tools.state()
+                        context.state()
                                 .configuration()
                                 .map(ServingConfiguration::version)
                                 .orElse(-1L))
