--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -14,9 +14,9 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.Route;
 
-/** What was decided about one request and by what, for the line that explains it afterwards. */
+/** Collects the decisions about one request, their reasons and its timing, and writes them to the decision log. */
 final class RequestTrace {
-    private static final double MILLISECONDS = 1000;
+    private static final double MILLISECONDS_PER_SECOND = 1000;
 
     private final CallerHeaders caller;
     private final Route route;
@@ -24,19 +24,19 @@
     private final long configurationVersion;
     private final long arrivedAt;
     private final long deadline;
-    private String way = "none";
+    private String placementType = "none";
     private String server = "";
     private String reason = "";
     private double expectedSeconds;
-    private String promptServer = "";
-    private long waitedFrom;
-    private long departedAt;
-    private long promptReadyAt;
-    private long answerAskedAt;
-    private EngineLoad loadWhenAsked = EngineLoad.UNKNOWN;
+    private String prefillServerId = "";
+    private long queuedAt;
+    private long dispatchedAt;
+    private long prefillCompletedAt;
+    private long answerRequestedAt;
+    private EngineLoad loadAtRequest = EngineLoad.UNKNOWN;
     private long firstByteAt;
     private long lastEventAt;
-    private long longestPause;
+    private long longestGap;
     private int events;
     private int eventsOfAttempt;
 
@@ -55,62 +55,62 @@
         this.deadline = deadline;
     }
 
-    void placed(String newWay, double seconds) {
-        way = newWay;
+    void placementChosen(String newPlacementType, double seconds) {
+        placementType = newPlacementType;
         expectedSeconds = seconds;
     }
 
-    void sentTo(BackendServer to) {
-        server = to.id();
+    void sentTo(BackendServer target) {
+        server = target.id();
     }
 
-    void waits(long now) {
-        waitedFrom = waitedFrom == 0 ? now : waitedFrom;
+    void queued(long now) {
+        queuedAt = queuedAt == 0 ? now : queuedAt;
     }
 
-    void departed(long now) {
-        departedAt = now;
+    void dispatched(long now) {
+        dispatchedAt = now;
     }
 
-    /** Returns how long the answer has been told: from its first event to its last. */
-    Duration told() {
+    /** Returns the time from the first byte of the answer to its last event so far. */
+    Duration answerDuration() {
         return Duration.ofNanos(lastEventAt - firstByteAt);
     }
 
-    /** Returns when the caller last got an event; empty where it has got none. */
-    OptionalLong lastEvent() {
+    /** Returns when the last event arrived, in nanoseconds of the monotonic clock; empty if none has. */
+    OptionalLong lastEventTime() {
         return events == 0 ? OptionalLong.empty() : OptionalLong.of(lastEventAt);
     }
 
-    /** Notes that an engine is asked for the answer, at which so much runs already. */
-    void answerAsked(EngineLoad there, long now) {
-        loadWhenAsked = there;
+    /** Records that a server is asked for the answer, and its load at that time. */
+    void answerRequested(EngineLoad load, long now) {
+        loadAtRequest = load;
         eventsOfAttempt = 0;
-        answerAskedAt = now;
+        answerRequestedAt = now;
     }
 
-    void promptReady(BackendServer by, long now) {
-        promptServer = by.id();
-        promptReadyAt = now;
+    void prefillCompleted(BackendServer engine, long now) {
+        prefillServerId = engine.id();
+        prefillCompletedAt = now;
     }
 
-    /** Notes an event of a stream; returns how long after the one before it came, where both came from one engine. */
-    Optional<Duration> event(long now) {
-        long pause = now - lastEventAt;
+    /** Records an event of a stream; returns the time since the previous event if both are from the same attempt. */
+    Optional<Duration> eventReceived(long now) {
+        long gap = now - lastEventAt;
         if (events > 0) {
-            longestPause = Math.max(longestPause, pause);
+            longestGap = Math.max(longestGap, gap);
         }
         lastEventAt = now;
         events++;
         eventsOfAttempt++;
-        return eventsOfAttempt > 1 ? Optional.of(Duration.ofNanos(pause)) : Optional.empty();
+        return eventsOfAttempt > 1 ? Optional.of(Duration.ofNanos(gap)) : Optional.empty();
     }
 
-    void because(String newReason) {
+    void setReason(String newReason) {
         reason = newReason;
     }
 
-    void firstByte(long now) {
+    void firstByteReceived(long now) {
         if (firstByteAt == 0) {
             firstByteAt = now;
         }
@@ -128,17 +128,17 @@
         return reason;
     }
 
-    /** Writes that a prompt was not computed where it should have been. */
-    void prefillFailed(DecisionLog log, BackendServer engine, String why) {
+    /** Logs that the prefill at an engine failed. */
+    void logPrefillFailed(DecisionLog log, BackendServer engine, String failure) {
         log.notable("prefill-failed")
                 .with("request", caller.requestId())
                 .with("server", engine.id())
-                .with("reason", why)
+                .with("reason", failure)
                 .write();
     }
 
-    /** Writes how an attempt ended and what follows. */
-    void attemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
+    /** Logs how an attempt ended and the next step. */
+    void logAttemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
                 .with("request", caller.requestId())
                 .with("server", server)
@@ -148,8 +148,8 @@
                 .write();
     }
 
-    /** Writes all of it, with what runs at the last server now. */
-    void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad there, long now) {
+    /** Logs the complete trace, with the current load of the last server. */
+    void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad currentLoad, long now) {
         line.with("request", caller.requestId())
                 .with("outcome", outcome.name())
                 .with("route", route.name())
@@ -157,44 +157,44 @@
                 .with("service", service)
                 .with("server", server)
                 .with("attempts", attempts)
-                .with("way", way)
+                .with("way", placementType)
                 .with("promptTokens", caller.prompt().map(Prompt::promptTokens).orElse(0))
                 .with(
                         "sharedTokens",
                         caller.prompt().map(Prompt::sharedPrefixTokens).orElse(0))
                 .with("mostTokens", caller.prompt().map(Prompt::maxOutputTokens).orElse(0))
-                .with("expectedMs", Math.round(expectedSeconds * MILLISECONDS))
-                .with("heldFromMs", sinceArrival(waitedFrom))
-                .with("departedMs", sinceArrival(departedAt))
-                .with("promptServer", promptServer)
-                .with("promptReadyMs", sinceArrival(promptReadyAt))
-                .with("answerAskedMs", sinceArrival(answerAskedAt))
-                .with("firstByteMs", sinceArrival(firstByteAt))
-                .with("askedRequests", Math.round(loadWhenAsked.requests()))
-                .with("askedPaceMs", paceMilliseconds(loadWhenAsked))
-                .with("endRequests", Math.round(there.requests()))
-                .with("endPaceMs", paceMilliseconds(there))
+                .with("expectedMs", Math.round(expectedSeconds * MILLISECONDS_PER_SECOND))
+                .with("heldFromMs", stepMilliseconds(queuedAt))
+                .with("departedMs", stepMilliseconds(dispatchedAt))
+                .with("promptServer", prefillServerId)
+                .with("promptReadyMs", stepMilliseconds(prefillCompletedAt))
+                .with("answerAskedMs", stepMilliseconds(answerRequestedAt))
+                .with("firstByteMs", stepMilliseconds(firstByteAt))
+                .with("askedRequests", Math.round(loadAtRequest.requests()))
+                .with("askedPaceMs", millisecondsPerEvent(loadAtRequest))
+                .with("endRequests", Math.round(currentLoad.requests()))
+                .with("endPaceMs", millisecondsPerEvent(currentLoad))
                 .with("events", events)
-                .with("longestPauseMs", TimeUnit.NANOSECONDS.toMillis(longestPause))
-                .with("afterMs", milliseconds(now))
-                .with("allowedMs", milliseconds(deadline))
+                .with("longestPauseMs", TimeUnit.NANOSECONDS.toMillis(longestGap))
+                .with("afterMs", millisecondsSinceArrival(now))
+                .with("allowedMs", millisecondsSinceArrival(deadline))
                 .with("reason", reason)
                 .write();
     }
 
-    /** Returns an engine's milliseconds from one event to the next; -1 where no answer shows it. */
-    private static long paceMilliseconds(EngineLoad load) {
+    /** Returns an engine's milliseconds from one event to the next; -1 if unknown. */
+    private static long millisecondsPerEvent(EngineLoad load) {
         return load.secondsPerEvent()
-                .map(seconds -> Math.round(seconds * MILLISECONDS))
+                .map(seconds -> Math.round(seconds * MILLISECONDS_PER_SECOND))
                 .orElse(-1L);
     }
 
-    /** Returns the milliseconds from the arrival to a step that may never have come; -1 where it has not. */
-    private long sinceArrival(long at) {
-        return at == 0 ? -1 : milliseconds(at);
+    /** Returns the milliseconds from the arrival to a step; -1 if the step has not been reached. */
+    private long stepMilliseconds(long at) {
+        return at == 0 ? -1 : millisecondsSinceArrival(at);
     }
 
-    private long milliseconds(long at) {
+    private long millisecondsSinceArrival(long at) {
         return TimeUnit.NANOSECONDS.toMillis(at - arrivedAt);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -27,14 +27,12 @@
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/**
- * One request of a caller on its way: placed, sent, perhaps repeated, answered exactly once. Confined to the event loop.
- */
+/** Serves one caller's request: placement, attempts, repeats, exactly one answer. Confined to the event loop. */
 final class ServedRequest implements ActiveRequest {
-    /** A caller that is refused for want of time or servers comes back no sooner; below it, it only meets the same. */
-    private static final Duration SHORTEST_PAUSE = Duration.ofMillis(200);
+    /** Minimum retry delay of a refused caller; after a shorter delay the cause of the refusal usually still exists. */
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(200);
 
-    private final RequestTools tools;
+    private final ServingContext context;
     private final IncomingRequest incoming;
     private final CallerHeaders caller;
     private final AnswerWriter link;
@@ -44,67 +42,67 @@
     private final RequestDeadlines times;
     private final RequestTrace trace;
     private final AttemptMessages messages;
-    private final AnswerProgress progress;
-    private final LinePlace line;
-    private final AttemptTracker account;
-    private final CurrentAttempt current;
+    private final AnswerProgress answerProgress;
+    private final QueueTracker queue;
+    private final AttemptTracker attempts;
+    private final CurrentAttempt currentAttempt;
     private final RepeatPermit permit;
-    private final StallWatch stallWatch;
-    private final ServerEnds serverEnds;
-    private final UnfetchedPrompt unfetched;
-    private final TriedServers tried = new TriedServers();
-    private final PlacementRequests placements;
-    private AnswerAttempt attempt;
+    private final StallDetector stallDetector;
+    private final FatalRequestCheck fatalCheck;
+    private final PendingHandoff pendingHandoff;
+    private final TriedServers triedServers = new TriedServers();
+    private final PlacementRequestFactory placements;
+    private AnswerAttempt answerAttempt;
     private Future<?> deadlineTimer;
-    private boolean over;
+    private boolean finished;
 
     ServedRequest(
-            RequestTools tools,
+            ServingContext context,
             IncomingRequest incoming,
             CallerHeaders caller,
             AnswerWriter link,
             Route route,
             String service,
             long configurationVersion) {
-        this.tools = tools;
+        this.context = context;
         this.incoming = incoming;
         this.caller = caller;
         this.link = link;
         this.stream = new CallerStream(link);
         this.route = route;
         this.service = service;
-        this.account = new AttemptTracker(route.retryRule(), route.maxBackends());
-        this.current = new CurrentAttempt(tools, service, route.objective());
-        this.stallWatch = new StallWatch(tools, route, link::writable, this::stalled);
+        this.attempts = new AttemptTracker(route.retryRule(), route.maxBackends());
+        this.currentAttempt = new CurrentAttempt(context, service, route.objective());
+        this.stallDetector = new StallDetector(context, route, link::writable, this::stalled);
         this.times = new RequestDeadlines(incoming.receivedAtNanos(), caller.maxWait(), route);
         this.trace = new RequestTrace(
                 caller, route, service, configurationVersion, incoming.receivedAtNanos(), times.deadline());
-        this.messages = new AttemptMessages(incoming, tools.protocol(), route, times.deadline());
-        this.progress = new AnswerProgress(tools.state().placer(), service, caller.prompt(), trace);
-        this.line = new LinePlace(tools, this, times, trace);
-        this.placements = new PlacementRequests(service, caller, route, times, trace, stream, tried);
-        this.permit = new RepeatPermit(tools, service, account, trace);
-        this.unfetched = new UnfetchedPrompt(tools, caller.requestId());
-        this.serverEnds = new ServerEnds(tools, caller.requestId(), service, incoming, trace);
+        this.messages = new AttemptMessages(incoming, context.protocol(), route, times.deadline());
+        this.answerProgress = new AnswerProgress(context.state().placement(), service, caller.prompt(), trace);
+        this.queue = new QueueTracker(context, this, times, trace);
+        this.placements = new PlacementRequestFactory(service, caller, route, times, trace, stream, triedServers);
+        this.permit = new RepeatPermit(context, service, attempts, trace);
+        this.pendingHandoff = new PendingHandoff(context, caller.requestId());
+        this.fatalCheck = new FatalRequestCheck(context, caller.requestId(), service, incoming, trace);
     }
 
     void start() {
-        tools.state().requested(service);
-        progress.wanted(route.timeout(), now());
-        long left = Math.max(0, times.deadline() - now());
-        deadlineTimer = tools.eventLoop().schedule(this::deadlineReached, left, TimeUnit.NANOSECONDS);
-        place();
+        context.state().requestArrived(service);
+        answerProgress.expectWithin(route.timeout(), now());
+        long remaining = Math.max(0, times.deadline() - now());
+        deadlineTimer = context.eventLoop().schedule(this::deadlineReached, remaining, TimeUnit.NANOSECONDS);
+        assignServer();
     }
 
-    /** Goes on after waiting for room at an engine. */
-    void goOn() {
-        place(placements.next(false, now()));
+    /** Continues when the request leaves the wait queue because an engine may have capacity. */
+    void continueFromQueue() {
+        assignServer(placements.create(false, now()));
     }
 
-    /** Ends without having run: its turn cannot come before its deadline. */
-    void giveUp(Duration comeBackAfter) {
-        trace.because("no engine has room before the deadline");
-        conclude(account.stepWithoutRetry(), comeBackAfter);
+    /** Ends the request without having run it: it cannot leave the wait queue before its deadline. */
+    void refuseFromQueue(Duration retryDelay) {
+        trace.setReason("no engine has capacity before the deadline");
+        conclude(attempts.stepWithoutRetry(), retryDelay);
     }
 
     String service() {
@@ -113,7 +111,7 @@
 
     @Override
     public void callerDisconnected() {
-        if (over) {
+        if (finished) {
             return;
         }
         finish(RequestOutcome.CALLER_LEFT);
@@ -121,54 +119,56 @@
 
     @Override
     public void writabilityChanged() {
-        current.read(link.writable());
+        currentAttempt.setReading(link.writable());
     }
 
-    private void place() {
-        place(placements.next(tools.lines().anyFor(service), now()));
+    private void assignServer() {
+        assignServer(placements.create(context.waitQueues().anyWaiting(service), now()));
     }
 
-    private void place(PlacementRequest wanted) {
-        if (keptFromServers()) {
+    private void assignServer(PlacementRequest placementRequest) {
+        if (refusedByQuarantine()) {
             return;
         }
-        switch (tools.state().placer().choose(wanted, now())) {
+        switch (context.state().placement().choose(placementRequest, now())) {
             case Placement.SingleServer whole -> {
-                trace.placed("whole", whole.answerStartSeconds());
+                trace.placementChosen("whole", whole.answerStartSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
-                    line.departed();
+                    queue.dispatched();
                 }
                 send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.cacheHolder());
             }
             case Placement.Disaggregated staged -> {
-                trace.placed("staged", staged.answerStartSeconds());
+                trace.placementChosen("staged", staged.answerStartSeconds());
                 prefill(staged);
             }
-            case Placement.Queued held -> line.take(held, times.callerWaitsUntil(trace.lastEvent()));
+            case Placement.Queued held -> queue.enqueue(held, times.callerWaitsUntil(trace.lastEventTime()));
             case Placement.Refused refused -> {
-                trace.because(refused.reason());
-                conclude(account.stepWithoutRetry(), refused.retryAfter());
+                trace.setReason(refused.reason());
+                conclude(attempts.stepWithoutRetry(), refused.retryAfter());
             }
         }
     }
 
-    /** Ends the request if it is kept from servers; returns whether it is. */
-    private boolean keptFromServers() {
-        Optional<Duration> term = serverEnds.quarantined();
-        term.ifPresent(left -> conclude(account.stepWithoutRetry(), left));
-        return term.isPresent();
+    /** Refuses the request if it is in quarantine; returns whether it is. */
+    private boolean refusedByQuarantine() {
+        Optional<Duration> remaining = fatalCheck.checkQuarantine();
+        remaining.ifPresent(retryDelay -> conclude(attempts.stepWithoutRetry(), retryDelay));
+        return remaining.isPresent();
     }
 
     private void prefill(Placement.Disaggregated staged) {
-        line.departed();
+        queue.dispatched();
         trace.sentTo(staged.prefill());
-        AssignedWork work = current.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptAssigned(staged.prefill(), prompt, now()));
-        FullHttpRequest message = messages.prompt(staged, stream.lastEvent(), now());
-        PrefillAttempt prefill = new PrefillAttempt(this, tools.protocol(), staged, work);
-        stallWatch.watch(prefill);
-        current.sent(work, tools.connections().send(staged.prefill(), caller.requestId(), message, prefill));
+        AssignedWork work = currentAttempt.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
+        caller.prompt()
+                .ifPresent(prompt -> context.state().placement().promptAssigned(staged.prefill(), prompt, now()));
+        FullHttpRequest message = messages.prefillRequest(staged, stream.lastEventId(), now());
+        PrefillAttempt prefill = new PrefillAttempt(this, context.protocol(), staged, work);
+        stallDetector.watch(prefill);
+        currentAttempt.setExchange(
+                work, context.connections().send(staged.prefill(), caller.requestId(), message, prefill));
     }
 
     private void send(
@@ -177,180 +177,180 @@
             double promptSeconds,
             Optional<CacheSource> source,
             Optional<BackendServer> holder) {
-        account.attemptStarted();
-        trace.answerAsked(tools.state().placer().load(server.id(), now()), now());
-        tried.add(server);
+        attempts.attemptStarted();
+        trace.answerRequested(context.state().placement().load(server.id(), now()), now());
+        triedServers.add(server);
         trace.sentTo(server);
-        AssignedWork work = current.begin(server, kind, promptSeconds);
-        caller.prompt().ifPresent(prompt -> tools.state().placer().promptAssigned(server, prompt, now()));
-        attempt = new AnswerAttempt(this, server, work, route.streamed());
-        FullHttpRequest message = messages.answer(server, source, holder, stream.lastEvent(), now());
+        AssignedWork work = currentAttempt.begin(server, kind, promptSeconds);
+        caller.prompt().ifPresent(prompt -> context.state().placement().promptAssigned(server, prompt, now()));
+        answerAttempt = new AnswerAttempt(this, server, work, route.streamed());
+        FullHttpRequest message = messages.answerRequest(server, source, holder, stream.lastEventId(), now());
         if (route.retryRule() == RetryRule.AT_MOST_ONCE || route.maxBackends() == 1) {
-            stallWatch.cancel();
+            stallDetector.cancel();
         } else {
-            stallWatch.watch(attempt);
+            stallDetector.watch(answerAttempt);
         }
-        current.sent(work, tools.connections().send(server, caller.requestId(), message, attempt));
+        currentAttempt.setExchange(
+                work, context.connections().send(server, caller.requestId(), message, answerAttempt));
     }
 
-    ServerEnds serverEnds() {
-        return serverEnds;
+    FatalRequestCheck fatalCheck() {
+        return fatalCheck;
     }
 
     private void stalled(WatchedAttempt watched) {
-        if (over) {
+        if (finished) {
             return;
         }
         switch (watched) {
             case AnswerAttempt answer
-            when account.attempts() < route.maxBackends() -> {
+            when attempts.attempts() < route.maxBackends() -> {
                 answer.release();
-                current.cancel();
-                String reason = answer.begun() ? "the server went quiet" : "no answer began in time";
+                currentAttempt.cancel();
+                String reason = answer.begun() ? "the answer stalled" : "no answer began within the stall limit";
                 attemptEnded(answer.work(), new AttemptEnd.Lost(), reason);
             }
-            case AnswerAttempt last -> trace.because("the server is silent, and there is no other to ask");
+            case AnswerAttempt last -> trace.setReason("the server is unresponsive, and no further attempt is allowed");
             case PrefillAttempt prefill -> {
-                current.cancel();
+                currentAttempt.cancel();
                 prefill.stalled();
             }
         }
     }
 
     void loadReported(AssignedWork work, AnswerMetadata facts) {
-        facts.load().ifPresent(load -> tools.state().placer().loadReported(work, load, now()));
+        facts.load().ifPresent(load -> context.state().placement().loadReported(work, load, now()));
     }
 
     void prefilled(Placement.Disaggregated placement, AssignedWork work, CacheSource source) {
-        tools.state().placer().answerStarted(work, now());
-        current.end(work);
-        if (over) {
+        context.state().placement().answerStarted(work, now());
+        currentAttempt.end(work);
+        if (finished) {
             return;
         }
-        account.promptComputed();
-        trace.promptReady(placement.prefill(), now());
-        ComputedPrompt computed = new ComputedPrompt(placement.prefill(), source);
-        unfetched.computed(computed);
-        tools.metrics().attempted(service, "prefilled");
-        if (!permit.granted()) {
-            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
+        attempts.promptComputed();
+        trace.prefillCompleted(placement.prefill(), now());
+        PrefilledPrompt prefilled = new PrefilledPrompt(placement.prefill(), source);
+        pendingHandoff.begin(prefilled);
+        context.metrics().attemptEnded(service, "prefilled");
+        if (!permit.tryAcquire()) {
+            conclude(attempts.stepWithoutRetry(), MIN_RETRY_DELAY);
             return;
         }
-        handOver(computed);
+        handOff(prefilled);
     }
 
-    private void handOver(ComputedPrompt computed) {
-        if (keptFromServers()) {
+    private void handOff(PrefilledPrompt prefilled) {
+        if (refusedByQuarantine()) {
             return;
         }
-        Optional<BackendServer> decoder =
-                tools.state().placer().chooseDecodeEngine(placements.next(false, now()), computed.engine(), now());
+        Optional<BackendServer> decoder = context.state()
+                .placement()
+                .chooseDecodeEngine(placements.create(false, now()), prefilled.engine(), now());
         if (decoder.isEmpty()) {
-            trace.because("no engine that may answer is known");
-            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
+            trace.setReason("no engine is available to generate the answer");
+            conclude(attempts.stepWithoutRetry(), MIN_RETRY_DELAY);
             return;
         }
-        send(decoder.get(), WorkKind.HANDOFF, 0, Optional.of(computed.source()), Optional.empty());
+        send(decoder.get(), WorkKind.HANDOFF, 0, Optional.of(prefilled.source()), Optional.empty());
     }
 
-    /** A computed prompt is only a help: where none came about, one engine does both parts. */
-    void prefillEnded(Placement.Disaggregated placement, AssignedWork work, AttemptEnd end, String reason) {
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        if (over) {
+    /** Handles a failed prefill, which is optional: without it, a single engine does both prefill and decode. */
+    void prefillFailed(Placement.Disaggregated placement, AssignedWork work, AttemptEnd end, String reason) {
+        context.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        if (finished) {
             return;
         }
-        account.promptFailed(end);
-        tools.metrics().attempted(service, "prefill-failed");
-        trace.because("prefill at " + placement.prefill().id() + ": " + reason);
-        trace.prefillFailed(tools.state().log(), placement.prefill(), reason);
-        tried.stageFailed(placement.prefill());
-        if (!permit.granted()) {
-            conclude(account.stepWithoutRetry(), SHORTEST_PAUSE);
+        attempts.promptFailed(end);
+        context.metrics().attemptEnded(service, "prefill-failed");
+        trace.setReason("prefill at " + placement.prefill().id() + ": " + reason);
+        trace.logPrefillFailed(context.state().log(), placement.prefill(), reason);
+        triedServers.prefillFailed(placement.prefill());
+        if (!permit.tryAcquire()) {
+            conclude(attempts.stepWithoutRetry(), MIN_RETRY_DELAY);
             return;
         }
-        place();
+        assignServer();
     }
 
     void answerBegan(AssignedWork work) {
-        tools.state().placer().answerStarted(work, now());
-        unfetched.fetched();
-        stallWatch.begun(attempt);
+        context.state().placement().answerStarted(work, now());
+        pendingHandoff.completed();
+        stallDetector.answerBegan(answerAttempt);
         if (!stream.begun()) {
-            trace.firstByte(now());
-            line.answered();
-            tools.metrics().firstByte(service, (now() - incoming.receivedAtNanos()) / 1e9);
+            trace.firstByteReceived(now());
+            queue.answerBegan();
+            context.metrics().answerBegan(service, (now() - incoming.receivedAtNanos()) / 1e9);
         }
     }
 
-    void eventCame(HttpResponse head, ByteBuf event) {
-        stream.pass(head, event);
-        progress.event(attempt.work(), times.allowed(), now());
+    void eventReceived(HttpResponse head, ByteBuf event) {
+        stream.forward(head, event);
+        answerProgress.eventReceived(answerAttempt.work(), times.allowed(), now());
         if (!link.writable()) {
-            current.read(false);
+            currentAttempt.setReading(false);
         }
-        if (tools.state().placer().shouldMoveAnswer(attempt.work(), now())) {
-            goOnElsewhere();
+        if (context.state().placement().shouldMoveAnswer(answerAttempt.work(), now())) {
+            continueElsewhere();
         }
     }
 
-    /** Goes on at another engine after the last event, where that is allowed; else this one tells the answer to its end. */
-    private void goOnElsewhere() {
-        if (!account.mayResumeElsewhere() || !tools.state().takeRepeat(service)) {
+    /** Continues after the last event at another engine if that is allowed; otherwise the current engine goes on. */
+    private void continueElsewhere() {
+        if (!attempts.mayResumeElsewhere() || !context.state().tryTakeRepeat(service)) {
             return;
         }
-        AssignedWork left = attempt.work();
-        attempt.release();
-        current.cancel();
-        current.end(left);
-        account.attemptEnded(new AttemptEnd.Lost());
-        tools.metrics().attempted(service, "moved");
-        trace.because("the engine leaves its answers to others");
-        place();
+        AssignedWork interrupted = answerAttempt.work();
+        answerAttempt.release();
+        currentAttempt.cancel();
+        currentAttempt.end(interrupted);
+        attempts.attemptEnded(new AttemptEnd.Lost());
+        context.metrics().attemptEnded(service, "moved");
+        trace.setReason("the engine changes its role, so its answer continues elsewhere");
+        assignServer();
     }
 
     void streamComplete(AssignedWork work, boolean begun) {
-        current.end(work);
+        currentAttempt.end(work);
         if (!stream.begun()) {
-            attemptEndedAfterWork(new AttemptEnd.Lost(), begun ? "no event came" : "the stream was empty");
+            handleAttemptEnd(new AttemptEnd.Lost(), begun ? "the stream had no event" : "the stream was empty");
             return;
         }
-        progress.whole();
+        answerProgress.completed();
         finish(RequestOutcome.ANSWERED);
         link.endAnswer();
     }
 
     void answerComplete(AssignedWork work, HttpResponse head, ByteBuf body) {
-        current.end(work);
+        currentAttempt.end(work);
         if (stream.begun()) {
-            // A stream was to be continued and this is no stream; written now, it would stand in the middle of the
-            // draft.
+            // The answer to the continuation is not a stream; if forwarded, it would corrupt the caller's stream.
             body.release();
-            trace.because(
-                    "the continuation was answered with status " + head.status().code());
-            conclude(NextStep.REPORT_UNKNOWN, SHORTEST_PAUSE);
+            trace.setReason("the continuation got status " + head.status().code());
+            conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.ANSWERED);
         link.sendAnswer(OutgoingMessage.answer(head, body));
     }
 
-    /** The server's own failure: tried elsewhere where the request may be repeated, else passed on as it is. */
-    void failureCame(AssignedWork work, HttpResponse head, ByteBuf body, AnswerMetadata facts) {
+    /** Handles an error answer of a server: retries elsewhere if the request may be repeated, otherwise forwards it. */
+    void failureReceived(AssignedWork work, HttpResponse head, ByteBuf body, AnswerMetadata facts) {
         AttemptEnd end = new AttemptEnd.Failed();
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        NextStep next = account.attemptEnded(end);
-        trace.because("the server failed with status " + head.status().code());
-        tools.metrics().attempted(service, "failed");
-        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.granted()) {
+        context.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        NextStep next = attempts.attemptEnded(end);
+        trace.setReason("the server failed with status " + head.status().code());
+        context.metrics().attemptEnded(service, "failed");
+        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.tryAcquire()) {
             body.release();
-            place();
+            assignServer();
             return;
         }
-        if (stream.begun() || !facts.signed() || AnswerAttempt.promisesNoRun(head.status())) {
+        if (stream.begun() || !facts.signed() || AnswerAttempt.impliesNoRun(head.status())) {
             body.release();
-            conclude(NextStep.REPORT_UNKNOWN, SHORTEST_PAUSE);
+            conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.FAILURE_PASSED_ON);
@@ -358,53 +358,53 @@
     }
 
     void attemptEnded(AssignedWork work, AttemptEnd end, String reason) {
-        tools.state().attemptEnded(work, end);
-        current.end(work);
-        attemptEndedAfterWork(end, reason);
+        context.state().attemptEnded(work, end);
+        currentAttempt.end(work);
+        handleAttemptEnd(end, reason);
     }
 
-    private void attemptEndedAfterWork(AttemptEnd end, String reason) {
-        if (over) {
+    private void handleAttemptEnd(AttemptEnd end, String reason) {
+        if (finished) {
             return;
         }
-        trace.because(reason);
-        tools.metrics().attempted(service, end.getClass().getSimpleName());
-        NextStep next = account.attemptEnded(end);
-        trace.attemptEnded(tools.state().log(), end, next);
-        if (next == NextStep.REPEAT && times.deadline() > now() && serverEnds.mayRepeat() && permit.granted()) {
-            tryElsewhere(end);
+        trace.setReason(reason);
+        context.metrics().attemptEnded(service, end.getClass().getSimpleName());
+        NextStep next = attempts.attemptEnded(end);
+        trace.logAttemptEnded(context.state().log(), end, next);
+        if (next == NextStep.REPEAT && times.deadline() > now() && fatalCheck.mayRepeat() && permit.tryAcquire()) {
+            retryElsewhere(end);
         } else {
-            conclude(next == NextStep.REPEAT ? account.stepWithoutRetry() : next, SHORTEST_PAUSE);
+            conclude(next == NextStep.REPEAT ? attempts.stepWithoutRetry() : next, MIN_RETRY_DELAY);
         }
     }
 
     /**
-     * An engine that was not there has not touched a computed prompt, and another can fetch it. One that turned the request
-     * away may have found it gone, so it is computed anew, and not where it lapsed.
+     * Retries elsewhere. If the decode engine was not reached, another one can transfer the prefill cache. If it
+     * rejected the request, the cache may have expired, so the prefill is repeated at another engine.
      */
-    private void tryElsewhere(AttemptEnd end) {
+    private void retryElsewhere(AttemptEnd end) {
         boolean untouched = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
-        if (untouched && unfetched.prompt().isPresent()) {
-            handOver(unfetched.prompt().get());
+        if (untouched && pendingHandoff.prompt().isPresent()) {
+            handOff(pendingHandoff.prompt().get());
             return;
         }
         if (end instanceof AttemptEnd.NotExecuted) {
-            unfetched.prompt().ifPresent(computed -> tried.add(computed.engine()));
+            pendingHandoff.prompt().ifPresent(prefilled -> triedServers.add(prefilled.engine()));
         }
-        unfetched.free();
-        place();
+        pendingHandoff.release();
+        assignServer();
     }
 
     private void deadlineReached() {
-        if (over) {
+        if (finished) {
             return;
         }
-        trace.because("the time was over; " + trace.reason());
-        conclude(account.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, SHORTEST_PAUSE);
+        trace.setReason("the deadline was reached; " + trace.reason());
+        conclude(attempts.mayHaveRun() ? NextStep.REPORT_UNKNOWN : NextStep.REFUSE, MIN_RETRY_DELAY);
     }
 
-    private void conclude(NextStep step, Duration pause) {
-        if (over) {
+    private void conclude(NextStep step, Duration retryDelay) {
+        if (finished) {
             return;
         }
         if (stream.begun()) {
@@ -414,37 +414,38 @@
         }
         if (step == NextStep.REFUSE) {
             finish(RequestOutcome.NOT_RUN);
-            Duration comeBack = pause.compareTo(SHORTEST_PAUSE) < 0 ? SHORTEST_PAUSE : pause;
-            link.sendAnswer(LocalAnswers.notRun(trace.reason(), tools.state().spread(comeBack)));
+            Duration effectiveDelay = retryDelay.compareTo(MIN_RETRY_DELAY) < 0 ? MIN_RETRY_DELAY : retryDelay;
+            link.sendAnswer(LocalAnswers.notRun(trace.reason(), context.state().withJitter(effectiveDelay)));
             return;
         }
         finish(RequestOutcome.UNKNOWN);
         link.sendAnswer(LocalAnswers.outcomeUnknown(trace.reason(), times.deadline() <= now()));
     }
 
-    /** Ends everything that belongs to the request; its answer is sent right after, if its caller is still there. */
+    /** Releases all resources of the request and logs its outcome; the answer, if any, is to be sent afterwards. */
     private void finish(RequestOutcome outcome) {
-        over = true;
+        finished = true;
         if (outcome == RequestOutcome.ANSWERED) {
-            serverEnds.answered();
+            fatalCheck.answered();
         }
-        tools.lines().remove(this);
+        context.waitQueues().remove(this);
         deadlineTimer.cancel(false);
-        stallWatch.cancel();
-        current.abandon();
-        if (attempt != null) {
-            attempt.release();
+        stallDetector.cancel();
+        currentAttempt.abandon();
+        if (answerAttempt != null) {
+            answerAttempt.release();
         }
-        unfetched.free();
+        pendingHandoff.release();
         incoming.body().release();
-        tools.metrics().ended(service, outcome);
+        context.metrics().requestEnded(service, outcome);
         LogLine line = outcome == RequestOutcome.ANSWERED
-                ? tools.state().log().usual("request-ended")
-                : tools.state().log().notable("request-ended");
-        trace.write(line, outcome, account.attempts(), tools.state().placer().load(trace.server(), now()), now());
+                ? context.state().log().routine("request-ended")
+                : context.state().log().notable("request-ended");
+        trace.write(
+                line, outcome, attempts.attempts(), context.state().placement().load(trace.server(), now()), now());
     }
 
     long now() {
-        return tools.state().time().monotonicNanoseconds();
+        return context.state().time().monotonicNanos();
     }
 }
--- /dev/null
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingContext.java
@@ -0,0 +1,26 @@
+package org.aspenmoor.internal.gateway.request;
+
+import io.netty.channel.EventLoop;
+import org.aspenmoor.internal.gateway.backend.BackendConnections;
+import org.aspenmoor.internal.gateway.protocol.BackendProtocol;
+import org.aspenmoor.internal.gateway.quarantine.FatalRequestTracker;
+
+/**
+ * The objects that all requests share.
+ *
+ * @param state the configuration, servers and budgets known to this process
+ * @param connections the connections to backend servers
+ * @param protocol the protocol of the backend servers
+ * @param eventLoop the thread on which all requests are handled
+ * @param metrics the request metrics
+ * @param waitQueues the requests that wait for capacity at an engine
+ * @param fatalRequests the requests that terminate the servers that run them
+ */
+public record ServingContext(
+        ServingState state,
+        BackendConnections connections,
+        BackendProtocol protocol,
+        EventLoop eventLoop,
+        GatewayMetrics metrics,
+        WaitQueues waitQueues,
+        FatalRequestTracker fatalRequests) {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -37,51 +37,54 @@
 import org.aspenmoor.internal.serving.ServingConfiguration;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** What one process knows while it serves: configuration, servers, budgets. Confined to the event loop. */
+/** The state of one entry process: configuration, servers, peers and repeat budgets. Confined to the event loop. */
 public final class ServingState {
-    /** Traffic pauses for fractions of a second; after some seconds without any, a change of role disturbs nobody. */
+    /**
+     * Traffic normally pauses for fractions of a second; after some seconds without any, a role change affects no
+     * caller.
+     */
     private static final Duration IDLE_AFTER = Duration.ofSeconds(4);
 
     private final TimeSource time;
     private final RandomGenerator random;
     private final DecisionLog log;
     private final BackendDirectory directory = new BackendDirectory();
-    private final PlacementPolicy placer;
+    private final PlacementPolicy placementPolicy;
     private final PeerLoads peers;
-    private final Set<String> listed = new HashSet<>();
-    private final Map<String, RoleChange> ordered = new HashMap<>();
-    private final Map<String, RetryAllowance> allowances = new HashMap<>();
+    private final Set<String> listedStarts = new HashSet<>();
+    private final Map<String, RoleChange> orderedRoleChanges = new HashMap<>();
+    private final Map<String, RetryAllowance> repeatAllowances = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private RepeatSettings repeats;
-    private boolean serversKnown;
-    private boolean fatalRequestsKnown;
+    private RepeatSettings repeatSettings;
+    private boolean serverListKnown;
+    private boolean fatalRequestsLoaded;
     private long lastRequestAt;
 
     public ServingState(
             TimeSource time,
             RandomGenerator random,
-            RepeatSettings repeats,
+            RepeatSettings repeatSettings,
             DecisionLog log,
-            PlacementSettings placement) {
+            PlacementSettings placementSettings) {
         this.time = time;
         this.random = random;
-        this.repeats = repeats;
-        this.lastRequestAt = time.monotonicNanoseconds() - IDLE_AFTER.toNanos();
+        this.repeatSettings = repeatSettings;
+        this.lastRequestAt = time.monotonicNanos() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
-        this.placer = new PlacementPolicy(placement, peers, random);
+        this.placementPolicy = new PlacementPolicy(placementSettings, peers, random);
     }
 
-    /** Takes changed settings up. */
-    public void reload(RepeatSettings newRepeats, PlacementSettings placement) {
-        if (!newRepeats.equals(repeats)) {
-            repeats = newRepeats;
-            allowances.clear();
+    /** Applies changed settings. */
+    public void reload(RepeatSettings newRepeatSettings, PlacementSettings placementSettings) {
+        if (!newRepeatSettings.equals(repeatSettings)) {
+            repeatSettings = newRepeatSettings;
+            repeatAllowances.clear();
         }
-        placer.reload(placement);
+        placementPolicy.reload(placementSettings);
     }
 
-    /** Takes a configuration in; an older one than that in force is dropped, so that nothing goes back. */
+    /** Applies a configuration and returns whether it was newer than the one in force; others are ignored. */
     public boolean configure(ServingConfiguration newer) {
         if (configuration.isPresent() && newer.version() <= configuration.get().version()) {
             return false;
@@ -92,23 +95,23 @@
                 .with("routes", newer.routeCount())
                 .write();
         configuration = Optional.of(newer);
-        directory.servers().forEach(server -> placer.serverChanged(server, cacheTokens(server)));
+        directory.servers().forEach(server -> placementPolicy.serverChanged(server, cacheTokens(server)));
         return true;
     }
 
-    /** Takes a server's registration in. */
-    public void serverChanged(BackendServer told) {
-        Optional<BackendServer> before = directory.find(told.id());
-        BackendServer server = directory.registrationChanged(told);
-        if (server.state() != told.state()) {
+    /** Applies the registration of a server. */
+    public void serverRegistered(BackendServer registration) {
+        Optional<BackendServer> previous = directory.find(registration.id());
+        BackendServer server = directory.registrationChanged(registration);
+        if (server.state() != registration.state()) {
             log.notable("server-not-believed")
-                    .with("server", told.id())
-                    .with("told", told.state().name())
-                    .with("reason", "this start has said that it leaves")
+                    .with("server", registration.id())
+                    .with("told", registration.state().name())
+                    .with("reason", "this server process has already announced that it is leaving")
                     .write();
         }
-        placer.serverChanged(server, cacheTokens(server));
-        if (before.isEmpty() || !before.get().equals(server)) {
+        placementPolicy.serverChanged(server, cacheTokens(server));
+        if (previous.isEmpty() || !previous.get().equals(server)) {
             log.notable("server-known")
                     .with("server", server.id())
                     .with("service", server.service())
@@ -121,133 +124,143 @@
         }
     }
 
-    /** Notes that a registration is missing; returns whether the server is gone. */
-    public boolean serverMissing(String id, long now) {
-        boolean gone = directory.registrationRemoved(id, now);
-        log.notable(gone ? "server-gone" : "server-doubtful").with("server", id).write();
-        if (gone) {
-            placer.serverRemoved(id);
+    /** Records that a registration is missing; returns true if the server was removed, false if it is only suspect. */
+    public boolean registrationMissing(String id, long now) {
+        boolean removed = directory.registrationRemoved(id, now);
+        log.notable(removed ? "server-gone" : "server-doubtful")
+                .with("server", id)
+                .write();
+        if (removed) {
+            placementPolicy.serverRemoved(id);
         }
-        return gone;
+        return removed;
     }
 
-    /** Notes that the store has come back from an older copy, in which servers may be missing that live. */
-    public void storeCameBackOlder(long now) {
+    /**
+     * Records that the store was restored from an older copy, in which registrations of live servers may be missing.
+     */
+    public void storeRolledBack(long now) {
         directory.storeRolledBack(now);
     }
 
-    /** Notes that the list of servers may miss changes from now on. */
-    public void serversInterrupted(long now) {
+    /** Records that the server list may miss changes from now on. */
+    public void serverListInterrupted(long now) {
         directory.watchInterrupted(now);
     }
 
-    /** Notes that the list of servers is complete. */
-    public void serversSynchronised(long now) {
+    /** Records that the server list is complete. */
+    public void serverListSynchronised(long now) {
         directory.watchSynchronised(now);
-        serversKnown = true;
+        serverListKnown = true;
     }
 
-    /** Notes that the requests which end servers, as far as the store holds them, have been taken in. */
-    public void fatalRequestsKnown() {
-        fatalRequestsKnown = true;
+    /** Records that the fatal requests listed in the store have been loaded. */
+    public void fatalRequestsLoaded() {
+        fatalRequestsLoaded = true;
     }
 
-    /** Drops servers whose time to return is over; returns their identities. */
+    /** Removes servers whose time limit for registering again has passed; returns their ids. */
     public Iterable<String> expireServers(long now) {
-        Iterable<String> gone = directory.expire(now);
-        for (String id : gone) {
-            placer.serverRemoved(id);
+        Iterable<String> removed = directory.expire(now);
+        for (String id : removed) {
+            placementPolicy.serverRemoved(id);
             log.notable("server-gone")
                     .with("server", id)
-                    .with("reason", "not back after an outage of the store")
+                    .with("reason", "the server did not register again after a store outage")
                     .write();
         }
-        return gone;
+        return removed;
     }
 
-    /** Takes another entry's report in. */
-    public void peerHeard(PeerReport report, long now) {
+    /** Applies the report of another entry. */
+    public void peerReported(PeerReport report, long now) {
         peers.receive(report, now);
-        report.prompts().forEach(prompt -> placer.promptAssignedByPeer(prompt, now));
-        report.speeds().forEach(placer::speedReceived);
-        report.eventSizes().forEach(placer::eventSizeReceived);
-        report.roleChanges().forEach(change -> placer.roleChangeOrdered(change, now));
+        report.prompts().forEach(prompt -> placementPolicy.promptAssignedByPeer(prompt, now));
+        report.speeds().forEach(placementPolicy::speedReceived);
+        report.eventSizes().forEach(placementPolicy::eventSizeReceived);
+        report.roleChanges().forEach(change -> placementPolicy.roleChangeOrdered(change, now));
     }
 
-    /** Notes that an engine has accepted this entry's order to change its role. */
-    public void roleOrdered(RoleChange change) {
-        ordered.put(change.server(), change);
-        placer.roleChangeOrdered(change, time.monotonicNanoseconds());
+    /** Records that an engine has accepted an order of this entry to change its role. */
+    public void roleChangeOrdered(RoleChange change) {
+        orderedRoleChanges.put(change.server(), change);
+        placementPolicy.roleChangeOrdered(change, time.monotonicNanos());
     }
 
-    /** Returns the orders of this entry that engines are still carrying out, for the other entries. */
-    public List<RoleChange> roleChanges() {
-        long now = time.monotonicNanoseconds();
-        ordered.keySet().removeIf(server -> !placer.changingRole(server, now));
-        return List.copyOf(ordered.values());
+    /**
+     * Returns the role changes ordered by this entry that are still in progress, to be reported to the other entries.
+     */
+    public List<RoleChange> pendingRoleChanges() {
+        long now = time.monotonicNanos();
+        orderedRoleChanges.keySet().removeIf(server -> !placementPolicy.changingRole(server, now));
+        return List.copyOf(orderedRoleChanges.values());
     }
 
-    /** Samples how much prompts press on the engines, given whether requests of a service wait at this entry. */
+    /**
+     * Samples the prompt pressure of all model services.
+     *
+     * @param waiting returns whether requests of a service wait at this entry
+     */
     public void samplePressure(Predicate<String> waiting) {
-        long now = time.monotonicNanoseconds();
-        modelServices().forEach(service -> placer.samplePromptLoad(service, waiting.test(service), now));
+        long now = time.monotonicNanos();
+        modelServices().forEach(service -> placementPolicy.samplePromptLoad(service, waiting.test(service), now));
     }
 
-    /** Returns how fast this entry has found the engines, for the other entries. */
+    /** Returns the engine speeds estimated by this entry, to be reported to the other entries. */
     public List<LearnedSpeed> learntSpeeds() {
-        return placer.learnedSpeeds();
+        return placementPolicy.learnedSpeeds();
     }
 
-    /** Returns how long this entry has found the events of answers, for the other entries. */
+    /** Returns the event lengths estimated by this entry, to be reported to the other entries. */
     public List<EventSize> eventLengths() {
-        return placer.eventSizes();
+        return placementPolicy.eventSizes();
     }
 
-    /** Forgets entries that have been silent for too long. */
+    /** Removes entries whose last report is too old. */
     public void expirePeers(long now) {
         peers.expire(now);
     }
 
-    /** Returns this entry's own part of the load. */
-    public Map<String, EntryLoad> ownShares() {
-        return placer.ownLoads(time.monotonicNanoseconds());
+    /** Returns this entry's share of the load of each server, by server id. */
+    public Map<String, EntryLoad> ownLoadShares() {
+        return placementPolicy.ownLoads(time.monotonicNanos());
     }
 
-    /** Returns the prompts that this entry has placed since it was last asked. */
-    public List<AssignedPrompt> takeUntoldPrompts() {
-        return placer.takeUnreportedPrompts();
+    /** Returns and clears the prompts that this entry has placed since the last call. */
+    public List<AssignedPrompt> takeUnreportedPrompts() {
+        return placementPolicy.takeUnreportedPrompts();
     }
 
     /**
-     * Returns how many entries share the budgets: those that are heard and this one. Until any is heard the settings'
-     * number stands, since a process that has just started may be one of many.
+     * Returns how many entries share the budgets: this one and those whose reports are received. Until a report is
+     * received, the number in the settings is used, because a process that has just started may be one of many.
      */
-    public int entries() {
-        int heard = peers.activePeers();
-        return heard == 0 ? repeats.assumedEntries() : heard + 1;
+    public int entryCount() {
+        int peerCount = peers.activePeers();
+        return peerCount == 0 ? repeatSettings.assumedEntries() : peerCount + 1;
     }
 
-    /** Returns how many connections this entry may have open to one server of a service. */
+    /** Returns the maximum number of connections that this entry may have open to one server of a service. */
     public int connectionShare(String service) {
         return configuration
                 .flatMap(known -> known.service(service))
-                .map(traits -> Math.max(1, traits.maxConnections() / entries()))
+                .map(traits -> Math.max(1, traits.maxConnections() / entryCount()))
                 .orElse(Integer.MAX_VALUE);
     }
 
     /** Returns whether requests can be served. */
     public boolean ready() {
-        return configuration.isPresent() && serversKnown && fatalRequestsKnown;
+        return configuration.isPresent() && serverListKnown && fatalRequestsLoaded;
     }
 
-    /** Returns how many other entries are heard. */
-    public int heardEntries() {
+    /** Returns the number of other entries whose reports are received. */
+    public int peerCount() {
         return peers.activePeers();
     }
 
-    /** Returns what is believed of each backend server. */
-    public List<ServerSummary> servers() {
-        return placer.summaries(time.monotonicNanoseconds());
+    /** Returns the estimated state and load of each backend server. */
+    public List<ServerSummary> serverSummaries() {
+        return placementPolicy.summaries(time.monotonicNanos());
     }
 
     /** Returns the configuration in force. */
@@ -255,41 +268,42 @@
         return configuration;
     }
 
-    PlacementPolicy placer() {
-        return placer;
+    PlacementPolicy placement() {
+        return placementPolicy;
     }
 
     /**
-     * Returns the engines that were not returned before. A process that has just started does not know what engines keep;
-     * after a restart of all entries, every shared part would be computed anew while the callers wait.
+     * Returns the engines whose cache contents have to be listed, each start of an engine once. A process that has just
+     * started does not know what engines have cached; without the listing, after a restart of all entries every shared
+     * prompt part would be computed again while the callers wait.
      */
-    public List<BackendServer> takeUnlistedEngines() {
-        List<BackendServer> unlisted = new ArrayList<>();
+    public List<BackendServer> takeEnginesToList() {
+        List<BackendServer> engines = new ArrayList<>();
         for (BackendServer server : directory.servers()) {
-            if (cacheTokens(server) > 0 && listed.add(server.id() + "@" + server.startedAt())) {
-                unlisted.add(server);
+            if (cacheTokens(server) > 0 && listedStarts.add(server.id() + "@" + server.startedAt())) {
+                engines.add(server);
             }
         }
-        return unlisted;
+        return engines;
     }
 
-    /** Notes which prompt parts an engine says that it keeps. */
-    public void cacheListed(BackendServer engine, List<PromptPart> parts, long now) {
-        placer.cacheReported(engine.id(), parts, now);
+    /** Records the prompt parts that an engine reports as cached. */
+    public void cacheListingReceived(BackendServer engine, List<PromptPart> parts, long now) {
+        placementPolicy.cacheReported(engine.id(), parts, now);
         log.notable("cache-listed")
                 .with("server", engine.id())
                 .with("parts", parts.size())
                 .write();
     }
 
-    /** Returns what the role duty needs to know, given the name of this entry. */
-    public FleetSnapshot snapshot(String entry) {
-        long now = time.monotonicNanoseconds();
+    /** Returns the state that role assignment needs, given the name of this entry. */
+    public FleetSnapshot fleetSnapshot(String entryName) {
+        long now = time.monotonicNanos();
         List<ServiceLoad> services = modelServices().stream()
-                .map(service -> placer.serviceLoad(service, now))
+                .map(service -> placementPolicy.serviceLoad(service, now))
                 .toList();
         boolean idle = now - lastRequestAt > IDLE_AFTER.toNanos() && peers.idle();
-        return new FleetSnapshot(services, idle, peers.isFirstByName(entry));
+        return new FleetSnapshot(services, idle, peers.isFirstByName(entryName));
     }
 
     private Set<String> modelServices() {
@@ -302,31 +316,31 @@
         return services;
     }
 
-    /** Notes a request for a service, which earns a part of a repeat. */
-    void requested(String service) {
-        lastRequestAt = time.monotonicNanoseconds();
-        allowance(service).recordRequest();
+    /** Records a request for a service; it adds a fraction of a repeat to the service's budget. */
+    void requestArrived(String service) {
+        lastRequestAt = time.monotonicNanos();
+        repeatAllowance(service).recordRequest();
     }
 
-    /** Takes a repeat out of the service's budget. */
-    boolean takeRepeat(String service) {
-        return allowance(service).tryTakeRetry(entries());
+    /** Takes a repeat out of the service's budget; returns whether the budget allowed it. */
+    boolean tryTakeRepeat(String service) {
+        return repeatAllowance(service).tryTakeRetry(entryCount());
     }
 
-    /** Notes what the end of an attempt says of its server. */
+    /** Updates the estimate of a server from the end of an attempt. */
     void attemptEnded(AssignedWork work, AttemptEnd end) {
-        long now = time.monotonicNanoseconds();
+        long now = time.monotonicNanos();
         switch (end) {
-            case AttemptEnd.NeverSent neverSent -> placer.serverUnreachable(work, now);
-            case AttemptEnd.Misdirected misdirected -> placer.serverUnreachable(work, now);
-            case AttemptEnd.NotExecuted notExecuted -> placer.attemptRejected(work, now);
-            case AttemptEnd.Lost lost -> placer.attemptFailed(work, now);
-            case AttemptEnd.Failed failed -> placer.attemptFailed(work, now);
+            case AttemptEnd.NeverSent neverSent -> placementPolicy.serverUnreachable(work, now);
+            case AttemptEnd.Misdirected misdirected -> placementPolicy.serverUnreachable(work, now);
+            case AttemptEnd.NotExecuted notExecuted -> placementPolicy.attemptRejected(work, now);
+            case AttemptEnd.Lost lost -> placementPolicy.attemptFailed(work, now);
+            case AttemptEnd.Failed failed -> placementPolicy.attemptFailed(work, now);
         }
     }
 
-    /** Returns whether a start of a server is registered and has not said that it leaves. */
-    boolean takesWork(BackendServer server) {
+    /** Returns whether this start of the server is registered as ready. */
+    boolean acceptsWork(BackendServer server) {
         return directory
                 .find(server.id())
                 .filter(known -> known.sameIncarnation(server) && known.state() == BackendState.READY)
@@ -345,14 +359,16 @@
         return random;
     }
 
-    /** Returns a pause with up to half of it added at random, so that refused callers do not return in one wave. */
-    Duration spread(Duration pause) {
-        return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
+    /** Returns the delay plus a random part of up to half of it, so that refused callers do not all retry at once. */
+    Duration withJitter(Duration delay) {
+        return delay.plusNanos((long) (delay.toNanos() * random.nextDouble() / 2));
     }
 
-    private RetryAllowance allowance(String service) {
-        return allowances.computeIfAbsent(
-                service, name -> new RetryAllowance(time, repeats.ratio(), repeats.slack(), repeats.window()));
+    private RetryAllowance repeatAllowance(String service) {
+        return repeatAllowances.computeIfAbsent(
+                service,
+                name -> new RetryAllowance(
+                        time, repeatSettings.ratio(), repeatSettings.slack(), repeatSettings.window()));
     }
 
     private int cacheTokens(BackendServer server) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/TriedServers.java
@@ -4,30 +4,33 @@
 import java.util.Set;
 import org.aspenmoor.internal.serving.BackendServer;
 
-/** The servers that one request was tried at, which its next placement avoids. */
+/** The servers that one request was sent to, which its next placement avoids. */
 final class TriedServers {
-    /** Engines at which a prompt may be computed ahead of its answer; with more the time is better spent on the answer. */
-    private static final int MOST_STAGED_TRIES = 2;
+    /**
+     * Maximum number of separate prefill attempts; after that, the time is better spent on a single engine doing both
+     * stages.
+     */
+    private static final int MAX_PREFILL_ATTEMPTS = 2;
 
-    private final Set<String> identities = new HashSet<>();
-    private int failedStages;
+    private final Set<String> ids = new HashSet<>();
+    private int failedPrefills;
 
     void add(BackendServer server) {
-        identities.add(server.id());
+        ids.add(server.id());
     }
 
-    /** Notes that a server has not computed the prompt. */
-    void stageFailed(BackendServer server) {
+    /** Records that the prefill at a server failed. */
+    void prefillFailed(BackendServer server) {
         add(server);
-        failedStages++;
+        failedPrefills++;
     }
 
-    Set<String> identities() {
-        return identities;
+    Set<String> ids() {
+        return ids;
     }
 
-    /** Returns whether the prompt may be computed ahead of the answer once more. */
-    boolean mayStage() {
-        return failedStages < MOST_STAGED_TRIES;
+    /** Returns whether another separate prefill may be attempted. */
+    boolean mayPrefill() {
+        return failedPrefills < MAX_PREFILL_ATTEMPTS;
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
@@ -10,14 +10,14 @@
 import org.aspenmoor.internal.serving.RoleChange;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Another entry that says one thing. */
+/** Sends a report as if from another entry. */
 public final class ReportSender {
     private ReportSender() {}
 
-    /** Tells the entry with a registration of an order to an engine. */
-    public static void tell(StoredObject registration, RoleChange change) throws IOException {
-        InetSocketAddress address = PeerAddress.read(registration).orElseThrow();
-        byte[] report = PeerCodec.write(new PeerReport(
+    /** Reports a role change that was ordered of an engine to the entry with the given registration. */
+    public static void sendRoleChange(StoredObject registration, RoleChange change) throws IOException {
+        InetSocketAddress address = PeerAddressCodec.parse(registration).orElseThrow();
+        byte[] report = PeerReportCodec.serialise(new PeerReport(
                 "another-entry", 1, 1, Map.of(), List.of(), List.of(), List.of(), List.of(change), List.of(), false));
         try (DatagramSocket socket = new DatagramSocket()) {
             socket.send(new DatagramPacket(report, report.length, address));
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -194,7 +194,7 @@
     /** Reports, as another entry, an order for a role change; returns when the gateway has received the report. */
     public void reportRoleChange(String server, EngineRole role) throws StoreException, IOException {
         ObjectKey own = new ObjectKey(ObjectKind.ENTRY_REGISTRATION, ObjectKey.PLATFORM_NAMESPACE, "entry-under-test");
-        ReportSender.tell(store.read(own).orElseThrow(), new RoleChange(server, role));
+        ReportSender.sendRoleChange(store.read(own).orElseThrow(), new RoleChange(server, role));
         for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < MAX_WAIT.toNanos(); ) {
             if (state().contains("\"changing\" : true")) {
                 return;
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/OperatorPagesTest.java
@@ -18,30 +18,30 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What operators see of an entry, and how many connections it opens. */
+/** The metrics and state pages of an entry, and its connection limit. */
 public class OperatorPagesTest {
     private static final String SERVICE = "registry";
 
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/book/", RetryRule.AT_MOST_ONCE, false, 1, SERVICE);
         gateway.route("/read/", RetryRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     @Test
-    public void should_count_requests_by_outcome() throws Exception {
+    public void should_count_request_by_outcome_when_it_ends() throws Exception {
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
             caller.readAnswer();
         }
 
@@ -50,11 +50,11 @@
     }
 
     @Test
-    public void should_show_operators_what_it_believes_of_each_server() throws Exception {
+    public void should_show_known_servers_when_state_page_is_read() throws Exception {
         backend("one", OperatorPagesTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
             caller.readAnswer();
         }
 
@@ -66,28 +66,29 @@
         assertTrue(state.contains("\"connectionsOpened\" : 1"), state);
     }
 
-    // A server accepts a bounded number of connections from all entries and resets those beyond it, bookings included.
-    // The second booking here would be lost with its connection, and nobody could say whether it had run.
+    // A server accepts a limited number of connections from all entries and resets further ones, including those
+    // that carry bookings. The second booking here would be lost with its connection, and its outcome would be
+    // unknown.
     @Test
-    public void should_open_no_more_connections_than_its_part_and_refuse_what_is_beyond() throws Exception {
+    public void should_refuse_request_when_connection_share_is_used_up() throws Exception {
         gateway.connectionLimit(SERVICE, 1);
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         ScriptedBackend backend = backend("one", request -> {
-            Latches.await(held);
+            Latches.await(release);
             return answer(request);
         });
         gateway.publish();
         try (TestCaller first = gateway.caller();
                 TestCaller second = gateway.caller()) {
-            first.send(book("r1"));
+            first.send(bookingRequest("r1"));
             backend.awaitRequest();
-            second.send(book("r2"));
+            second.send(bookingRequest("r2"));
 
             ReceivedRequest refusal = second.readAnswer();
             assertEquals(refusal.line(), "HTTP/1.1 503 Service Unavailable");
             assertTrue(refusal.header("Retry-After").isPresent());
 
-            held.countDown();
+            release.countDown();
             assertEquals(first.readAnswer().body(), "answer to r1");
         }
         assertEquals(backend.received().size(), 1);
@@ -105,11 +106,11 @@
                 + body);
     }
 
-    private static String book(String id) {
+    private static String bookingRequest(String id) {
         return "POST /book/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String read(String id) {
+    private static String readRequest(String id) {
         return "GET /read/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\n\r\n";
     }
 }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -25,19 +25,19 @@
     private TestGateway gateway;
 
     @BeforeMethod
-    public void start() throws Exception {
+    public void setUp() throws Exception {
         gateway = new TestGateway();
         gateway.route("/book/", RetryRule.AT_MOST_ONCE, false, 1, SERVICE);
         gateway.route("/read/", RetryRule.REPEATABLE, false, 2, SERVICE);
     }
 
     @AfterMethod
-    public void stop() throws IOException {
+    public void tearDown() throws IOException {
         gateway.close();
     }
 
     @Test
-    public void should_hand_a_request_over_unchanged_and_its_answer_back_whole() throws Exception {
+    public void should_forward_request_unchanged_and_answer_complete_when_server_answers() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -66,11 +66,11 @@
     }
 
     @Test
-    public void should_serve_requests_that_follow_each_other_without_waiting() throws Exception {
+    public void should_answer_all_requests_when_they_are_pipelined() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1") + read("r2") + read("r3"));
+            caller.send(readRequest("r1") + readRequest("r2") + readRequest("r3"));
 
             assertEquals(caller.readAnswer().body(), "answer to r1");
             assertEquals(caller.readAnswer().body(), "answer to r2");
@@ -78,16 +78,15 @@
         }
     }
 
-    // A server takes a booking and its connection breaks before the answer. Were the caller told that it has not run,
-    // it
-    // would book a second time.
+    // A server accepts a booking and its connection breaks before the answer. A caller that is told that the
+    // booking has not run would book a second time.
     @Test
-    public void should_call_the_outcome_of_a_lost_booking_unknown_and_send_it_nowhere_else() throws Exception {
+    public void should_report_unknown_outcome_without_repeat_when_booking_is_lost() throws Exception {
         ScriptedBackend first = backend("one", request -> Reply.thenClose(""));
         ScriptedBackend second = backend("two", request -> Reply.thenClose(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
@@ -96,7 +95,7 @@
     }
 
     @Test
-    public void should_repeat_an_idempotent_request_whose_answer_was_lost() throws Exception {
+    public void should_repeat_idempotent_request_when_its_answer_is_lost() throws Exception {
         boolean[] lost = {false};
         Script losesTheFirst = request -> {
             synchronized (lost) {
@@ -111,15 +110,16 @@
         backend("two", losesTheFirst);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             assertEquals(caller.readAnswer().body(), "answer to r1");
         }
     }
 
-    // One server is full and says that it did not run the booking. It may be sent to the other.
+    // One server has no capacity and states that it did not run the booking. The booking may be sent to the other
+    // one.
     @Test
-    public void should_offer_a_booking_elsewhere_that_a_server_did_not_run() throws Exception {
+    public void should_send_booking_to_another_server_when_first_did_not_run_it() throws Exception {
         Script refuses =
                 request -> Reply.of("HTTP/1.1 503 Service Unavailable\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
         boolean[] refused = {false};
@@ -134,21 +134,21 @@
         backend("two", refusesTheFirst);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().body(), "answer to r1");
         }
     }
 
     @Test
-    public void should_refuse_with_a_time_to_come_back_what_no_server_runs() throws Exception {
+    public void should_refuse_with_retry_after_when_no_server_runs_request() throws Exception {
         backend(
                 "one",
                 request ->
                         Reply.of("HTTP/1.1 503 Service Unavailable\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
@@ -156,11 +156,10 @@
         }
     }
 
-    // A server says 503 and does not say that it did not run the booking. Passed on, the status would promise the
-    // caller
-    // what nobody knows.
+    // A server answers 503 without stating that it did not run the booking. If the status were forwarded, the
+    // caller would conclude that the booking has not run, which is unknown.
     @Test
-    public void should_not_pass_a_promise_on_that_the_server_did_not_make() throws Exception {
+    public void should_answer_bad_gateway_when_server_sends_503_without_not_run_header() throws Exception {
         backend(
                 "one",
                 request -> Reply.of(HttpText.head(
@@ -170,14 +169,14 @@
                         "Content-Length: 0")));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
     @Test
-    public void should_go_on_to_another_server_where_none_listens() throws Exception {
+    public void should_use_another_server_when_first_does_not_listen() throws Exception {
         int unused;
         try (ServerSocket probe = new ServerSocket(0)) {
             unused = probe.getLocalPort();
@@ -187,106 +186,106 @@
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 10; request++) {
-                caller.send(book("r" + request));
+                caller.send(bookingRequest("r" + request));
                 assertEquals(caller.readAnswer().body(), "answer to r" + request);
             }
         }
     }
 
-    // A server answers a request twice. The second answer arrives where that of the next request is due; handed on, it
-    // would be somebody else's booking.
+    // A server answers a request twice. The second answer arrives where the answer to the next request is expected;
+    // if forwarded, the caller would receive another caller's booking.
     @Test
-    public void should_give_nobody_the_answer_to_another_request() throws Exception {
+    public void should_not_forward_surplus_answer_when_server_answers_twice() throws Exception {
         backend("one", request -> {
-            String whole = answer(request).bytes();
-            return Reply.of(whole + whole);
+            String single = answer(request).bytes();
+            return Reply.of(single + single);
         });
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             for (int request = 0; request < 20; request++) {
-                caller.send(read("r" + request));
+                caller.send(readRequest("r" + request));
                 assertEquals(caller.readAnswer().body(), "answer to r" + request);
             }
         }
     }
 
     @Test
-    public void should_not_take_a_truncated_answer_for_a_whole_one() throws Exception {
+    public void should_answer_bad_gateway_when_answer_is_truncated() throws Exception {
         backend(
                 "one",
                 request -> Reply.thenClose(
                         "HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Signed: by one\r\nContent-Length: 100\r\n\r\nhalf"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
     @Test
-    public void should_take_an_answer_without_a_length_as_whole_when_its_connection_ends() throws Exception {
+    public void should_forward_answer_without_length_when_connection_ends() throws Exception {
         backend(
                 "one",
                 request -> Reply.thenClose("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nTest-Signed: by one\r\n\r\nall of it"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().body(), "all of it");
         }
     }
 
     @Test
-    public void should_not_take_bytes_that_are_no_answer() throws Exception {
+    public void should_answer_bad_gateway_when_server_sends_no_http() throws Exception {
         backend("one", request -> Reply.of("this is no HTTP\r\n\r\n"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
     @Test
-    public void should_not_pass_an_unsigned_success_on() throws Exception {
+    public void should_answer_bad_gateway_when_success_is_unsigned() throws Exception {
         backend("one", request -> Reply.of("HTTP/1.1 200 OK\r\nTest-Id: r1\r\nContent-Length: 2\r\n\r\nno"));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 502 Bad Gateway");
         }
     }
 
-    // A caller gives up and closes its connection. The server must not go on working for nobody.
+    // A caller closes its connection before the answer. The server must not go on working on the request.
     @Test
-    public void should_close_the_way_to_a_server_whose_caller_has_left() throws Exception {
+    public void should_close_server_connection_when_caller_leaves() throws Exception {
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
-            caller.send(book("r1"));
+            caller.send(bookingRequest("r1"));
             backend.awaitRequest();
         }
         backend.awaitClose();
         assertTrue(gateway.awaitLogged("CALLER_LEFT").contains("\"request\":\"r1\""));
     }
 
-    // All entries have just been restarted and are short of processor time. Callers give up and close while their
-    // requests
-    // lie unread; half a second later servers work on them for nobody, and the callers who are still there wait behind.
+    // After a restart of all entries, processor time is short, and callers close their connections while their
+    // requests are still unread. If these requests were forwarded half a second later, servers would work on
+    // answers that nobody receives while the remaining callers wait.
     @Test
-    public void should_not_send_a_request_on_whose_caller_left_while_the_entry_was_busy() throws Exception {
+    public void should_not_forward_request_when_caller_left_while_entry_was_busy() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller busy = gateway.caller()) {
             TestCaller leaving = gateway.caller();
-            leaving.send(read("r1"));
+            leaving.send(readRequest("r1"));
             leaving.readAnswer();
             busy.send(HttpText.head(
                     "GET /read/a HTTP/1.1", "Host: house.example", "Test-Id: r2", TestProtocols.BLOCK + ": yes"));
             gateway.protocols().awaitBlocked();
-            leaving.send(read("r3"));
+            leaving.send(readRequest("r3"));
             leaving.close();
             gateway.protocols().release();
 
@@ -301,7 +300,7 @@
     }
 
     @Test
-    public void should_answer_in_time_for_a_server_that_does_not() throws Exception {
+    public void should_answer_gateway_timeout_when_server_does_not_answer_in_time() throws Exception {
         ScriptedBackend backend = backend("one", request -> Reply.of(""));
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -322,7 +321,7 @@
     }
 
     @Test
-    public void should_say_that_no_route_leads_anywhere() throws Exception {
+    public void should_answer_not_found_when_no_route_matches() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -332,12 +331,12 @@
         }
     }
 
-    // The process has just started and has not read its configuration. A 404 would tell callers that their route is
-    // gone.
+    // The process has just started and has not read its configuration. A 404 would tell callers that their route
+    // does not exist.
     @Test
-    public void should_refuse_for_now_before_any_configuration_is_known() throws Exception {
+    public void should_refuse_with_retry_after_when_configuration_is_not_known_yet() throws Exception {
         try (TestCaller caller = gateway.caller()) {
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.line(), "HTTP/1.1 503 Service Unavailable");
@@ -346,7 +345,7 @@
     }
 
     @Test
-    public void should_refuse_a_request_that_names_two_hosts() throws Exception {
+    public void should_answer_bad_request_when_request_has_two_hosts() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -357,9 +356,10 @@
         }
     }
 
-    // A request whose head gives both a length and chunks can hide a second one from whoever reads it differently.
+    // Request smuggling: a request with both a content length and chunked encoding can hide a second request from a
+    // receiver that interprets it differently.
     @Test
-    public void should_not_let_a_request_hide_another() throws Exception {
+    public void should_not_forward_hidden_request_when_length_and_chunks_are_given() throws Exception {
         ScriptedBackend backend = backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
@@ -380,12 +380,12 @@
     }
 
     @Test
-    public void should_ask_callers_to_close_and_end_once_it_is_told_to_stop() throws Exception {
+    public void should_close_callers_connections_and_end_when_stopped() throws Exception {
         backend("one", PlainRequestTest::answer);
         gateway.publish();
         try (TestCaller caller = gateway.caller()) {
             gateway.gateway().stop();
-            caller.send(read("r1"));
+            caller.send(readRequest("r1"));
 
             ReceivedRequest answer = caller.readAnswer();
             assertEquals(answer.body(), "answer to r1");
@@ -408,11 +408,11 @@
                 + body);
     }
 
-    private static String book(String id) {
+    private static String bookingRequest(String id) {
         return "POST /book/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String read(String id) {
+    private static String readRequest(String id) {
         return "GET /read/a HTTP/1.1\r\nHost: house.example\r\nTest-Id: " + id + "\r\n\r\n";
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Backoff.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/Backoff.java
@@ -3,33 +3,35 @@
 import java.time.Duration;
 import java.util.random.RandomGenerator;
 
-/** Draws the pauses between repetitions: at random up to a bound that doubles, so that processes spread out. */
+/**
+ * Draws retry delays: uniformly random up to an exponentially growing bound, so that processes do not retry in step.
+ */
 final class Backoff {
-    private static final int MOST_DOUBLINGS = 20;
+    private static final int MAX_DOUBLINGS = 20;
 
     private final RandomGenerator random;
-    private final Duration first;
-    private final Duration most;
+    private final Duration initialBound;
+    private final Duration maxBound;
 
-    Backoff(RandomGenerator random, Duration first, Duration most) {
+    Backoff(RandomGenerator random, Duration initialBound, Duration maxBound) {
         this.random = random;
-        this.first = first;
-        this.most = most;
+        this.initialBound = initialBound;
+        this.maxBound = maxBound;
     }
 
-    /** Draws the pause before a repetition, counted from 0. */
-    Duration pauseBefore(int repetition) {
-        long bound = first.toNanos() << Math.min(repetition, MOST_DOUBLINGS);
-        long capped = Math.min(bound, most.toNanos());
-        return Duration.ofNanos(drawUpTo(capped));
+    /** Draws the delay before a retry; the first retry has number 0. */
+    Duration delayBeforeRetry(int retry) {
+        long bound = initialBound.toNanos() << Math.min(retry, MAX_DOUBLINGS);
+        long capped = Math.min(bound, maxBound.toNanos());
+        return Duration.ofNanos(randomUpTo(capped));
     }
 
-    /** Draws a pause up to the longest, for something that all processes do at the same moment. */
-    Duration spread() {
-        return Duration.ofNanos(drawUpTo(most.toNanos()));
+    /** Draws a delay up to the maximum, for an action that all processes would otherwise start at the same time. */
+    Duration delayUpToMax() {
+        return Duration.ofNanos(randomUpTo(maxBound.toNanos()));
     }
 
-    private long drawUpTo(long bound) {
+    private long randomUpTo(long bound) {
         synchronized (random) {
             return random.nextLong(bound + 1);
         }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchLines.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/LineSubscriber.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Hands the lines of a stream to one reading thread.
+ * Passes the lines of a stream to one reading thread.
  *
- * <p>One line is asked for at a time, so that a slow listener holds the store's sending back instead of filling memory.
+ * <p>Lines are requested one at a time, so that a slow listener slows the store down instead of filling the memory.
  */
-final class WatchLines implements Flow.Subscriber<String> {
+final class LineSubscriber implements Flow.Subscriber<String> {
     private final BlockingQueue<Optional<String>> ready = new ArrayBlockingQueue<>(2);
     private final AtomicReference<Flow.Subscription> subscription = new AtomicReference<>();
     private volatile Throwable failure;
@@ -40,12 +40,12 @@
         ready.add(Optional.empty());
     }
 
-    /** Waits for the next line; null after a silence, empty at the end of the stream. */
-    Optional<String> next(Duration silence) throws InterruptedException {
-        return ready.poll(silence.toNanos(), TimeUnit.NANOSECONDS);
+    /** Waits for the next line; null if none arrives within the given time, empty at the end of the stream. */
+    Optional<String> next(Duration timeout) throws InterruptedException {
+        return ready.poll(timeout.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    void askForNext() {
+    void requestNext() {
         subscription.get().request(1);
     }
 
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreCalls.java
@@ -10,17 +10,17 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Calls to the store, whatever its paths and objects look like: budgeted, timed, counted, reads repeated.
+ * Sends calls to the store with a call budget, timeouts and counters, independently of the API's paths and formats.
  *
- * <p>Reads are repeated with jittered pauses until their deadline. Writes are sent once: whoever writes must settle a
- * lost answer, for which there is {@link SettledWrites}.
+ * <p>Reads are retried with jittered delays until their deadline. Writes are sent once: if the response is lost, the
+ * writer has to find out the outcome; {@link OutcomeResolvingWriter} does this.
  */
 public final class StoreCalls {
-    private static final int MOST_READ_ATTEMPTS = 8;
+    private static final int MAX_READ_ATTEMPTS = 8;
 
     private final TimeSource time;
     private final StoreSettings settings;
-    private final Pauser pauser;
+    private final Sleeper sleeper;
     private final StoreTransport transport;
     private final CallBudget budget;
     private final StoreGeneration generation;
@@ -36,58 +36,58 @@
             RandomGenerator random,
             StoreSettings settings,
             StoreGeneration generation,
-            Pauser pauser) {
+            Sleeper sleeper) {
         this.generation = generation;
         this.time = time;
         this.settings = settings;
-        this.pauser = pauser;
+        this.sleeper = sleeper;
         this.transport = new StoreTransport(settings, generation);
-        this.budget = new CallBudget(time, settings.callsPerSecond(), settings.mostCallsAtOnce());
-        this.backoff = new Backoff(random, settings.firstBackoff(), settings.mostBackoff());
+        this.budget = new CallBudget(time, settings.callsPerSecond(), settings.maxBurstCalls());
+        this.backoff = new Backoff(random, settings.initialBackoff(), settings.maxBackoff());
     }
 
-    /** Reads, repeating while the store is away; empty where there is no such object. */
-    public Optional<StoreReply> read(URI uri) throws StoreException {
-        long deadline = time.monotonicNanoseconds() + settings.readDeadline().toNanos();
+    /** Reads, with retries while the store is unavailable; empty if the object does not exist. */
+    public Optional<StoreResponse> read(URI uri) throws StoreException {
+        long deadline = time.monotonicNanos() + settings.readDeadline().toNanos();
         for (int attempt = 0; ; attempt++) {
             try {
                 return readOnce(uri, settings.callTimeout());
             } catch (StoreUnavailableException unavailable) {
-                Duration pause = backoff.pauseBefore(attempt);
-                boolean late = time.monotonicNanoseconds() + pause.toNanos() - deadline >= 0;
-                if (late
-                        || attempt + 1 >= MOST_READ_ATTEMPTS
+                Duration delay = backoff.delayBeforeRetry(attempt);
+                boolean pastDeadline = time.monotonicNanos() + delay.toNanos() - deadline >= 0;
+                if (pastDeadline
+                        || attempt + 1 >= MAX_READ_ATTEMPTS
                         || Thread.currentThread().isInterrupted()) {
                     throw unavailable;
                 }
-                pauser.pause(pause);
+                sleeper.sleep(delay);
             }
         }
     }
 
-    /** Makes one call that the store may leave waiting for up to the given time before it answers. */
-    public Optional<StoreReply> poll(URI uri, Duration waiting) throws StoreException {
-        return readOnce(uri, waiting.plus(settings.callTimeout()));
+    /** Makes one long-polling read, to which the store responds within the given time. */
+    public Optional<StoreResponse> poll(URI uri, Duration maxWait) throws StoreException {
+        return readOnce(uri, maxWait.plus(settings.callTimeout()));
     }
 
-    /** Sends a write once and returns its answer. */
-    public StoreReply write(String method, URI uri, String place, String body) throws StoreException {
+    /** Sends a write once and returns the response. */
+    public StoreResponse write(String method, URI uri, String place, String body) throws StoreException {
         try {
-            budget.take(place);
+            budget.acquire(place);
             counters.writeSent();
-            return StoreAnswers.toWrite(transport.write(method, uri, body), place);
+            return ResponseMapper.mapWrite(transport.write(method, uri, body), place);
         } catch (StoreException failure) {
-            counters.failed(failure);
+            counters.recordFailure(failure);
             throw failure;
         }
     }
 
-    /** Returns the highest generation of the store's history that an answer has named. */
+    /** Returns the highest generation of the store's history seen in a response. */
     public long generation() {
         return generation.current();
     }
 
-    /** Returns how many calls were made. */
+    /** Returns the numbers of calls made so far. */
     public CallCounts counts() {
         return counters.counts();
     }
@@ -104,13 +104,13 @@
         return transport;
     }
 
-    private Optional<StoreReply> readOnce(URI uri, Duration timeout) throws StoreException {
+    private Optional<StoreResponse> readOnce(URI uri, Duration timeout) throws StoreException {
         try {
-            budget.take(uri.toString());
+            budget.acquire(uri.toString());
             counters.readSent();
-            return StoreAnswers.toRead(transport.read(uri, timeout), uri.toString());
+            return ResponseMapper.mapRead(transport.read(uri, timeout), uri.toString());
         } catch (StoreException failure) {
-            counters.failed(failure);
+            counters.recordFailure(failure);
             throw failure;
         }
     }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/StoreGeneration.java
@@ -4,36 +4,36 @@
 import java.util.OptionalLong;
 
 /**
- * Which generation of its history the store is in, as far as its answers have told. Used by many threads.
+ * Tracks the generation of the store's history from the responses of the store. Thread-safe.
  *
- * <p>A store that comes back from an older copy has lost what it acknowledged since, and gives the same revisions out again.
- * Then its generation rises. Nothing that was read in an earlier one may be the condition of a write: another object may
- * have that revision now, and the write would succeed where it must not.
+ * <p>A store that is restored from an older snapshot has lost the writes that it acknowledged since, and assigns the
+ * same revisions again; its generation then increases. A revision that was read in an earlier generation must not be
+ * the condition of a write: another object may have that revision now, and the write would succeed where it must fail.
  */
 public final class StoreGeneration {
     private final String header;
     private final Listener listener;
     private long highest;
-    private boolean known;
-    private boolean complained;
+    private boolean seen;
+    private boolean unreadableReported;
 
     /**
-     * Makes a generation that nothing is known of.
+     * Creates a tracker that has not seen any generation.
      *
-     * @param header the header that names it in all answers
-     * @param listener hears what answers tell
+     * @param header the response header that contains the generation
+     * @param listener is notified of changes
      */
     public StoreGeneration(String header, Listener listener) {
         this.header = header;
         this.listener = listener;
     }
 
-    /** Returns the generation of a store that never comes back from an older copy and names none. */
+    /** Returns a tracker for a store that is never restored and sends no generation. */
     public static StoreGeneration none() {
         return new StoreGeneration("", new Listener() {});
     }
 
-    /** Returns the highest generation that an answer has named; zero where none has. */
+    /** Returns the highest generation seen in a response; zero if none has been seen. */
     public synchronized long current() {
         return highest;
     }
@@ -42,56 +42,56 @@
         return header;
     }
 
-    /** Takes in what an answer says, and returns the generation that it belongs to. */
-    synchronized long observe(Optional<String> written) {
+    /** Processes the header value of a response and returns the generation that the response belongs to. */
+    synchronized long observe(Optional<String> headerValue) {
         if (header.isEmpty()) {
             return 0;
         }
-        OptionalLong read = read(written);
-        if (read.isEmpty()) {
-            complain(written);
+        OptionalLong parsed = parse(headerValue);
+        if (parsed.isEmpty()) {
+            reportUnreadable(headerValue);
             return highest;
         }
-        long told = read.getAsLong();
-        if (known && told < highest) {
-            listener.fell(highest, told);
+        long received = parsed.getAsLong();
+        if (seen && received < highest) {
+            listener.generationDecreased(highest, received);
             return highest;
         }
-        boolean rose = known && told > highest;
+        boolean increased = seen && received > highest;
         long before = highest;
-        highest = told;
-        known = true;
-        if (rose) {
-            listener.rose(before, told);
+        highest = received;
+        seen = true;
+        if (increased) {
+            listener.generationIncreased(before, received);
         }
-        return told;
+        return received;
     }
 
-    private void complain(Optional<String> written) {
-        if (!complained) {
-            complained = true;
-            listener.unreadable(written.orElse(""));
+    private void reportUnreadable(Optional<String> headerValue) {
+        if (!unreadableReported) {
+            unreadableReported = true;
+            listener.generationUnreadable(headerValue.orElse(""));
         }
     }
 
-    private static OptionalLong read(Optional<String> written) {
+    private static OptionalLong parse(Optional<String> headerValue) {
         try {
-            long number = Long.parseLong(written.orElse("").strip());
+            long number = Long.parseLong(headerValue.orElse("").strip());
             return number < 0 ? OptionalLong.empty() : OptionalLong.of(number);
-        } catch (NumberFormatException noNumber) {
+        } catch (NumberFormatException notANumber) {
             return OptionalLong.empty();
         }
     }
 
-    /** Hears what answers tell of the generation, on the thread of the call. */
+    /** Is notified of changes of the generation, on the thread of the call. */
     public interface Listener {
-        /** The store has come back from an older copy. */
-        default void rose(long before, long now) {}
+        /** The store was restored from an older snapshot. */
+        default void generationIncreased(long before, long now) {}
 
-        /** An answer named a lower generation than one before; it is not believed. */
-        default void fell(long before, long told) {}
+        /** A response contained a lower generation than an earlier response; it is ignored. */
+        default void generationDecreased(long before, long received) {}
 
-        /** An answer named none that can be read; told once. */
-        default void unreadable(String written) {}
+        /** A response contained no valid generation; reported once. */
+        default void generationUnreadable(String headerValue) {}
     }
 }
--- a/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
+++ b/aspenmoor-store/src/main/java/org/aspenmoor/internal/store/client/WatchedCollection.java
@@ -19,14 +19,15 @@
 import org.jboss.logging.Logger;
 
 /**
- * Follows all objects of one kind: lists, watches, and lists again whenever the watch ends.
+ * Tracks all objects of one kind: lists them, watches them, and lists them again whenever the watch ends.
  *
- * <p>Changes and deletions that fall between two watches are found by comparing the new list with what is known. A store
- * may answer a list from an old replica; whoever may never go back compares a number within the object.
+ * <p>Changes and deletions between two watches are found by comparing the new list with the known objects. The store
+ * may serve a list from an outdated replica; a listener that must never go back to an older state has to compare a
+ * number within the object.
  */
 public final class WatchedCollection implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(WatchedCollection.class);
-    private static final int MOST_WAITING_EVENTS = 256;
+    private static final int MAX_QUEUED_EVENTS = 256;
 
     private final ObjectStore store;
     private final ObjectKind kind;
@@ -45,14 +46,14 @@
         this.store = store;
         this.kind = kind;
         this.listener = listener;
-        this.backoff = new Backoff(random, settings.firstBackoff(), settings.mostBackoff());
+        this.backoff = new Backoff(random, settings.initialBackoff(), settings.maxBackoff());
         this.thread = Thread.ofPlatform()
                 .daemon()
                 .name("store-collection-" + kind.resource())
                 .unstarted(this::run);
     }
 
-    /** Starts following. */
+    /** Starts the thread that tracks the objects. */
     public void start() {
         thread.start();
     }
@@ -66,47 +67,47 @@
     private void run() {
         int failures = 0;
         while (!closed) {
-            Duration pause;
+            Duration delay;
             try {
-                listAndFollow();
+                listAndWatch();
                 failures = 0;
-                // A store that restarts ends the watches of all processes at once. Listing again at once, all of them
-                // would use up its rate in the moment in which it comes back.
-                pause = backoff.spread();
+                // A restart of the store ends the watches of all processes at the same time. If all of them listed
+                // again immediately, they would exceed the store's rate limit just as it becomes available.
+                delay = backoff.delayUpToMax();
             } catch (StoreException failure) {
-                interrupted(failure);
-                pause = backoff.pauseBefore(failures);
+                reportInterruption(failure);
+                delay = backoff.delayBeforeRetry(failures);
                 failures++;
-            } catch (RuntimeException mistake) {
-                LOG.errorf(mistake, "store: a change of %s could not be taken in, listing again", kind.resource());
-                pause = backoff.pauseBefore(failures);
+            } catch (RuntimeException unexpected) {
+                LOG.errorf(unexpected, "store: processing a change of %s failed, listing again", kind.resource());
+                delay = backoff.delayBeforeRetry(failures);
                 failures++;
             } catch (InterruptedException closing) {
                 return;
             }
-            if (!pauseFor(pause)) {
+            if (!sleepFor(delay)) {
                 return;
             }
         }
     }
 
-    private void listAndFollow() throws StoreException, InterruptedException {
+    private void listAndWatch() throws StoreException, InterruptedException {
         StoreListing listing = store.list(kind);
-        takeOver(listing);
+        applyListing(listing);
         listener.synchronised();
-        follow(listing.version());
+        processWatch(listing.version());
     }
 
-    /** Follows one watch to its end. */
-    private void follow(String version) throws StoreException, InterruptedException {
-        BlockingQueue<CollectionEvent> events = new ArrayBlockingQueue<>(MOST_WAITING_EVENTS);
-        try (StoreWatch watch = store.watch(kind, version, new EventQueue(events))) {
+    /** Processes the events of one watch until it ends. */
+    private void processWatch(String version) throws StoreException, InterruptedException {
+        BlockingQueue<CollectionEvent> events = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
+        try (StoreWatch watch = store.watch(kind, version, new QueueingWatchListener(events))) {
             while (true) {
                 switch (events.take()) {
-                    case CollectionEvent.Changed changed -> change(changed.object());
-                    case CollectionEvent.Deleted deleted -> delete(deleted.object());
+                    case CollectionEvent.Changed changed -> applyChange(changed.object());
+                    case CollectionEvent.Deleted deleted -> applyDeletion(deleted.object());
                     case CollectionEvent.Ended ended -> {
-                        interrupted(ended.cause());
+                        reportInterruption(ended.cause());
                         return;
                     }
                 }
@@ -114,7 +115,7 @@
         }
     }
 
-    private void takeOver(StoreListing listing) {
+    private void applyListing(StoreListing listing) {
         Map<ObjectKey, StoredObject> listed = new HashMap<>();
         for (StoredObject object : listing.objects()) {
             listed.put(object.key(), object);
@@ -125,12 +126,13 @@
                 missing.add(object);
             }
         }
-        missing.forEach(this::delete);
-        listed.values().forEach(this::change);
+        missing.forEach(this::applyDeletion);
+        listed.values().forEach(this::applyChange);
     }
 
-    // What the listener has not taken in is not known yet, so that the next listing tells it again.
-    private void change(StoredObject object) {
+    // An object counts as known only after the listener has processed it, so that the next listing reports it again
+    // otherwise.
+    private void applyChange(StoredObject object) {
         StoredObject before = known.get(object.key());
         if (before != null && before.version().equals(object.version())) {
             return;
@@ -139,24 +141,24 @@
         known.put(object.key(), object);
     }
 
-    private void delete(StoredObject object) {
+    private void applyDeletion(StoredObject object) {
         if (known.containsKey(object.key())) {
             listener.deleted(object);
             known.remove(object.key());
         }
     }
 
-    private void interrupted(StoreException cause) {
+    private void reportInterruption(StoreException cause) {
         if (closed) {
             return;
         }
-        LOG.debugf("store: following %s was interrupted: %s", kind.resource(), cause.problem());
+        LOG.debugf("store: watching %s was interrupted: %s", kind.resource(), cause.problem());
         listener.interrupted(cause);
     }
 
-    private boolean pauseFor(Duration pause) {
+    private boolean sleepFor(Duration delay) {
         try {
-            TimeUnit.NANOSECONDS.sleep(pause.toNanos());
+            TimeUnit.NANOSECONDS.sleep(delay.toNanos());
             return !closed;
         } catch (InterruptedException closing) {
             return false;
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/FakeStore.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/FaultyObjectStore.java
@@ -20,30 +20,30 @@
 import org.aspenmoor.internal.store.StoreWatchListener;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** A store in memory whose next writes and reads can go wrong. */
-final class FakeStore implements ObjectStore {
+/** An in-memory store whose next writes and reads can be made to fail. */
+final class FaultyObjectStore implements ObjectStore {
     private final Map<ObjectKey, StoredObject> objects = new LinkedHashMap<>();
     private final Deque<WriteFault> writeFaults = new ArrayDeque<>();
     private final BlockingQueue<StoreWatchListener> watches = new LinkedBlockingQueue<>();
-    private int readsToFail;
+    private int remainingReadFailures;
     private int version;
     private int writesSent;
 
-    /** What goes wrong with a write. */
+    /** A fault of a write. */
     enum WriteFault {
-        /** It takes effect and its answer is lost. */
+        /** The write takes effect and its response is lost. */
         APPLIED_ANSWER_LOST,
-        /** It never arrives, which its sender cannot tell from a lost answer. */
+        /** The write never arrives; its sender cannot distinguish this from a lost response. */
         NEVER_ARRIVED
     }
 
-    synchronized FakeStore nextWrites(WriteFault... faults) {
+    synchronized FaultyObjectStore addWriteFaults(WriteFault... faults) {
         writeFaults.addAll(List.of(faults));
         return this;
     }
 
-    synchronized void failReads(int count) {
-        readsToFail = count;
+    synchronized void failNextReads(int count) {
+        remainingReadFailures = count;
     }
 
     synchronized StoredObject put(ObjectKey key, String value) {
@@ -68,13 +68,13 @@
 
     @Override
     public synchronized Optional<StoredObject> read(ObjectKey key) throws StoreException {
-        failIfAsked();
+        failIfScheduled();
         return Optional.ofNullable(objects.get(key));
     }
 
     @Override
     public synchronized StoreListing list(ObjectKind kind) throws StoreException {
-        failIfAsked();
+        failIfScheduled();
         return new StoreListing(List.copyOf(objects.values()), String.valueOf(version));
     }
 
@@ -108,23 +108,23 @@
         writesSent++;
         WriteFault fault = writeFaults.poll();
         if (fault == WriteFault.NEVER_ARRIVED) {
-            throw new StoreOutcomeUnknownException("The answer was lost.", key.toString(), "Read it.");
+            throw new StoreOutcomeUnknownException("The response was lost.", key.toString(), "Read the object.");
         }
         Optional<String> current = Optional.ofNullable(objects.get(key)).map(StoredObject::version);
         if (!current.equals(condition)) {
-            throw new StoreConflictException("The version has moved on.", key.toString(), "Read it.");
+            throw new StoreConflictException("The object has another version.", key.toString(), "Read the object.");
         }
         StoredObject written = put(key, value);
         if (fault == WriteFault.APPLIED_ANSWER_LOST) {
-            throw new StoreOutcomeUnknownException("The answer was lost.", key.toString(), "Read it.");
+            throw new StoreOutcomeUnknownException("The response was lost.", key.toString(), "Read the object.");
         }
         return written;
     }
 
-    private void failIfAsked() throws StoreUnavailableException {
-        if (readsToFail > 0) {
-            readsToFail--;
-            throw new StoreUnavailableException("The store is down.", "fake", "Wait.");
+    private void failIfScheduled() throws StoreUnavailableException {
+        if (remainingReadFailures > 0) {
+            remainingReadFailures--;
+            throw new StoreUnavailableException("The store is down.", "fake", "Retry later.");
         }
     }
 }
--- a/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
+++ b/aspenmoor-store/src/test/java/org/aspenmoor/internal/store/client/TestObjects.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Objects and settings that several tests use. */
+/** Objects and settings shared by several tests. */
 final class TestObjects {
     static final ObjectKey PLAN = new ObjectKey(ObjectKind.ROLE_PLAN, "seitkali", "drafting.almaty-1");
 
@@ -28,33 +28,40 @@
         return new StoredObject(PLAN, version, value);
     }
 
-    /** Settings whose time-outs only end a test that would otherwise hang. */
-    static StoreSettings patient() {
-        Duration long30 = Duration.ofSeconds(30);
+    /** Returns settings with timeouts that expire only if a test hangs. */
+    static StoreSettings longTimeouts() {
+        Duration longTimeout = Duration.ofSeconds(30);
         return new StoreSettings(
-                long30, long30, Duration.ofSeconds(4), Duration.ofMillis(50), Duration.ofSeconds(1), long30, 100, 100);
+                longTimeout,
+                longTimeout,
+                Duration.ofSeconds(4),
+                Duration.ofMillis(50),
+                Duration.ofSeconds(1),
+                longTimeout,
+                100,
+                100);
     }
 
-    /** Settings for a store that never answers a call: the call's time-out has to run out. */
-    static StoreSettings impatientForAnswers() {
-        return impatient(Duration.ofMillis(200), Duration.ofSeconds(30));
+    /** Returns settings for a store that never responds to a call, with a short call timeout. */
+    static StoreSettings shortCallTimeout() {
+        return withTimeouts(Duration.ofMillis(200), Duration.ofSeconds(30));
     }
 
-    /** Settings for a watch that never hears anything: the silence has to run out. */
-    static StoreSettings impatientInSilence() {
-        return impatient(Duration.ofSeconds(30), Duration.ofMillis(200));
+    /** Returns settings for a watch that never receives data, with a short idle timeout. */
+    static StoreSettings shortWatchIdleTimeout() {
+        return withTimeouts(Duration.ofSeconds(30), Duration.ofMillis(200));
     }
 
-    private static StoreSettings impatient(Duration callTimeout, Duration watchSilence) {
-        StoreSettings patient = patient();
+    private static StoreSettings withTimeouts(Duration callTimeout, Duration watchIdleTimeout) {
+        StoreSettings settings = longTimeouts();
         return new StoreSettings(
-                patient.connectTimeout(),
+                settings.connectTimeout(),
                 callTimeout,
-                patient.readDeadline(),
-                patient.firstBackoff(),
-                patient.mostBackoff(),
-                watchSilence,
-                patient.callsPerSecond(),
-                patient.mostCallsAtOnce());
+                settings.readDeadline(),
+                settings.initialBackoff(),
+                settings.maxBackoff(),
+                watchIdleTimeout,
+                settings.callsPerSecond(),
+                settings.maxBurstCalls());
     }
 }
