--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationSlopes.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Random;
 import org.aspenmoor.internal.daemon.dissemination.DisseminationFrames;
-import org.aspenmoor.internal.dissemination.Arrival;
+import org.aspenmoor.internal.dissemination.AddressedMessage;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DisseminationTree;
 import org.aspenmoor.internal.dissemination.DocumentExchange;
+import org.aspenmoor.internal.dissemination.DocumentRevision;
 import org.aspenmoor.internal.dissemination.EntryMember;
 import org.aspenmoor.internal.dissemination.ExchangeSettings;
-import org.aspenmoor.internal.dissemination.KnownDocument;
 import org.aspenmoor.internal.dissemination.Neighbours;
-import org.aspenmoor.internal.dissemination.Outgoing;
-import org.aspenmoor.internal.dissemination.RelayChoice;
-import org.aspenmoor.internal.dissemination.SubsetChoice;
+import org.aspenmoor.internal.dissemination.RelaySelector;
+import org.aspenmoor.internal.dissemination.StoreUpdateSource;
+import org.aspenmoor.internal.dissemination.SubsetSelector;
 import org.aspenmoor.internal.time.ManualTimeSource;
 import org.aspenmoor.internal.wire.v1.Frame;
 
@@ -62,14 +62,14 @@
         DocumentExchange asking = exchange(time, Aim.TEAMS);
         DocumentExchange answering = exchange(time, Aim.TEAMS);
         asking.neighboursChanged(new Neighbours(false, List.of(), List.of("answering")));
-        List<KnownDocument> changes = new ArrayList<>();
+        List<DocumentRevision> changes = new ArrayList<>();
         for (int number = 0; withChange && number < count; number++) {
             changes.add(Samples.knownDocument(number, 2));
         }
         return () -> {
             for (int number = 0; number < count; number++) {
                 if (withChange) {
-                    answering.learnedFromStore(changes.get(number), Arrival.WATCH_EVENT);
+                    answering.receivedFromStore(changes.get(number), StoreUpdateSource.WATCH_EVENT);
                 }
                 time.advance(NEXT_COMPARISON);
                 converse(asking, answering);
@@ -78,9 +78,9 @@
     }
 
     private void converse(DocumentExchange asking, DocumentExchange answering) {
-        Deque<Outgoing> flights = new ArrayDeque<>(asking.tick());
+        Deque<AddressedMessage> flights = new ArrayDeque<>(asking.tick());
         while (!flights.isEmpty()) {
-            Outgoing flight = flights.remove();
+            AddressedMessage flight = flights.remove();
             byte[] bytes = DisseminationFrames.toFrame(flight.message()).toByteArray();
             consumed += bytes.length;
             boolean forAnswering = flight.peer().equals("answering");
@@ -95,9 +95,10 @@
             entries.add(new EntryMember("entry-" + number, "almaty-1"));
         }
         DisseminationTree tree =
-                new DisseminationTree(new RelayChoice(DisseminationTrial.RELAYS), DisseminationTrial.FORWARDERS);
-        return () -> consumed +=
-                tree.ofEntry(entries.getFirst(), entries, List.of()).links().size();
+                new DisseminationTree(new RelaySelector(DisseminationTrial.RELAYS), DisseminationTrial.FORWARDERS);
+        return () -> consumed += tree.neighboursOfEntry(entries.getFirst(), entries, List.of())
+                .links()
+                .size();
     }
 
     private Runnable subset(int count) {
@@ -109,8 +110,8 @@
         for (int number = 0; number < Aim.AGENTS_PER_GROUP; number++) {
             agents.add("agent-" + number);
         }
-        SubsetChoice choice =
-                new SubsetChoice(DisseminationTrial.ENTRIES_PER_AGENT, DisseminationTrial.AGENTS_PER_GROUP);
+        SubsetSelector choice =
+                new SubsetSelector(DisseminationTrial.ENTRIES_PER_AGENT, DisseminationTrial.AGENTS_PER_GROUP);
         return () ->
                 consumed += choice.choose(entries, agents).agentsOf("entry-0").size();
     }
@@ -119,7 +120,7 @@
         DocumentExchange exchange =
                 new DocumentExchange(ExchangeSettings.defaults(), time, new Random(SEED), document -> {});
         for (int number = 0; number < documents; number++) {
-            exchange.learnedFromStore(Samples.knownDocument(number, 1), Arrival.LISTING);
+            exchange.receivedFromStore(Samples.knownDocument(number, 1), StoreUpdateSource.LISTING);
         }
         return exchange;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationTrial.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationTrial.java
@@ -10,13 +10,13 @@
 import java.util.PriorityQueue;
 import java.util.Random;
 import org.aspenmoor.internal.daemon.dissemination.DisseminationFrames;
-import org.aspenmoor.internal.dissemination.Arrival;
+import org.aspenmoor.internal.dissemination.AddressedMessage;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DocumentExchange;
+import org.aspenmoor.internal.dissemination.DocumentRevision;
 import org.aspenmoor.internal.dissemination.ExchangeSettings;
-import org.aspenmoor.internal.dissemination.KnownDocument;
 import org.aspenmoor.internal.dissemination.Neighbours;
-import org.aspenmoor.internal.dissemination.Outgoing;
+import org.aspenmoor.internal.dissemination.StoreUpdateSource;
 import org.aspenmoor.internal.time.ManualTimeSource;
 
 /**
@@ -52,8 +52,8 @@
     private long order;
     private long messages;
     private double recoveredAt = -1;
-    private final Map<Integer, KnownDocument> newest = new HashMap<>();
-    private final Map<KnownDocument, Integer> updateSizes = new HashMap<>();
+    private final Map<Integer, DocumentRevision> newest = new HashMap<>();
+    private final Map<DocumentRevision, Integer> updateSizes = new HashMap<>();
 
     DisseminationTrial(FleetPlan plan, int documents, TrialFaults faults, long seed) {
         this.plan = plan;
@@ -99,9 +99,9 @@
         exchange.neighboursChanged(neighbours);
         exchanges.put(process, exchange);
         counters.computeIfAbsent(process, name -> new ByteCounter());
-        exchange.watchBegins();
+        exchange.watchStarting();
         for (int number = 0; filled && number < documents; number++) {
-            exchange.learnedFromStore(newest(number), Arrival.LISTING);
+            exchange.receivedFromStore(newest(number), StoreUpdateSource.LISTING);
         }
         schedule(now() + random.nextDouble() * TICK_SECONDS, () -> tick(process, exchange));
         if (neighbours.relay()) {
@@ -119,7 +119,7 @@
     private void bookmark(String process, DocumentExchange exchange) {
         if (exchanges.get(process) == exchange) {
             if (seesStore(process)) {
-                exchange.storeConfirmed();
+                exchange.watchConfirmed();
             }
             schedule(now() + BOOKMARK_SECONDS, () -> bookmark(process, exchange));
         }
@@ -133,7 +133,7 @@
         accepted.merge(number, 2L, (revision, first) -> revision + 1);
         acceptedAt.put(number, now());
         missing.put(number, exchanges.size());
-        KnownDocument document = newest(number);
+        DocumentRevision document = newest(number);
         plan.neighbours().forEach((process, neighbours) -> {
             if (neighbours.relay() && seesStore(process) && random.nextDouble() >= faults.watchLoss()) {
                 schedule(now() + random.nextDouble() * MOST_WATCH_DELAY, () -> watchEvent(process, document));
@@ -141,8 +141,8 @@
         });
     }
 
-    private void watchEvent(String process, KnownDocument document) {
-        send(process, exchanges.get(process).learnedFromStore(document, Arrival.WATCH_EVENT));
+    private void watchEvent(String process, DocumentRevision document) {
+        send(process, exchanges.get(process).receivedFromStore(document, StoreUpdateSource.WATCH_EVENT));
     }
 
     /** A relay that was cut off lists the store again within its back-off. */
@@ -152,9 +152,9 @@
         }
         schedule(now() + random.nextDouble() * 2, () -> {
             DocumentExchange exchange = exchanges.get(process);
-            exchange.watchBegins();
+            exchange.watchStarting();
             for (int number = 0; number < documents; number++) {
-                send(process, exchange.learnedFromStore(newest(number), Arrival.LISTING));
+                send(process, exchange.receivedFromStore(newest(number), StoreUpdateSource.LISTING));
             }
         });
     }
@@ -168,11 +168,11 @@
         });
     }
 
-    private void send(String from, List<Outgoing> outgoing) {
+    private void send(String from, List<AddressedMessage> outgoing) {
         outgoing.forEach(message -> send(from, message));
     }
 
-    private void send(String from, Outgoing outgoing) {
+    private void send(String from, AddressedMessage outgoing) {
         int bytes = frameSize(outgoing.message()) + BYTES_AROUND_A_FRAME;
         counters.get(from).count(now(), bytes);
         if (isCut(from, outgoing.peer()) || random.nextDouble() < faults.messageLoss()) {
@@ -200,7 +200,7 @@
         send(to, exchanges.get(to).received(from, message));
     }
 
-    private void inForce(KnownDocument document) {
+    private void inForce(DocumentRevision document) {
         int number = Integer.parseInt(document.key().team().substring("team-".length()));
         if (document.revision() == 1 || document.revision() != accepted.get(number)) {
             return;
@@ -211,7 +211,7 @@
         }
     }
 
-    private KnownDocument newest(int number) {
+    private DocumentRevision newest(int number) {
         long revision = accepted.getOrDefault(number, 1L);
         return newest.compute(
                 number,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/FleetPlan.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/FleetPlan.java
@@ -8,9 +8,9 @@
 import org.aspenmoor.internal.dissemination.DisseminationTree;
 import org.aspenmoor.internal.dissemination.EntryMember;
 import org.aspenmoor.internal.dissemination.Neighbours;
-import org.aspenmoor.internal.dissemination.RelayChoice;
+import org.aspenmoor.internal.dissemination.RelaySelector;
 import org.aspenmoor.internal.dissemination.SubsetAssignment;
-import org.aspenmoor.internal.dissemination.SubsetChoice;
+import org.aspenmoor.internal.dissemination.SubsetSelector;
 
 /** The planned fleet by name: who stands where, who is linked to whom, and who tells whom of documents. */
 final class FleetPlan {
@@ -34,10 +34,10 @@
         Map<String, List<String>> firstAgents = new HashMap<>();
         groups.values().forEach(group -> linkGroup(group, firstAgents));
         DisseminationTree tree =
-                new DisseminationTree(new RelayChoice(DisseminationTrial.RELAYS), DisseminationTrial.FORWARDERS);
+                new DisseminationTree(new RelaySelector(DisseminationTrial.RELAYS), DisseminationTrial.FORWARDERS);
         for (EntryMember entry : entries) {
             List<String> first = firstAgents.getOrDefault(entry.process(), List.of());
-            neighbours.put(entry.process(), tree.ofEntry(entry, entries, first));
+            neighbours.put(entry.process(), tree.neighboursOfEntry(entry, entries, first));
         }
     }
 
@@ -68,15 +68,15 @@
                 .filter(entry -> entry.dataCentre().equals(dataCentre))
                 .map(EntryMember::process)
                 .toList();
-        SubsetAssignment assignment = new SubsetChoice(
+        SubsetAssignment assignment = new SubsetSelector(
                         DisseminationTrial.ENTRIES_PER_AGENT, DisseminationTrial.AGENTS_PER_GROUP)
                 .choose(local, group);
         for (String entry : local) {
             agentsByEntry.computeIfAbsent(entry, name -> new ArrayList<>()).addAll(assignment.agentsOf(entry));
-            firstAgents.computeIfAbsent(entry, name -> new ArrayList<>()).addAll(assignment.firstAgentsOf(entry));
+            firstAgents.computeIfAbsent(entry, name -> new ArrayList<>()).addAll(assignment.primaryAgentsOf(entry));
         }
-        DisseminationTree tree = new DisseminationTree(new RelayChoice(DisseminationTrial.RELAYS), 0);
-        group.forEach(agent -> neighbours.put(agent, tree.ofAgent(assignment.entriesOf(agent))));
+        DisseminationTree tree = new DisseminationTree(new RelaySelector(DisseminationTrial.RELAYS), 0);
+        group.forEach(agent -> neighbours.put(agent, tree.neighboursOfAgent(assignment.entriesOf(agent))));
     }
 
     private static String dataCentre(int number) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/MessageSizes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/MessageSizes.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.internal.daemon.dissemination.DisseminationFrames;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DocumentKey;
-import org.aspenmoor.internal.dissemination.RevisionLine;
+import org.aspenmoor.internal.dissemination.RevisionSummary;
 import org.aspenmoor.internal.dissemination.RevisionTable;
 import org.aspenmoor.internal.wire.v1.Frame;
 import org.aspenmoor.internal.wire.v1.Probe;
@@ -35,13 +35,14 @@
                     "DocumentUpdate, engines declared: " + engines,
                     Samples.documentUpdate(engines).getSerializedSize());
         }
-        sizes.put("DocumentAsk", size(new DisseminationMessage.Ask(key(0), 17)));
+        sizes.put("DocumentAsk", size(new DisseminationMessage.FetchRequest(key(0), 17)));
         sizes.put("DocumentDigest, compare", size(new DisseminationMessage.Compare(ANY, ANY)));
         sizes.put(
                 "DocumentDigest, equal", size(new DisseminationMessage.Equal(ANY, Optional.of(Duration.ofSeconds(3)))));
         sizes.put("DocumentDigest, differs", size(new DisseminationMessage.Differs(ANY, bucketHashes())));
         sizes.put(
-                "DocumentDigest, lines of one bucket", size(new DisseminationMessage.BucketLines(List.of(7), lines())));
+                "DocumentDigest, lines of one bucket",
+                size(new DisseminationMessage.BucketRevisions(List.of(7), lines())));
         return sizes;
     }
 
@@ -72,10 +73,10 @@
         return hashes;
     }
 
-    private static List<RevisionLine> lines() {
-        List<RevisionLine> lines = new ArrayList<>();
+    private static List<RevisionSummary> lines() {
+        List<RevisionSummary> lines = new ArrayList<>();
         for (int number = 0; number < Aim.TEAMS / RevisionTable.BUCKETS; number++) {
-            lines.add(new RevisionLine(key(number), 17, ANY));
+            lines.add(new RevisionSummary(key(number), 17, ANY));
         }
         return lines;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/Samples.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/Samples.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.daemon.dissemination.DisseminationFrames;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DocumentKey;
-import org.aspenmoor.internal.dissemination.KnownDocument;
+import org.aspenmoor.internal.dissemination.DocumentRevision;
 import org.aspenmoor.internal.document.AdapterDeclaration;
 import org.aspenmoor.internal.document.BackendDeclaration;
 import org.aspenmoor.internal.document.DocumentWriter;
@@ -65,8 +65,8 @@
                 "team-" + number, "drafting", revision, models, kinds, 4.0, List.of(HASH, HASH), backends);
     }
 
-    static KnownDocument knownDocument(int number, long revision) {
-        return new KnownDocument(
+    static DocumentRevision knownDocument(int number, long revision) {
+        return new DocumentRevision(
                 new DocumentKey("team-" + number, "drafting"),
                 revision,
                 DocumentWriter.write(document(number, revision, ENGINES_PER_DOCUMENT)));
@@ -163,7 +163,7 @@
     }
 
     static Frame documentUpdate(int engines) {
-        KnownDocument document = new KnownDocument(
+        DocumentRevision document = new DocumentRevision(
                 new DocumentKey("team-1234", "drafting"), 17, DocumentWriter.write(document(1234, 17, engines)));
         return DisseminationFrames.toFrame(new DisseminationMessage.Update(document));
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
@@ -51,9 +51,9 @@
                 readEngines(reader),
                 reader.integer("entries", 1, MOST_COUNT, 1),
                 reader.object("parameters").map(this::readParameters).orElseGet(EngineParameters::usual));
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         if (fleet.kinds().isEmpty() || fleet.engines().isEmpty()) {
-            findings.add(reader.place(), "The fleet has no kinds or no engines.", "Add at least one of each.");
+            findings.add(reader.location(), "The fleet has no kinds or no engines.", "Add at least one of each.");
         }
         return fleet;
     }
@@ -73,7 +73,7 @@
                     declaration,
                     kind.integer("typicalPromptTokens", 1, MOST_COUNT, 500),
                     kind.integer("typicalOutputTokens", 1, MOST_COUNT, 200)));
-            kind.refuseUnknownFields();
+            kind.rejectUnknownFields();
         }
         return kinds;
     }
@@ -82,7 +82,7 @@
         List<FleetEngine> engines = new ArrayList<>();
         for (FieldReader engine : reader.objects("engines")) {
             engines.add(new FleetEngine(engine.requiredText("name"), engine.requiredText("dataCentre")));
-            engine.refuseUnknownFields();
+            engine.rejectUnknownFields();
         }
         return engines;
     }
@@ -106,7 +106,7 @@
                 reader.decimal("reportIntervalSeconds", 0.01, MOST, usual.reportIntervalSeconds()),
                 reader.decimal("reportLagSeconds", 0, MOST, usual.reportLagSeconds()),
                 reader.decimal("cacheEventLossShare", 0, 1, usual.cacheEventLossShare()));
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         return parameters;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
@@ -61,18 +61,18 @@
             } else {
                 readIncident(reader, incidents);
             }
-            reader.refuseUnknownFields();
+            reader.rejectUnknownFields();
         });
     }
 
     private TraceRequest readRequest(FieldReader reader) {
-        reader.require("promptTokens", "900");
-        reader.require("outputTokens", "80");
+        reader.requirePresent("promptTokens", "900");
+        reader.requirePresent("outputTokens", "80");
         String kind = reader.requiredText("kind");
         boolean known = fleet.kinds().stream()
                 .anyMatch(candidate -> candidate.declaration().name().equals(kind));
         if (!known) {
-            findings.add(reader.placeOf("kind"), "The fleet has no such kind.", "Use a kind of the fleet file.");
+            findings.add(reader.locationOf("kind"), "The fleet has no such kind.", "Use a kind of the fleet file.");
         }
         return new TraceRequest(
                 reader.decimal("arrivalSeconds", 0, MOST_SECONDS, 0),
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
@@ -49,7 +49,7 @@
                 reader.object("engines").map(CustomerReader::readEngines).orElseThrow(),
                 readKinds(reader),
                 readDays(reader));
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         return customer;
     }
 
@@ -71,7 +71,7 @@
                 reader.decimal("transferTokensPerSecond", 1, MOST, 1),
                 reader.decimal("roleChangeSeconds", 0, MOST, 0),
                 reader.texts("slownesses").stream().map(Double::valueOf).toList());
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         return figures;
     }
 
@@ -87,11 +87,11 @@
                     kind.decimal("worth", 0, MOST, 1),
                     kind.decimal("lateWorth", 0, MOST, 0),
                     kind.integer("priority", 0, MOST_COUNT, 0),
-                    kind.truth("resumable", false),
+                    kind.bool("resumable", false),
                     number(kind, "events"),
                     number(kind, "ownTokens"),
                     readShared(kind)));
-            kind.refuseUnknownFields();
+            kind.rejectUnknownFields();
         }
         return kinds;
     }
@@ -103,7 +103,7 @@
     private static DrawnNumber number(FieldReader reader, String name) {
         FieldReader field = reader.object(name).orElseThrow();
         DrawnNumber number = drawn(field);
-        field.refuseUnknownFields();
+        field.rejectUnknownFields();
         return number;
     }
 
@@ -118,7 +118,7 @@
         List<SharedPart> parts = new ArrayList<>();
         for (FieldReader part : kind.objects("shared")) {
             parts.add(new SharedPart(drawn(part), part.integer("identities", 1, MOST_COUNT, 1)));
-            part.refuseUnknownFields();
+            part.rejectUnknownFields();
         }
         return parts;
     }
@@ -137,7 +137,7 @@
                     day.decimal("load", 0, MOST, 1),
                     changes,
                     losses));
-            day.refuseUnknownFields();
+            day.rejectUnknownFields();
         }
         return days;
     }
@@ -148,7 +148,7 @@
                 change.decimal("fromSeconds", 0, MOST, 0),
                 change.decimal("seconds", 0, MOST, 0),
                 change.decimal("times", 0, MOST, 1));
-        change.refuseUnknownFields();
+        change.rejectUnknownFields();
         return read;
     }
 
@@ -161,7 +161,7 @@
         double each = swing.decimal("eachSeconds", 0.1, MOST, 1);
         double high = swing.decimal("high", 0, MOST, 1);
         double low = swing.decimal("low", 0, MOST, 1);
-        swing.refuseUnknownFields();
+        swing.rejectUnknownFields();
         List<LoadChange> changes = new ArrayList<>();
         boolean firstIsHigh = true;
         for (double start = from; start < until; start += each) {
@@ -178,7 +178,7 @@
                 loss.integer("engine", 0, MOST_COUNT, 0),
                 loss.decimal("fromSeconds", 0, MOST, 0),
                 loss.decimal("seconds", 0, MOST, MOST_SECONDS));
-        loss.refuseUnknownFields();
+        loss.rejectUnknownFields();
         return read;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryBookings.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/soak/EntryBookings.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.claim.ClaimCommitter;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimTicket;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.claim.RecordedAnswer;
 
 /** The calls of one entry that may run once: claimed, dispatched, recorded, in steps between which it may be killed. */
@@ -21,7 +21,7 @@
     private final SoakWorld world;
     private final EntryProcess entry;
     private final ClaimCommitter committer;
-    private final Deque<ClaimVerdict.Granted> granted = new ArrayDeque<>();
+    private final Deque<ClaimDecision.Granted> granted = new ArrayDeque<>();
     private final Map<RequestId, Waiting> waiting = new LinkedHashMap<>();
 
     EntryBookings(SoakWorld world, EntryProcess entry, ClaimCommitter committer) {
@@ -42,15 +42,15 @@
         if (!committer.hasDueWork()) {
             return;
         }
-        for (ClaimVerdict verdict : committer.commitBatch()) {
+        for (ClaimDecision verdict : committer.commitBatch()) {
             switch (verdict) {
-                case ClaimVerdict.Granted grant -> granted.add(grant);
-                case ClaimVerdict.AlreadyAnswered repeat ->
+                case ClaimDecision.Granted grant -> granted.add(grant);
+                case ClaimDecision.AlreadyAnswered repeat ->
                     world.ledger()
                             .toldRecorded(repeat.request(), repeat.answer().bodyDigest());
-                case ClaimVerdict.StillUnknown unknown -> world.ledger().toldStillUnknown();
-                case ClaimVerdict.KeyReused reused -> world.ledger().toldNotRun(reused.request());
-                case ClaimVerdict.NotClaimed refused -> world.ledger().toldNotRun(refused.request());
+                case ClaimDecision.OutcomeUnknown unknown -> world.ledger().toldStillUnknown();
+                case ClaimDecision.KeyReused reused -> world.ledger().toldNotRun(reused.request());
+                case ClaimDecision.NotClaimed refused -> world.ledger().toldNotRun(refused.request());
             }
         }
     }
@@ -60,10 +60,10 @@
         if (granted.isEmpty()) {
             return;
         }
-        ClaimVerdict.Granted grant = granted.remove();
+        ClaimDecision.Granted grant = granted.remove();
         Optional<SoakService> service = entry.members().anyServing();
         if (service.isEmpty()) {
-            committer.neverStarted(grant.ticket());
+            committer.recordNeverStarted(grant.ticket());
             world.ledger().toldNotRun(grant.request());
             return;
         }
@@ -91,7 +91,7 @@
             return;
         }
         world.ledger().toldAnswered(call.claim(), answerDigest);
-        committer.answered(found.ticket(), new RecordedAnswer(201, "text/plain", Optional.empty(), answerDigest));
+        committer.recordAnswer(found.ticket(), new RecordedAnswer(201, "text/plain", Optional.empty(), answerDigest));
     }
 
     void refused(BookingCall call) {
@@ -100,7 +100,7 @@
             return;
         }
         world.ledger().toldNotRun(call.claim());
-        committer.neverStarted(found.ticket());
+        committer.recordNeverStarted(found.ticket());
     }
 
     /** A dispatched call. */
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/TraceReaderTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/TraceReaderTest.java
@@ -42,7 +42,7 @@
                 expectThrows(FindingsException.class, () -> new TraceReader(BuiltInFleets.seitkali()).read(file));
 
         assertEquals(mistakes.findings().size(), 2);
-        assertTrue(mistakes.findings().getLast().place().toString().contains("line 2"));
+        assertTrue(mistakes.findings().getLast().location().toString().contains("line 2"));
     }
 
     @Test
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ErrorReport.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ErrorReport.java
@@ -62,7 +62,7 @@
     }
 
     private void printFindings(List<Finding> findings) {
-        findings.forEach(finding -> printFinding(finding.place().toString(), finding.problem(), finding.remedy()));
+        findings.forEach(finding -> printFinding(finding.location().toString(), finding.problem(), finding.remedy()));
     }
 
     private void printFinding(String place, String problem, String remedy) {
@@ -87,10 +87,10 @@
         ArrayNode array = JsonNodeFactory.instance.arrayNode();
         for (Finding finding : findings) {
             array.addObject()
-                    .put("source", finding.place().source())
-                    .put("line", finding.place().line())
-                    .put("column", finding.place().column())
-                    .put("path", finding.place().path())
+                    .put("source", finding.location().source())
+                    .put("line", finding.location().line())
+                    .put("column", finding.location().column())
+                    .put("path", finding.location().path())
                     .put("problem", finding.problem())
                     .put("remedy", finding.remedy());
         }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FleetFindings.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FleetFindings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.aspenmoor.internal.finding.Finding;
 import org.aspenmoor.internal.finding.FindingsException;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /**
  * Findings that an entry answered with.
@@ -17,7 +17,7 @@
     FindingsException asException() {
         List<Finding> findings = new ArrayList<>();
         for (JsonNode finding : answer.path("findings")) {
-            Place place = new Place(
+            SourceLocation place = new SourceLocation(
                     file,
                     finding.path("line").asInt(),
                     finding.path("column").asInt(),
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/RevisionDifference.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/RevisionDifference.java
@@ -26,7 +26,7 @@
         ArrayNode changes = JsonNodeFactory.instance.arrayNode();
         for (DocumentChange change :
                 DocumentDifference.between(document(from), document(to)).changes()) {
-            ObjectNode node = changes.addObject().put("change", change.sentence());
+            ObjectNode node = changes.addObject().put("change", change.description());
             change.engineEffect().ifPresent(effect -> node.put("engines", effect));
         }
         return changes;
--- a/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/SmallEntry.java
+++ b/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/SmallEntry.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.administration.TokenHash;
 import org.aspenmoor.internal.document.DocumentAcceptance;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.document.StoredDocuments;
+import org.aspenmoor.internal.document.StoredDocumentCodec;
 import org.aspenmoor.internal.store.InMemoryObjectStore;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.StoreException;
@@ -65,7 +65,7 @@
         @Override
         public void changed(StoredObject object) {
             try {
-                registry.offer(StoredDocuments.read(object).document());
+                registry.offer(StoredDocumentCodec.read(object).document());
             } catch (StoreMalformedException impossible) {
                 throw new AssertionError(impossible);
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/RequestId.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/RequestId.java
@@ -23,7 +23,7 @@
             long high = Long.parseUnsignedLong(text.substring(0, HEX_DIGITS_OF_HALF), HEX_RADIX);
             long low = Long.parseUnsignedLong(text.substring(HEX_DIGITS_OF_HALF), HEX_RADIX);
             return Optional.of(new RequestId(high, low));
-        } catch (NumberFormatException notHexadecimal) {
+        } catch (NumberFormatException invalid) {
             return Optional.empty();
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketCache.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketCache.java
@@ -8,35 +8,35 @@
 
 /** The objects that this process wrote last, so that an uncontended commit needs no read; bounded. */
 final class BucketCache {
-    private static final int MOST_OBJECTS = 64;
-    private static final int MOST_CHARACTERS_OF_OBJECT = 100_000;
+    private static final int MAX_OBJECTS = 64;
+    private static final int MAX_CHARACTERS_PER_OBJECT = 100_000;
     private static final float LOAD_FACTOR = 0.75f;
 
-    private final Map<ObjectKey, Known> objects = new LinkedHashMap<>(MOST_OBJECTS, LOAD_FACTOR, true) {
+    private final Map<ObjectKey, CachedBucket> objects = new LinkedHashMap<>(MAX_OBJECTS, LOAD_FACTOR, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<ObjectKey, Known> eldest) {
-            return size() > MOST_OBJECTS;
+        protected boolean removeEldestEntry(Map.Entry<ObjectKey, CachedBucket> eldest) {
+            return size() > MAX_OBJECTS;
         }
     };
 
-    Optional<Known> find(ObjectKey key) {
+    Optional<CachedBucket> find(ObjectKey key) {
         return Optional.ofNullable(objects.get(key));
     }
 
     void put(ObjectKey key, StoredObject stored, ClaimBucket bucket) {
-        if (stored.value().length() <= MOST_CHARACTERS_OF_OBJECT) {
-            objects.put(key, new Known(Optional.of(stored), bucket));
+        if (stored.value().length() <= MAX_CHARACTERS_PER_OBJECT) {
+            objects.put(key, new CachedBucket(Optional.of(stored), bucket));
         } else {
             objects.remove(key);
         }
     }
 
-    void forget(ObjectKey key) {
+    void invalidate(ObjectKey key) {
         objects.remove(key);
     }
 
     /** An object and what it holds; no object where there is none yet. */
-    record Known(Optional<StoredObject> stored, ClaimBucket bucket) {}
+    record CachedBucket(Optional<StoredObject> stored, ClaimBucket bucket) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketDraft.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketUpdate.java
@@ -7,33 +7,33 @@
 import java.util.Optional;
 
 /** The next content of one object, worked out from the content that was read and the work that waits. */
-final class BucketDraft {
+final class BucketUpdate {
     private final ClaimBucket bucket;
     private final ClaimSettings settings;
     private final Instant now;
-    private final List<ClaimVerdict> verdicts = new ArrayList<>();
+    private final List<ClaimDecision> decisions = new ArrayList<>();
     private boolean changed;
-    private boolean metEarlierClaim;
+    private boolean foundEarlierClaim;
 
-    BucketDraft(ClaimBucket read, ClaimSettings settings, Instant now) {
+    BucketUpdate(ClaimBucket read, ClaimSettings settings, Instant now) {
         this.bucket = read.copy();
         this.settings = settings;
         this.now = now;
-        bucket.dropClaimedBefore(now.minus(settings.life()));
+        bucket.removeClaimedBefore(now.minus(settings.retention()));
     }
 
     /** Applies the work: outcomes first, so that a key that never started is free for a claim of the same batch. */
     void apply(BucketWork work) {
-        work.outcomes().forEach(this::settle);
-        work.claims().forEach(this::claim);
+        work.outcomes().forEach(this::applyOutcome);
+        work.claims().forEach(this::applyClaim);
     }
 
     ClaimBucket bucket() {
         return bucket;
     }
 
-    List<ClaimVerdict> verdicts() {
-        return verdicts;
+    List<ClaimDecision> decisions() {
+        return decisions;
     }
 
     boolean changed() {
@@ -41,11 +41,11 @@
     }
 
     /** Says whether a verdict rests on a claim that was there before; it must then not be an old reading. */
-    boolean metEarlierClaim() {
-        return metEarlierClaim;
+    boolean foundEarlierClaim() {
+        return foundEarlierClaim;
     }
 
-    private void settle(PendingOutcome outcome) {
+    private void applyOutcome(PendingOutcome outcome) {
         String keyHash = outcome.ticket().key().hash();
         Optional<ClaimEntry> entry = bucket.find(keyHash)
                 .filter(found -> found.nonce().equals(outcome.ticket().nonce()));
@@ -60,41 +60,41 @@
         if (entry.get().answer().isPresent()) {
             return;
         }
-        RecordedAnswer answer = outcome.answer().get().bounded(settings.mostBodyCharacters());
-        bucket.put(entry.get().answeredBy(answer));
-        bucket.fitInto(settings.mostBucketCharacters());
+        RecordedAnswer answer = outcome.answer().get().withBodyUpTo(settings.maxBodyCharacters());
+        bucket.put(entry.get().withAnswer(answer));
+        bucket.trimTo(settings.maxBucketCharacters());
         changed = true;
     }
 
-    private void claim(PendingClaim claim) {
+    private void applyClaim(PendingClaim claim) {
         Optional<ClaimEntry> earlier = bucket.find(claim.keyHash());
         if (earlier.isPresent()) {
-            verdicts.add(judge(claim, earlier.get()));
+            decisions.add(decideOnEarlier(claim, earlier.get()));
             return;
         }
         bucket.put(new ClaimEntry(
                 claim.keyHash(), claim.request().bodyDigest(), claim.nonce(), now.getEpochSecond(), Optional.empty()));
-        if (!bucket.fitInto(settings.mostBucketCharacters())) {
+        if (!bucket.trimTo(settings.maxBucketCharacters())) {
             bucket.remove(claim.keyHash());
-            Duration comeBackAfter = settings.comeBackAfter();
-            verdicts.add(new ClaimVerdict.NotClaimed(claim.request(), comeBackAfter, "The team's claims are full."));
+            Duration retryAfter = settings.minRetryAfter();
+            decisions.add(new ClaimDecision.NotClaimed(claim.request(), retryAfter, "The team's claims are full."));
             return;
         }
         changed = true;
-        verdicts.add(new ClaimVerdict.Granted(claim.request(), claim.ticket()));
+        decisions.add(new ClaimDecision.Granted(claim.request(), claim.ticket()));
     }
 
-    private ClaimVerdict judge(PendingClaim claim, ClaimEntry earlier) {
+    private ClaimDecision decideOnEarlier(PendingClaim claim, ClaimEntry earlier) {
         if (earlier.nonce().equals(claim.nonce())) {
             // The write whose answer was lost did take effect.
-            return new ClaimVerdict.Granted(claim.request(), claim.ticket());
+            return new ClaimDecision.Granted(claim.request(), claim.ticket());
         }
-        metEarlierClaim = true;
+        foundEarlierClaim = true;
         if (!earlier.bodyDigest().equals(claim.request().bodyDigest())) {
-            return new ClaimVerdict.KeyReused(claim.request());
+            return new ClaimDecision.KeyReused(claim.request());
         }
         return earlier.answer()
-                .<ClaimVerdict>map(answer -> new ClaimVerdict.AlreadyAnswered(claim.request(), answer))
-                .orElseGet(() -> new ClaimVerdict.StillUnknown(claim.request()));
+                .<ClaimDecision>map(answer -> new ClaimDecision.AlreadyAnswered(claim.request(), answer))
+                .orElseGet(() -> new ClaimDecision.OutcomeUnknown(claim.request()));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketWork.java
@@ -7,10 +7,10 @@
 final class BucketWork {
     private final List<PendingClaim> claims = new ArrayList<>();
     private final List<PendingOutcome> outcomes = new ArrayList<>();
-    private final long sinceNanoseconds;
+    private final long queuedAtNanos;
 
-    BucketWork(long sinceNanoseconds) {
-        this.sinceNanoseconds = sinceNanoseconds;
+    BucketWork(long queuedAtNanos) {
+        this.queuedAtNanos = queuedAtNanos;
     }
 
     List<PendingClaim> claims() {
@@ -21,7 +21,7 @@
         return outcomes;
     }
 
-    long sinceNanoseconds() {
-        return sinceNanoseconds;
+    long queuedAtNanos() {
+        return queuedAtNanos;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimBucket.java
@@ -37,16 +37,16 @@
     }
 
     /** Drops claims whose life is over. */
-    void dropClaimedBefore(Instant oldest) {
+    void removeClaimedBefore(Instant oldest) {
         entries.values().removeIf(entry -> entry.claimedAtSeconds() < oldest.getEpochSecond());
     }
 
     /** Gives up recorded bodies, oldest first, until the bucket fits; says whether it does. */
-    boolean fitInto(int mostCharacters) {
+    boolean trimTo(int maxCharacters) {
         int size = entries.values().stream()
                 .mapToInt(ClaimEntry::estimatedCharacters)
                 .sum();
-        if (size <= mostCharacters) {
+        if (size <= maxCharacters) {
             return true;
         }
         List<ClaimEntry> withBodies = entries.values().stream()
@@ -54,12 +54,12 @@
                 .sorted(Comparator.comparingLong(ClaimEntry::claimedAtSeconds))
                 .toList();
         for (ClaimEntry entry : withBodies) {
-            if (size <= mostCharacters) {
+            if (size <= maxCharacters) {
                 break;
             }
             size -= entry.bodyCharacters();
             put(entry.withoutBody());
         }
-        return size <= mostCharacters;
+        return size <= maxCharacters;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
@@ -26,8 +26,8 @@
  * <p>Used by one thread only.
  */
 public final class ClaimCommitter {
-    private static final int MOST_ATTEMPTS = 6;
-    private static final int MOST_CLAIMS_OF_BATCH = 500;
+    private static final int MAX_ATTEMPTS = 6;
+    private static final int MAX_CLAIMS_PER_BATCH = 500;
 
     private final ObjectStore store;
     private final ClaimSettings settings;
@@ -48,7 +48,7 @@
 
     /** Queues a claim for the next batch; false where too many wait already, and the call is refused as not run. */
     public boolean submit(ClaimRequest request) {
-        if (waitingClaims >= settings.mostWaiting()) {
+        if (waitingClaims >= settings.maxWaiting()) {
             return false;
         }
         String nonce = String.format("%016x%016x", random.nextLong(), random.nextLong());
@@ -58,12 +58,12 @@
     }
 
     /** Reports what a granted call was answered. */
-    public void answered(ClaimTicket ticket, RecordedAnswer answer) {
+    public void recordAnswer(ClaimTicket ticket, RecordedAnswer answer) {
         queueOutcome(new PendingOutcome(ticket, Optional.of(answer)));
     }
 
     /** Reports that a granted call certainly never started; its key becomes free. */
-    public void neverStarted(ClaimTicket ticket) {
+    public void recordNeverStarted(ClaimTicket ticket) {
         queueOutcome(new PendingOutcome(ticket, Optional.empty()));
     }
 
@@ -78,81 +78,81 @@
     }
 
     /** Writes what waits for one object, and returns the verdicts on its claims. */
-    public List<ClaimVerdict> commitBatch() {
+    public List<ClaimDecision> commitBatch() {
         Optional<ObjectKey> due = nextDue();
         if (due.isEmpty()) {
             return List.of();
         }
         BucketWork work = takeWork(due.get());
-        boolean mayHaveLanded = false;
-        for (int attempt = 0; attempt < MOST_ATTEMPTS; attempt++) {
+        boolean mayHaveTakenEffect = false;
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             try {
                 return commit(due.get(), work);
-            } catch (StoreConflictException outrun) {
-                cache.forget(due.get());
-            } catch (StoreOutcomeUnknownException lost) {
-                mayHaveLanded = true;
-                cache.forget(due.get());
-            } catch (StoreException trouble) {
-                cache.forget(due.get());
-                return giveUp(work, mayHaveLanded, trouble.problem());
+            } catch (StoreConflictException conflict) {
+                cache.invalidate(due.get());
+            } catch (StoreOutcomeUnknownException outcomeUnknown) {
+                mayHaveTakenEffect = true;
+                cache.invalidate(due.get());
+            } catch (StoreException failure) {
+                cache.invalidate(due.get());
+                return rejectBatch(work, mayHaveTakenEffect, failure.problem());
             }
         }
-        return giveUp(work, mayHaveLanded, "Too many others write the same claims.");
+        return rejectBatch(work, mayHaveTakenEffect, "Too many others write the same claims.");
     }
 
-    private List<ClaimVerdict> commit(ObjectKey key, BucketWork work) throws StoreException {
-        Optional<BucketCache.Known> cached = cache.find(key);
-        BucketCache.Known known = cached.isPresent() ? cached.get() : read(key);
-        BucketDraft draft = draft(known, work);
-        if (draft.metEarlierClaim() && cached.isPresent()) {
+    private List<ClaimDecision> commit(ObjectKey key, BucketWork work) throws StoreException {
+        Optional<BucketCache.CachedBucket> cached = cache.find(key);
+        BucketCache.CachedBucket known = cached.isPresent() ? cached.get() : read(key);
+        BucketUpdate update = applyTo(known, work);
+        if (update.foundEarlierClaim() && cached.isPresent()) {
             // The outcome of an earlier claim may have been recorded elsewhere since.
             known = read(key);
-            draft = draft(known, work);
+            update = applyTo(known, work);
         }
-        if (draft.changed()) {
-            String value = ClaimCodec.write(draft.bucket());
+        if (update.changed()) {
+            String value = ClaimCodec.write(update.bucket());
             Optional<StoredObject> base = known.stored();
             StoredObject written = base.isEmpty() ? store.create(key, value) : store.update(base.get(), value);
-            cache.put(key, written, draft.bucket());
+            cache.put(key, written, update.bucket());
         }
-        return draft.verdicts();
+        return update.decisions();
     }
 
-    private BucketDraft draft(BucketCache.Known known, BucketWork work) {
-        BucketDraft draft = new BucketDraft(known.bucket(), settings, time.timeOfDay());
-        draft.apply(work);
-        return draft;
+    private BucketUpdate applyTo(BucketCache.CachedBucket known, BucketWork work) {
+        BucketUpdate update = new BucketUpdate(known.bucket(), settings, time.timeOfDay());
+        update.apply(work);
+        return update;
     }
 
-    private BucketCache.Known read(ObjectKey key) throws StoreException {
+    private BucketCache.CachedBucket read(ObjectKey key) throws StoreException {
         Optional<StoredObject> stored = store.read(key);
         if (stored.isEmpty()) {
-            return new BucketCache.Known(stored, new ClaimBucket(List.of()));
+            return new BucketCache.CachedBucket(stored, new ClaimBucket(List.of()));
         }
-        return new BucketCache.Known(stored, ClaimCodec.read(stored.get()));
+        return new BucketCache.CachedBucket(stored, ClaimCodec.read(stored.get()));
     }
 
-    private List<ClaimVerdict> giveUp(BucketWork work, boolean mayHaveLanded, String detail) {
+    private List<ClaimDecision> rejectBatch(BucketWork work, boolean mayHaveTakenEffect, String detail) {
         work.outcomes().forEach(this::queueOutcome);
-        List<ClaimVerdict> verdicts = new ArrayList<>();
+        List<ClaimDecision> decisions = new ArrayList<>();
         for (PendingClaim claim : work.claims()) {
-            if (mayHaveLanded) {
+            if (mayHaveTakenEffect) {
                 // Nothing was dispatched under it, so the key must not stay taken.
-                neverStarted(claim.ticket());
+                recordNeverStarted(claim.ticket());
             }
-            verdicts.add(new ClaimVerdict.NotClaimed(claim.request(), comeBackAfter(), detail));
+            decisions.add(new ClaimDecision.NotClaimed(claim.request(), randomRetryAfter(), detail));
         }
-        return verdicts;
+        return decisions;
     }
 
-    private Duration comeBackAfter() {
-        long shortest = settings.comeBackAfter().toMillis();
-        return Duration.ofMillis(shortest + random.nextLong(shortest + 1));
+    private Duration randomRetryAfter() {
+        long minMillis = settings.minRetryAfter().toMillis();
+        return Duration.ofMillis(minMillis + random.nextLong(minMillis + 1));
     }
 
     private void queueOutcome(PendingOutcome outcome) {
-        if (waitingOutcomes >= settings.mostWaiting()) {
+        if (waitingOutcomes >= settings.maxWaiting()) {
             droppedOutcomes++;
             return;
         }
@@ -177,20 +177,20 @@
         if (!work.claims().isEmpty()) {
             return true;
         }
-        long age = time.monotonicNanoseconds() - work.sinceNanoseconds();
+        long age = time.monotonicNanoseconds() - work.queuedAtNanos();
         return age >= settings.outcomeDelay().toNanos();
     }
 
     private BucketWork takeWork(ObjectKey key) {
         BucketWork work = waiting.remove(key);
-        BucketWork batch = new BucketWork(work.sinceNanoseconds());
-        int taken = Math.min(work.claims().size(), MOST_CLAIMS_OF_BATCH);
+        BucketWork batch = new BucketWork(work.queuedAtNanos());
+        int taken = Math.min(work.claims().size(), MAX_CLAIMS_PER_BATCH);
         batch.claims().addAll(work.claims().subList(0, taken));
         batch.outcomes().addAll(work.outcomes());
         waitingClaims -= taken;
         waitingOutcomes -= work.outcomes().size();
         if (taken < work.claims().size()) {
-            BucketWork rest = new BucketWork(work.sinceNanoseconds());
+            BucketWork rest = new BucketWork(work.queuedAtNanos());
             rest.claims().addAll(work.claims().subList(taken, work.claims().size()));
             waiting.put(key, rest);
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimVerdict.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimDecision.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** What the store says about a claim. */
-public sealed interface ClaimVerdict {
+public sealed interface ClaimDecision {
     /** Returns the call that asked. */
     ClaimRequest request();
 
@@ -13,7 +13,7 @@
      * @param request the call
      * @param ticket under which its outcome is reported
      */
-    record Granted(ClaimRequest request, ClaimTicket ticket) implements ClaimVerdict {}
+    record Granted(ClaimRequest request, ClaimTicket ticket) implements ClaimDecision {}
 
     /**
      * The call has run before.
@@ -21,21 +21,21 @@
      * @param request the call
      * @param answer what it was answered then
      */
-    record AlreadyAnswered(ClaimRequest request, RecordedAnswer answer) implements ClaimVerdict {}
+    record AlreadyAnswered(ClaimRequest request, RecordedAnswer answer) implements ClaimDecision {}
 
     /**
      * The key was claimed before and no outcome is known; the call may or may not have run.
      *
      * @param request the call
      */
-    record StillUnknown(ClaimRequest request) implements ClaimVerdict {}
+    record OutcomeUnknown(ClaimRequest request) implements ClaimDecision {}
 
     /**
      * The key was used before with another body; this call did not run.
      *
      * @param request the call
      */
-    record KeyReused(ClaimRequest request) implements ClaimVerdict {}
+    record KeyReused(ClaimRequest request) implements ClaimDecision {}
 
     /**
      * The claim could not be made; the call did not run.
@@ -44,5 +44,5 @@
      * @param comeBackAfter when to ask again
      * @param detail what stood in the way
      */
-    record NotClaimed(ClaimRequest request, Duration comeBackAfter, String detail) implements ClaimVerdict {}
+    record NotClaimed(ClaimRequest request, Duration retryAfter, String detail) implements ClaimDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimEntry.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimEntry.java
@@ -15,7 +15,7 @@
         String keyHash, String bodyDigest, String nonce, long claimedAtSeconds, Optional<RecordedAnswer> answer) {
     private static final int CHARACTERS_OF_FIELD_NAMES = 160;
 
-    ClaimEntry answeredBy(RecordedAnswer newAnswer) {
+    ClaimEntry withAnswer(RecordedAnswer newAnswer) {
         return new ClaimEntry(keyHash, bodyDigest, nonce, claimedAtSeconds, Optional.of(newAnswer));
     }
 
@@ -24,10 +24,10 @@
     }
 
     int estimatedCharacters() {
-        int ofAnswer = answer.map(known ->
+        int answerCharacters = answer.map(known ->
                         known.contentType().length() + known.bodyDigest().length() + bodyCharacters())
                 .orElse(0);
-        return CHARACTERS_OF_FIELD_NAMES + keyHash.length() + bodyDigest.length() + nonce.length() + ofAnswer;
+        return CHARACTERS_OF_FIELD_NAMES + keyHash.length() + bodyDigest.length() + nonce.length() + answerCharacters;
     }
 
     int bodyCharacters() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimKey.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimKey.java
@@ -24,8 +24,8 @@
     private static MessageDigest sha256() {
         try {
             return MessageDigest.getInstance("SHA-256");
-        } catch (NoSuchAlgorithmException everyPlatformHasIt) {
-            throw new IllegalStateException(everyPlatformHasIt);
+        } catch (NoSuchAlgorithmException impossible) {
+            throw new IllegalStateException(impossible);
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/RecordedAnswer.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/RecordedAnswer.java
@@ -17,9 +17,9 @@
     }
 
     /** Returns the answer, without its body if that is longer than allowed. */
-    RecordedAnswer bounded(int mostBodyCharacters) {
+    RecordedAnswer withBodyUpTo(int maxBodyCharacters) {
         boolean tooLong =
-                bodyBase64.map(body -> body.length() > mostBodyCharacters).orElse(false);
+                bodyBase64.map(body -> body.length() > maxBodyCharacters).orElse(false);
         return tooLong ? withoutBody() : this;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/Outgoing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/AddressedMessage.java
@@ -6,4 +6,4 @@
  * @param peer the process it is for
  * @param message the message
  */
-public record Outgoing(String peer, DisseminationMessage message) {}
+public record AddressedMessage(String peer, DisseminationMessage message) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/BoundedAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/BoundedAssignment.java
@@ -16,17 +16,17 @@
  * break the budget first; the cap turns the surplus to each subject's next choice.
  */
 final class BoundedAssignment {
-    private static final double SLACK = 1.25;
+    private static final double CAPACITY_FACTOR = 1.25;
 
     private final Map<String, List<String>> holdersBySubject = new LinkedHashMap<>();
     private final Map<String, List<String>> subjectsByHolder = new HashMap<>();
 
     BoundedAssignment(Collection<String> holders, Collection<String> subjects, int holdersPerSubject) {
         holders.forEach(holder -> subjectsByHolder.put(holder, new ArrayList<>()));
-        int wanted = Math.min(holdersPerSubject, holders.size());
-        int most = mostSubjectsPerHolder(holders.size(), subjects.size(), wanted);
-        for (String subject : inStableOrder(subjects)) {
-            assign(subject, Rendezvous.rank(subject, holders), wanted, most);
+        int holderCount = Math.min(holdersPerSubject, holders.size());
+        int maxSubjects = maxSubjectsPerHolder(holders.size(), subjects.size(), holderCount);
+        for (String subject : sortedByHash(subjects)) {
+            assign(subject, RendezvousHash.rank(subject, holders), holderCount, maxSubjects);
         }
     }
 
@@ -40,15 +40,15 @@
         return subjectsByHolder.getOrDefault(holder, List.of());
     }
 
-    private void assign(String subject, List<String> ranked, int wanted, int most) {
+    private void assign(String subject, List<String> ranked, int holderCount, int maxSubjects) {
         List<String> chosen = new ArrayList<>();
         for (String holder : ranked) {
-            if (chosen.size() < wanted && subjectsByHolder.get(holder).size() < most) {
+            if (chosen.size() < holderCount && subjectsByHolder.get(holder).size() < maxSubjects) {
                 chosen.add(holder);
             }
         }
         for (String holder : ranked) {
-            if (chosen.size() < wanted && !chosen.contains(holder)) {
+            if (chosen.size() < holderCount && !chosen.contains(holder)) {
                 chosen.add(holder);
             }
         }
@@ -56,11 +56,11 @@
         holdersBySubject.put(subject, chosen);
     }
 
-    private static int mostSubjectsPerHolder(int holders, int subjects, int wanted) {
-        return holders == 0 ? 0 : (int) Math.ceil(SLACK * subjects * wanted / holders);
+    private static int maxSubjectsPerHolder(int holders, int subjects, int holderCount) {
+        return holders == 0 ? 0 : (int) Math.ceil(CAPACITY_FACTOR * subjects * holderCount / holders);
     }
 
-    private static List<String> inStableOrder(Collection<String> subjects) {
+    private static List<String> sortedByHash(Collection<String> subjects) {
         return new TreeSet<>(subjects)
                 .stream()
                         .sorted(Comparator.comparingLong((String name) -> StableHash.of(name)))
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationMessage.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationMessage.java
@@ -11,7 +11,7 @@
      *
      * @param document the document
      */
-    record Update(KnownDocument document) implements DisseminationMessage {}
+    record Update(DocumentRevision document) implements DisseminationMessage {}
 
     /**
      * Asks for a document if the receiver has a newer revision.
@@ -19,7 +19,7 @@
      * @param key which document
      * @param revision the revision the sender has; 0 for none
      */
-    record Ask(DocumentKey key, long revision) implements DisseminationMessage {}
+    record FetchRequest(DocumentKey key, long revision) implements DisseminationMessage {}
 
     /**
      * Asks whether both tables are equal.
@@ -27,7 +27,7 @@
      * @param number repeated in the answer
      * @param rootHash the hash over the sender's table
      */
-    record Compare(long number, long rootHash) implements DisseminationMessage {}
+    record Compare(long comparisonId, long rootHash) implements DisseminationMessage {}
 
     /**
      * Answers that both tables were equal.
@@ -35,7 +35,7 @@
      * @param number that of the question
      * @param confirmedAge how long ago the sender's table was known to hold everything accepted; empty for never
      */
-    record Equal(long number, Optional<Duration> confirmedAge) implements DisseminationMessage {}
+    record Equal(long comparisonId, Optional<Duration> confirmedAge) implements DisseminationMessage {}
 
     /**
      * Answers that the tables differ.
@@ -43,7 +43,7 @@
      * @param number that of the question
      * @param bucketHashes the hash of each bucket of the sender's table
      */
-    record Differs(long number, List<Long> bucketHashes) implements DisseminationMessage {
+    record Differs(long comparisonId, List<Long> bucketHashes) implements DisseminationMessage {
         public Differs {
             bucketHashes = List.copyOf(bucketHashes);
         }
@@ -55,10 +55,10 @@
      * @param buckets the buckets
      * @param lines the sender's lines in them
      */
-    record BucketLines(List<Integer> buckets, List<RevisionLine> lines) implements DisseminationMessage {
-        public BucketLines {
+    record BucketRevisions(List<Integer> buckets, List<RevisionSummary> revisions) implements DisseminationMessage {
+        public BucketRevisions {
             buckets = List.copyOf(buckets);
-            lines = List.copyOf(lines);
+            revisions = List.copyOf(revisions);
         }
     }
 
@@ -67,9 +67,9 @@
      *
      * @param lines the sender's lines
      */
-    record NewerLines(List<RevisionLine> lines) implements DisseminationMessage {
-        public NewerLines {
-            lines = List.copyOf(lines);
+    record NewerRevisions(List<RevisionSummary> revisions) implements DisseminationMessage {
+        public NewerRevisions {
+            revisions = List.copyOf(revisions);
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationTree.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationTree.java
@@ -11,13 +11,13 @@
  * what the tree misses.
  */
 public final class DisseminationTree {
-    private static final int DISTANT_RELAYS = 2;
+    private static final int REMOTE_RELAYS = 2;
 
-    private final RelayChoice relayChoice;
+    private final RelaySelector relaySelector;
     private final int forwardersPerDataCentre;
 
-    public DisseminationTree(RelayChoice relayChoice, int forwardersPerDataCentre) {
-        this.relayChoice = relayChoice;
+    public DisseminationTree(RelaySelector relaySelector, int forwardersPerDataCentre) {
+        this.relaySelector = relaySelector;
         this.forwardersPerDataCentre = forwardersPerDataCentre;
     }
 
@@ -28,18 +28,18 @@
      * @param entries all live entries, itself included
      * @param firstAgents the agents that this entry is the first to tell
      */
-    public Neighbours ofEntry(EntryMember self, Collection<EntryMember> entries, List<String> firstAgents) {
-        List<String> ranked = relayChoice.rank(self.dataCentre(), entries);
-        List<String> relays = relayChoice.relays(self.dataCentre(), entries);
+    public Neighbours neighboursOfEntry(EntryMember self, Collection<EntryMember> entries, List<String> primaryAgents) {
+        List<String> ranked = relaySelector.rank(self.dataCentre(), entries);
+        List<String> relays = relaySelector.relays(self.dataCentre(), entries);
         List<String> others = ranked.subList(relays.size(), ranked.size());
         List<String> forwarders = others.subList(0, Math.min(forwardersPerDataCentre, others.size()));
         List<String> leaves = others.subList(forwarders.size(), others.size());
-        List<String> pushTargets = new ArrayList<>(firstAgents);
+        List<String> pushTargets = new ArrayList<>(primaryAgents);
         List<String> partners = new ArrayList<>(relays);
         partners.remove(self.process());
         if (relays.contains(self.process())) {
             pushTargets.addAll(childrenOf(self.process(), relays, forwarders));
-            partners.addAll(distantRelays(self, entries));
+            partners.addAll(remoteRelays(self, entries));
             return new Neighbours(true, pushTargets, partners);
         }
         if (forwarders.contains(self.process())) {
@@ -51,7 +51,7 @@
     }
 
     /** Works out the place of an agent: it is told by the first entry of its subset and asks any of them. */
-    public Neighbours ofAgent(List<String> entriesOfSubset) {
+    public Neighbours neighboursOfAgent(List<String> entriesOfSubset) {
         return new Neighbours(false, List.of(), entriesOfSubset);
     }
 
@@ -59,18 +59,18 @@
         return new BoundedAssignment(parents, children, 1).subjectsOf(parent);
     }
 
-    private List<String> distantRelays(EntryMember self, Collection<EntryMember> entries) {
+    private List<String> remoteRelays(EntryMember self, Collection<EntryMember> entries) {
         TreeSet<String> dataCentres = new TreeSet<>();
         entries.forEach(entry -> dataCentres.add(entry.dataCentre()));
         dataCentres.remove(self.dataCentre());
-        List<String> distant = new ArrayList<>();
-        for (String dataCentre : Rendezvous.rank(self.process(), dataCentres)) {
-            if (distant.size() == DISTANT_RELAYS) {
+        List<String> remote = new ArrayList<>();
+        for (String dataCentre : RendezvousHash.rank(self.process(), dataCentres)) {
+            if (remote.size() == REMOTE_RELAYS) {
                 break;
             }
-            List<String> relays = relayChoice.relays(dataCentre, entries);
-            distant.add(Rendezvous.rank(self.process(), relays).getFirst());
+            List<String> relays = relaySelector.relays(dataCentre, entries);
+            remote.add(RendezvousHash.rank(self.process(), relays).getFirst());
         }
-        return distant;
+        return remote;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
@@ -17,23 +17,23 @@
  * {@link RevisionTable}. Who sends it and how late it comes therefore cannot matter.
  */
 public final class DocumentExchange {
-    private static final double LEAST_PERIOD_FACTOR = 0.75;
-    private static final double PERIOD_SPREAD = 0.5;
+    private static final double MIN_PERIOD_FACTOR = 0.75;
+    private static final double PERIOD_JITTER = 0.5;
 
     private final ExchangeSettings settings;
     private final TimeSource time;
     private final RandomGenerator random;
     private final InForceListener listener;
     private final RevisionTable table = new RevisionTable();
-    private final StoreAgreement storeAgreement = new StoreAgreement();
-    private final AskWindow asks;
+    private final WatchCoverage watchCoverage = new WatchCoverage();
+    private final FetchWindow fetches;
 
     private Neighbours neighbours = new Neighbours(false, List.of(), List.of());
-    private Optional<Comparison> comparison = Optional.empty();
-    private Optional<Long> confirmedAt = Optional.empty();
-    private long nextComparisonAt;
-    private int nextPartner;
-    private boolean progressSinceComparison;
+    private Optional<PendingComparison> comparison = Optional.empty();
+    private Optional<Long> confirmedAtNanos = Optional.empty();
+    private long nextComparisonAtNanos;
+    private int partnerIndex;
+    private boolean changedSinceComparison;
 
     public DocumentExchange(
             ExchangeSettings settings, TimeSource time, RandomGenerator random, InForceListener listener) {
@@ -41,83 +41,83 @@
         this.time = time;
         this.random = random;
         this.listener = listener;
-        this.asks = new AskWindow(settings);
-        this.nextComparisonAt = time.monotonicNanoseconds();
-        this.nextPartner = random.nextInt(Short.MAX_VALUE);
+        this.fetches = new FetchWindow(settings);
+        this.nextComparisonAtNanos = time.monotonicNanoseconds();
+        this.partnerIndex = random.nextInt(Short.MAX_VALUE);
     }
 
     /** Takes over a new set of neighbours after a change of the live view. */
     public void neighboursChanged(Neighbours changed) {
         if (!changed.relay()) {
-            storeAgreement.end();
+            watchCoverage.stop();
         }
         neighbours = changed;
     }
 
     /** Notes that a listing followed by a watch is about to begin, at the start or after a gap. */
-    public void watchBegins() {
-        storeAgreement.begin(table.keys());
+    public void watchStarting() {
+        watchCoverage.start(table.keys());
     }
 
     /** Takes what the store told this relay. */
-    public List<Outgoing> learnedFromStore(KnownDocument document, Arrival arrival) {
+    public List<AddressedMessage> receivedFromStore(DocumentRevision document, StoreUpdateSource source) {
         boolean knownBefore = table.find(document.key()).isPresent();
-        boolean taken = take(document);
-        storeAgreement.learnedFromStore(document.key(), !isBehindTable(document));
+        boolean applied = apply(document);
+        watchCoverage.receivedFromStore(document.key(), !isOlderThanKnown(document));
         // A first listing would otherwise send thousands of documents down the tree to processes that have them.
-        boolean forward = taken && (arrival == Arrival.WATCH_EVENT || knownBefore);
+        boolean forward = applied && (source == StoreUpdateSource.WATCH_EVENT || knownBefore);
         return forward ? pushExcept(document, Optional.empty()) : List.of();
     }
 
     /** Notes that the watch has just shown that it missed nothing so far. */
-    public void storeConfirmed() {
-        if (storeAgreement.holds()) {
-            confirmedAt = Optional.of(time.monotonicNanoseconds());
+    public void watchConfirmed() {
+        if (watchCoverage.isComplete()) {
+            confirmedAtNanos = Optional.of(time.monotonicNanoseconds());
         }
     }
 
     /** Takes a message of a peer. */
-    public List<Outgoing> received(String peer, DisseminationMessage message) {
+    public List<AddressedMessage> received(String peer, DisseminationMessage message) {
         return switch (message) {
             case DisseminationMessage.Update update -> receivedUpdate(peer, update.document());
-            case DisseminationMessage.Ask ask -> receivedAsk(peer, ask);
+            case DisseminationMessage.FetchRequest fetchRequest -> receivedFetchRequest(peer, fetchRequest);
             case DisseminationMessage.Compare compare -> receivedCompare(peer, compare);
             case DisseminationMessage.Equal equal -> receivedEqual(equal);
             case DisseminationMessage.Differs differs -> receivedDiffers(peer, differs);
-            case DisseminationMessage.BucketLines bucketLines -> receivedBucketLines(peer, bucketLines);
-            case DisseminationMessage.NewerLines newerLines -> wantNewer(peer, newerLines.lines());
+            case DisseminationMessage.BucketRevisions bucketRevisions -> receivedBucketRevisions(peer, bucketRevisions);
+            case DisseminationMessage.NewerRevisions newerRevisions -> fetchNewer(peer, newerRevisions.revisions());
         };
     }
 
     /** Takes the word of a process on the data path that it knows a newer revision. */
-    public List<Outgoing> hinted(String peer, DocumentKey key, long revision) {
-        long known = table.find(key).map(KnownDocument::revision).orElse(0L);
+    public List<AddressedMessage> receivedHint(String peer, DocumentKey key, long revision) {
+        long known = table.find(key).map(DocumentRevision::revision).orElse(0L);
         if (revision > known) {
-            asks.want(key, peer);
+            fetches.enqueue(key, peer);
         }
-        return takeAsks();
+        return startFetches();
     }
 
     /** Does what is due by now; to be called a few times a second. */
-    public List<Outgoing> tick() {
+    public List<AddressedMessage> tick() {
         long now = time.monotonicNanoseconds();
-        asks.expire(now);
-        List<Outgoing> outgoing = new ArrayList<>(takeAsks());
+        fetches.expire(now);
+        List<AddressedMessage> outgoing = new ArrayList<>(startFetches());
         long answerTimeout = settings.answerTimeout().toNanos();
         boolean unanswered = comparison
-                .filter(asked -> now - asked.askedAt() >= answerTimeout)
+                .filter(pending -> now - pending.sentAtNanos() >= answerTimeout)
                 .isPresent();
         if (unanswered) {
             comparison = Optional.empty();
         }
-        if (unanswered || (comparison.isEmpty() && now - nextComparisonAt >= 0)) {
+        if (unanswered || (comparison.isEmpty() && now - nextComparisonAtNanos >= 0)) {
             nextPartner().ifPresent(peer -> outgoing.add(compareWith(peer)));
         }
         return outgoing;
     }
 
     /** Returns the newest known revision of a document. */
-    public Optional<KnownDocument> find(DocumentKey key) {
+    public Optional<DocumentRevision> find(DocumentKey key) {
         return table.find(key);
     }
 
@@ -128,71 +128,73 @@
 
     /** Returns how long ago this process was last known to hold every accepted document; empty for never. */
     public Optional<Duration> confirmedAge() {
-        return confirmedAt.map(moment -> Duration.ofNanos(time.monotonicNanoseconds() - moment));
+        return confirmedAtNanos.map(moment -> Duration.ofNanos(time.monotonicNanoseconds() - moment));
     }
 
     /** Returns how many documents wait to be fetched; bounded by the settings. */
-    public int documentsWanted() {
-        return asks.size();
+    public int pendingFetches() {
+        return fetches.size();
     }
 
-    private List<Outgoing> receivedUpdate(String peer, KnownDocument document) {
-        boolean asked = asks.answered(document.key());
-        boolean refill = asked && table.find(document.key()).isEmpty();
-        List<Outgoing> outgoing = new ArrayList<>();
-        if (take(document)) {
-            storeAgreement.learnedFromPeer(document.key());
-            progressSinceComparison = true;
-            if (!refill) {
+    private List<AddressedMessage> receivedUpdate(String peer, DocumentRevision document) {
+        boolean requested = fetches.complete(document.key());
+        boolean initialFetch = requested && table.find(document.key()).isEmpty();
+        List<AddressedMessage> outgoing = new ArrayList<>();
+        if (apply(document)) {
+            watchCoverage.receivedFromPeer(document.key());
+            changedSinceComparison = true;
+            if (!initialFetch) {
                 outgoing.addAll(pushExcept(document, Optional.of(peer)));
             }
-        } else if (isBehindTable(document)) {
+        } else if (isOlderThanKnown(document)) {
             table.find(document.key())
-                    .ifPresent(newer -> outgoing.add(new Outgoing(peer, new DisseminationMessage.Update(newer))));
+                    .ifPresent(
+                            newer -> outgoing.add(new AddressedMessage(peer, new DisseminationMessage.Update(newer))));
         }
-        outgoing.addAll(takeAsks());
-        if (asked && asks.isIdle() && progressSinceComparison && comparison.isEmpty()) {
+        outgoing.addAll(startFetches());
+        if (requested && fetches.isIdle() && changedSinceComparison && comparison.isEmpty()) {
             outgoing.add(compareWith(peer));
         }
         return outgoing;
     }
 
-    private List<Outgoing> receivedAsk(String peer, DisseminationMessage.Ask ask) {
-        return table.find(ask.key())
-                .filter(known -> known.revision() >= ask.revision())
-                .map(known -> List.of(new Outgoing(peer, new DisseminationMessage.Update(known))))
+    private List<AddressedMessage> receivedFetchRequest(String peer, DisseminationMessage.FetchRequest fetchRequest) {
+        return table.find(fetchRequest.key())
+                .filter(known -> known.revision() >= fetchRequest.revision())
+                .map(known -> List.of(new AddressedMessage(peer, new DisseminationMessage.Update(known))))
                 .orElse(List.of());
     }
 
-    private List<Outgoing> receivedCompare(String peer, DisseminationMessage.Compare compare) {
+    private List<AddressedMessage> receivedCompare(String peer, DisseminationMessage.Compare compare) {
         DisseminationMessage answer = compare.rootHash() == table.rootHash()
-                ? new DisseminationMessage.Equal(compare.number(), confirmedAge())
-                : new DisseminationMessage.Differs(compare.number(), table.bucketHashes());
-        return List.of(new Outgoing(peer, answer));
+                ? new DisseminationMessage.Equal(compare.comparisonId(), confirmedAge())
+                : new DisseminationMessage.Differs(compare.comparisonId(), table.bucketHashes());
+        return List.of(new AddressedMessage(peer, answer));
     }
 
-    private List<Outgoing> receivedEqual(DisseminationMessage.Equal equal) {
-        Optional<Comparison> asked = answeredComparison(equal.number());
-        if (asked.isPresent() && equal.confirmedAge().isPresent()) {
+    private List<AddressedMessage> receivedEqual(DisseminationMessage.Equal equal) {
+        Optional<PendingComparison> pending = takeAnsweredComparison(equal.comparisonId());
+        if (pending.isPresent() && equal.confirmedAge().isPresent()) {
             // The peer answered after the question left, so counting from then never makes the table look too fresh.
-            long moment = asked.get().askedAt() - equal.confirmedAge().get().toNanos();
-            confirmedAt = Optional.of(
-                    confirmedAt.map(known -> Math.max(known, moment)).orElse(moment));
+            long confirmedAt =
+                    pending.get().sentAtNanos() - equal.confirmedAge().get().toNanos();
+            confirmedAtNanos = Optional.of(
+                    confirmedAtNanos.map(known -> Math.max(known, confirmedAt)).orElse(confirmedAt));
         }
         return List.of();
     }
 
-    private List<Outgoing> receivedDiffers(String peer, DisseminationMessage.Differs differs) {
-        if (answeredComparison(differs.number()).isEmpty()
+    private List<AddressedMessage> receivedDiffers(String peer, DisseminationMessage.Differs differs) {
+        if (takeAnsweredComparison(differs.comparisonId()).isEmpty()
                 || differs.bucketHashes().size() != RevisionTable.BUCKETS) {
             return List.of();
         }
         List<Integer> buckets = someDifferingBuckets(differs.bucketHashes());
-        List<RevisionLine> lines = new ArrayList<>();
-        buckets.forEach(bucket -> lines.addAll(table.lines(bucket)));
+        List<RevisionSummary> summaries = new ArrayList<>();
+        buckets.forEach(bucket -> summaries.addAll(table.summaries(bucket)));
         return buckets.isEmpty()
                 ? List.of()
-                : List.of(new Outgoing(peer, new DisseminationMessage.BucketLines(buckets, lines)));
+                : List.of(new AddressedMessage(peer, new DisseminationMessage.BucketRevisions(buckets, summaries)));
     }
 
     private List<Integer> someDifferingBuckets(List<Long> peerHashes) {
@@ -201,49 +203,52 @@
         int start = random.nextInt(RevisionTable.BUCKETS);
         for (int step = 0; step < RevisionTable.BUCKETS; step++) {
             int bucket = (start + step) % RevisionTable.BUCKETS;
-            if (!hashes.get(bucket).equals(peerHashes.get(bucket)) && differing.size() < settings.mostBucketsAtOnce()) {
+            if (!hashes.get(bucket).equals(peerHashes.get(bucket))
+                    && differing.size() < settings.maxBucketsPerMessage()) {
                 differing.add(bucket);
             }
         }
         return differing;
     }
 
-    private List<Outgoing> receivedBucketLines(String peer, DisseminationMessage.BucketLines theirs) {
-        Set<DocumentKey> named = new TreeSet<>(DocumentKey.ORDER);
-        Set<DocumentKey> behind = new TreeSet<>(DocumentKey.ORDER);
-        for (RevisionLine line : theirs.lines()) {
-            named.add(line.key());
-            table.findLine(line.key()).filter(own -> own.isNewerThan(line)).ifPresent(own -> behind.add(line.key()));
+    private List<AddressedMessage> receivedBucketRevisions(String peer, DisseminationMessage.BucketRevisions message) {
+        Set<DocumentKey> peerKeys = new TreeSet<>(DocumentKey.ORDER);
+        Set<DocumentKey> outdatedAtPeer = new TreeSet<>(DocumentKey.ORDER);
+        for (RevisionSummary summary : message.revisions()) {
+            peerKeys.add(summary.key());
+            table.findSummary(summary.key())
+                    .filter(own -> own.isNewerThan(summary))
+                    .ifPresent(own -> outdatedAtPeer.add(summary.key()));
         }
-        List<RevisionLine> newer = theirs.buckets().stream()
+        List<RevisionSummary> newer = message.buckets().stream()
                 .filter(bucket -> bucket >= 0 && bucket < RevisionTable.BUCKETS)
-                .flatMap(bucket -> table.lines(bucket).stream())
-                .filter(own -> behind.contains(own.key()) || !named.contains(own.key()))
+                .flatMap(bucket -> table.summaries(bucket).stream())
+                .filter(own -> outdatedAtPeer.contains(own.key()) || !peerKeys.contains(own.key()))
                 .toList();
-        List<Outgoing> outgoing = new ArrayList<>(wantNewer(peer, theirs.lines()));
+        List<AddressedMessage> outgoing = new ArrayList<>(fetchNewer(peer, message.revisions()));
         if (!newer.isEmpty()) {
-            outgoing.add(new Outgoing(peer, new DisseminationMessage.NewerLines(newer)));
+            outgoing.add(new AddressedMessage(peer, new DisseminationMessage.NewerRevisions(newer)));
         }
         return outgoing;
     }
 
-    private List<Outgoing> wantNewer(String peer, Collection<RevisionLine> lines) {
-        lines.stream().filter(table::isOlderThan).forEach(line -> asks.want(line.key(), peer));
-        return takeAsks();
+    private List<AddressedMessage> fetchNewer(String peer, Collection<RevisionSummary> summaries) {
+        summaries.stream().filter(table::isOutdatedBy).forEach(summary -> fetches.enqueue(summary.key(), peer));
+        return startFetches();
     }
 
-    private List<Outgoing> takeAsks() {
-        return asks.take(time.monotonicNanoseconds()).stream()
-                .map(wanted -> new Outgoing(wanted.peer(), ask(wanted.key())))
+    private List<AddressedMessage> startFetches() {
+        return fetches.startFetches(time.monotonicNanoseconds()).stream()
+                .map(fetch -> new AddressedMessage(fetch.peer(), fetchRequest(fetch.key())))
                 .toList();
     }
 
-    private DisseminationMessage ask(DocumentKey key) {
-        return new DisseminationMessage.Ask(
-                key, table.find(key).map(KnownDocument::revision).orElse(0L));
+    private DisseminationMessage fetchRequest(DocumentKey key) {
+        return new DisseminationMessage.FetchRequest(
+                key, table.find(key).map(DocumentRevision::revision).orElse(0L));
     }
 
-    private boolean take(KnownDocument document) {
+    private boolean apply(DocumentRevision document) {
         if (!table.offer(document)) {
             return false;
         }
@@ -251,16 +256,16 @@
         return true;
     }
 
-    private boolean isBehindTable(KnownDocument document) {
-        return table.findLine(document.key())
-                .filter(known -> known.isNewerThan(document.line()))
+    private boolean isOlderThanKnown(DocumentRevision document) {
+        return table.findSummary(document.key())
+                .filter(known -> known.isNewerThan(document.summary()))
                 .isPresent();
     }
 
-    private List<Outgoing> pushExcept(KnownDocument document, Optional<String> sender) {
+    private List<AddressedMessage> pushExcept(DocumentRevision document, Optional<String> sender) {
         return neighbours.pushTargets().stream()
                 .filter(target -> !sender.equals(Optional.of(target)))
-                .map(target -> new Outgoing(target, new DisseminationMessage.Update(document)))
+                .map(target -> new AddressedMessage(target, new DisseminationMessage.Update(document)))
                 .toList();
     }
 
@@ -269,25 +274,25 @@
         if (partners.isEmpty()) {
             return Optional.empty();
         }
-        nextPartner = (nextPartner + 1) % partners.size();
-        return Optional.of(partners.get(nextPartner));
+        partnerIndex = (partnerIndex + 1) % partners.size();
+        return Optional.of(partners.get(partnerIndex));
     }
 
-    private Outgoing compareWith(String peer) {
+    private AddressedMessage compareWith(String peer) {
         long now = time.monotonicNanoseconds();
-        double factor = LEAST_PERIOD_FACTOR + PERIOD_SPREAD * random.nextDouble();
-        nextComparisonAt = now + (long) (settings.comparePeriod().toNanos() * factor);
-        progressSinceComparison = false;
-        Comparison asked = new Comparison(random.nextLong(), peer, now);
-        comparison = Optional.of(asked);
-        return new Outgoing(peer, new DisseminationMessage.Compare(asked.number(), table.rootHash()));
+        double factor = MIN_PERIOD_FACTOR + PERIOD_JITTER * random.nextDouble();
+        nextComparisonAtNanos = now + (long) (settings.comparePeriod().toNanos() * factor);
+        changedSinceComparison = false;
+        PendingComparison pending = new PendingComparison(random.nextLong(), peer, now);
+        comparison = Optional.of(pending);
+        return new AddressedMessage(peer, new DisseminationMessage.Compare(pending.id(), table.rootHash()));
     }
 
-    private Optional<Comparison> answeredComparison(long number) {
-        Optional<Comparison> asked = comparison.filter(pending -> pending.number() == number);
-        if (asked.isPresent()) {
+    private Optional<PendingComparison> takeAnsweredComparison(long comparisonId) {
+        Optional<PendingComparison> answered = comparison.filter(pending -> pending.id() == comparisonId);
+        if (answered.isPresent()) {
             comparison = Optional.empty();
         }
-        return asked;
+        return answered;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/KnownDocument.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentRevision.java
@@ -7,9 +7,9 @@
  * @param revision its revision, counted up by one with every accepted change
  * @param content the JSON text; empty where the document was withdrawn
  */
-public record KnownDocument(DocumentKey key, long revision, String content) {
+public record DocumentRevision(DocumentKey key, long revision, String content) {
     /** Returns the line that stands for this document in a digest. */
-    public RevisionLine line() {
-        return new RevisionLine(key, revision, StableHash.of(content));
+    public RevisionSummary summary() {
+        return new RevisionSummary(key, revision, StableHash.of(content));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/AskWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FetchWindow.java
@@ -12,38 +12,38 @@
  *
  * <p>What does not fit is dropped; the next comparison names it again.
  */
-final class AskWindow {
+final class FetchWindow {
     private final ExchangeSettings settings;
     private final Map<DocumentKey, String> waiting = new LinkedHashMap<>();
     private final Map<DocumentKey, Long> outstanding = new HashMap<>();
 
-    AskWindow(ExchangeSettings settings) {
+    FetchWindow(ExchangeSettings settings) {
         this.settings = settings;
     }
 
     /** Notes that a peer has a newer revision of a document. */
-    void want(DocumentKey key, String peer) {
-        if (outstanding.containsKey(key) || waiting.size() >= settings.mostWanted()) {
+    void enqueue(DocumentKey key, String peer) {
+        if (outstanding.containsKey(key) || waiting.size() >= settings.maxWaitingFetches()) {
             return;
         }
         waiting.putIfAbsent(key, peer);
     }
 
     /** Takes as many asks as may be sent now. */
-    List<Wanted> take(long now) {
-        List<Wanted> taken = new ArrayList<>();
+    List<PendingFetch> startFetches(long now) {
+        List<PendingFetch> started = new ArrayList<>();
         Iterator<Map.Entry<DocumentKey, String>> iterator = waiting.entrySet().iterator();
-        while (iterator.hasNext() && outstanding.size() < settings.mostOutstandingAsks()) {
+        while (iterator.hasNext() && outstanding.size() < settings.maxOutstandingFetches()) {
             Map.Entry<DocumentKey, String> next = iterator.next();
             iterator.remove();
             outstanding.put(next.getKey(), now);
-            taken.add(new Wanted(next.getKey(), next.getValue()));
+            started.add(new PendingFetch(next.getKey(), next.getValue()));
         }
-        return taken;
+        return started;
     }
 
     /** Notes that a document arrived; says whether it had been asked for. */
-    boolean answered(DocumentKey key) {
+    boolean complete(DocumentKey key) {
         waiting.remove(key);
         return outstanding.remove(key) != null;
     }
@@ -51,7 +51,7 @@
     /** Gives up asks that were not answered in time. */
     void expire(long now) {
         long timeout = settings.answerTimeout().toNanos();
-        outstanding.values().removeIf(askedAt -> now - askedAt >= timeout);
+        outstanding.values().removeIf(startedAt -> now - startedAt >= timeout);
     }
 
     boolean isIdle() {
@@ -68,5 +68,5 @@
      * @param key which document
      * @param peer who has it
      */
-    record Wanted(DocumentKey key, String peer) {}
+    record PendingFetch(DocumentKey key, String peer) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/CurrencyDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessDecision.java
@@ -4,19 +4,19 @@
 import org.aspenmoor.RefusalReason;
 
 /** What to do with a request, given how sure the process is of its document. */
-public sealed interface CurrencyDecision {
+public sealed interface FreshnessDecision {
     /** The document is current within the bound: serve. */
-    record Serve() implements CurrencyDecision {}
+    record Serve() implements FreshnessDecision {}
 
     /**
      * Serve by the newest known document, and say in metrics and dumps that it may be old.
      *
      * @param unconfirmedFor for how long nothing has confirmed it
      */
-    record ServeUncertain(Duration unconfirmedFor) implements CurrencyDecision {}
+    record ServeUnconfirmed(Duration unconfirmedFor) implements FreshnessDecision {}
 
     /** Read the document from the store first; where the store does not answer, refuse as not run. */
-    record ReadFirst() implements CurrencyDecision {}
+    record ReadStoreFirst() implements FreshnessDecision {}
 
     /**
      * Refuse as not run.
@@ -24,5 +24,5 @@
      * @param reason what to tell the caller
      * @param comeBackAfter how long the caller should wait
      */
-    record Refuse(RefusalReason reason, Duration comeBackAfter) implements CurrencyDecision {}
+    record Refuse(RefusalReason reason, Duration retryAfter) implements FreshnessDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/CurrencyRule.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessPolicy.java
@@ -12,15 +12,15 @@
  * non-idempotent request needs the store for its claim in any case, so reading the document there first costs it one read
  * and loses nothing that would have been served.
  */
-public final class CurrencyRule {
+public final class FreshnessPolicy {
     private static final Duration NEVER = Duration.ofSeconds(Long.MAX_VALUE);
 
-    private final Duration longestUnconfirmed;
-    private final Duration comeBackAfter;
+    private final Duration maxUnconfirmedAge;
+    private final Duration retryAfter;
 
-    public CurrencyRule(Duration longestUnconfirmed, Duration comeBackAfter) {
-        this.longestUnconfirmed = longestUnconfirmed;
-        this.comeBackAfter = comeBackAfter;
+    public FreshnessPolicy(Duration maxUnconfirmedAge, Duration retryAfter) {
+        this.maxUnconfirmedAge = maxUnconfirmedAge;
+        this.retryAfter = retryAfter;
     }
 
     /**
@@ -31,29 +31,30 @@
      * @param idempotent whether the request may run more than once
      * @param teamForbidsUncertain whether the team would rather be refused than served by an old document
      */
-    public CurrencyDecision decide(
-            Optional<Duration> confirmedAge, boolean documentKnown, boolean idempotent, boolean teamForbidsUncertain) {
+    public FreshnessDecision decide(
+            Optional<Duration> confirmedAge,
+            boolean documentKnown,
+            boolean idempotent,
+            boolean teamForbidsUnconfirmed) {
         boolean current = isCurrent(confirmedAge);
         if (!documentKnown) {
             RefusalReason reason = current ? RefusalReason.NO_SUCH_SERVICE : RefusalReason.DOCUMENT_UNCERTAIN;
-            return new CurrencyDecision.Refuse(reason, comeBackAfter);
+            return new FreshnessDecision.Refuse(reason, retryAfter);
         }
         if (current) {
-            return new CurrencyDecision.Serve();
+            return new FreshnessDecision.Serve();
         }
-        if (teamForbidsUncertain) {
-            return new CurrencyDecision.Refuse(RefusalReason.DOCUMENT_UNCERTAIN, comeBackAfter);
+        if (teamForbidsUnconfirmed) {
+            return new FreshnessDecision.Refuse(RefusalReason.DOCUMENT_UNCERTAIN, retryAfter);
         }
         if (!idempotent) {
-            return new CurrencyDecision.ReadFirst();
+            return new FreshnessDecision.ReadStoreFirst();
         }
-        return new CurrencyDecision.ServeUncertain(confirmedAge.orElse(NEVER));
+        return new FreshnessDecision.ServeUnconfirmed(confirmedAge.orElse(NEVER));
     }
 
     /** Says whether a table confirmed this long ago counts as current. */
     public boolean isCurrent(Optional<Duration> confirmedAge) {
-        return confirmedAge
-                .filter(age -> age.compareTo(longestUnconfirmed) <= 0)
-                .isPresent();
+        return confirmedAge.filter(age -> age.compareTo(maxUnconfirmedAge) <= 0).isPresent();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/InForceListener.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/InForceListener.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface InForceListener {
     /** The document is the newest known one from now on. */
-    void inForce(KnownDocument document);
+    void inForce(DocumentRevision document);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RelayChoice.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RelaySelector.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /** Chooses the entries of a data centre that keep a watch on the store; no message is needed to agree on them. */
-public final class RelayChoice {
+public final class RelaySelector {
     private static final String SUBJECT = "document relay ";
 
     private final int relaysPerDataCentre;
 
-    public RelayChoice(int relaysPerDataCentre) {
+    public RelaySelector(int relaysPerDataCentre) {
         this.relaysPerDataCentre = relaysPerDataCentre;
     }
 
@@ -25,6 +25,6 @@
                 .filter(entry -> entry.dataCentre().equals(dataCentre))
                 .map(EntryMember::process)
                 .toList();
-        return Rendezvous.rank(SUBJECT + dataCentre, local);
+        return RendezvousHash.rank(SUBJECT + dataCentre, local);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/Rendezvous.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RendezvousHash.java
@@ -5,17 +5,17 @@
 import java.util.List;
 
 /** Ranks names for a subject alike in every process; a name that leaves moves nothing but its own place. */
-final class Rendezvous {
-    private Rendezvous() {}
+final class RendezvousHash {
+    private RendezvousHash() {}
 
     /** Returns the names, the best for the subject first. */
     static List<String> rank(String subject, Collection<String> names) {
         return names.stream()
-                .map(name -> new Ranked(name, StableHash.of(subject, name)))
-                .sorted(Comparator.comparingLong(Ranked::score).reversed().thenComparing(Ranked::name))
-                .map(Ranked::name)
+                .map(name -> new ScoredName(name, StableHash.of(subject, name)))
+                .sorted(Comparator.comparingLong(ScoredName::score).reversed().thenComparing(ScoredName::name))
+                .map(ScoredName::name)
                 .toList();
     }
 
-    private record Ranked(String name, long score) {}
+    private record ScoredName(String name, long score) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionLine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionSummary.java
@@ -7,7 +7,7 @@
  * @param revision the revision that the sender has
  * @param contentHash a hash of that revision's content
  */
-public record RevisionLine(DocumentKey key, long revision, long contentHash) {
+public record RevisionSummary(DocumentKey key, long revision, long contentHash) {
     /**
      * Says whether this line replaces the other.
      *
@@ -15,7 +15,7 @@
      * between them two processes would keep serving differently and no digest would ever settle it, so the content hash
      * decides, alike everywhere.
      */
-    public boolean isNewerThan(RevisionLine other) {
+    public boolean isNewerThan(RevisionSummary other) {
         if (revision != other.revision) {
             return revision > other.revision;
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionTable.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionTable.java
@@ -13,61 +13,61 @@
     /** How many buckets a table's digest has. */
     public static final int BUCKETS = 64;
 
-    private final Map<DocumentKey, Entry> entries = new HashMap<>();
-    private final List<Map<DocumentKey, RevisionLine>> linesByBucket = new ArrayList<>();
+    private final Map<DocumentKey, KnownRevision> revisions = new HashMap<>();
+    private final List<Map<DocumentKey, RevisionSummary>> summariesByBucket = new ArrayList<>();
     private final long[] bucketHashes = new long[BUCKETS];
     private long rootHash;
-    private long conflictingContents;
+    private long contentConflicts;
 
     public RevisionTable() {
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
-            linesByBucket.add(new HashMap<>());
+            summariesByBucket.add(new HashMap<>());
         }
     }
 
     /** Takes the document if it is newer than the known one; says whether it was taken. */
-    public boolean offer(KnownDocument document) {
-        RevisionLine line = document.line();
-        Entry known = entries.get(document.key());
-        if (known != null && known.line.revision() == line.revision() && !known.line.equals(line)) {
-            conflictingContents++;
+    public boolean offer(DocumentRevision document) {
+        RevisionSummary summary = document.summary();
+        KnownRevision known = revisions.get(document.key());
+        if (known != null && known.summary.revision() == summary.revision() && !known.summary.equals(summary)) {
+            contentConflicts++;
         }
-        if (known != null && !line.isNewerThan(known.line)) {
+        if (known != null && !summary.isNewerThan(known.summary)) {
             return false;
         }
         if (known != null) {
-            toggle(known.line);
+            toggleInHashes(known.summary);
         }
-        toggle(line);
-        entries.put(document.key(), new Entry(document, line));
-        linesByBucket.get(bucketOf(document.key())).put(document.key(), line);
+        toggleInHashes(summary);
+        revisions.put(document.key(), new KnownRevision(document, summary));
+        summariesByBucket.get(bucketOf(document.key())).put(document.key(), summary);
         return true;
     }
 
     /** Returns the known revision of a document. */
-    public Optional<KnownDocument> find(DocumentKey key) {
-        return Optional.ofNullable(entries.get(key)).map(Entry::document);
+    public Optional<DocumentRevision> find(DocumentKey key) {
+        return Optional.ofNullable(revisions.get(key)).map(KnownRevision::document);
     }
 
     /** Returns the line of the known revision of a document. */
-    public Optional<RevisionLine> findLine(DocumentKey key) {
-        return Optional.ofNullable(entries.get(key)).map(Entry::line);
+    public Optional<RevisionSummary> findSummary(DocumentKey key) {
+        return Optional.ofNullable(revisions.get(key)).map(KnownRevision::summary);
     }
 
     /** Returns the documents of which a revision is known. */
     public Set<DocumentKey> keys() {
-        return Set.copyOf(entries.keySet());
+        return Set.copyOf(revisions.keySet());
     }
 
     /** Says whether the line names something newer than what is known. */
-    public boolean isOlderThan(RevisionLine line) {
-        Entry known = entries.get(line.key());
-        return known == null || line.isNewerThan(known.line);
+    public boolean isOutdatedBy(RevisionSummary summary) {
+        KnownRevision known = revisions.get(summary.key());
+        return known == null || summary.isNewerThan(known.summary);
     }
 
     /** Returns how many documents are known. */
     public int size() {
-        return entries.size();
+        return revisions.size();
     }
 
     /** Returns the hash over all lines; equal hashes mean equal tables. */
@@ -85,13 +85,13 @@
     }
 
     /** Returns the lines of one bucket. */
-    public Collection<RevisionLine> lines(int bucket) {
-        return List.copyOf(linesByBucket.get(bucket).values());
+    public Collection<RevisionSummary> summaries(int bucket) {
+        return List.copyOf(summariesByBucket.get(bucket).values());
     }
 
     /** Counts how often two contents were met under one revision; anything but 0 means the store lost a write. */
-    public long conflictingContents() {
-        return conflictingContents;
+    public long contentConflicts() {
+        return contentConflicts;
     }
 
     /** Returns the bucket a document falls into. */
@@ -99,11 +99,11 @@
         return (int) Long.remainderUnsigned(key.stableHash(), BUCKETS);
     }
 
-    private void toggle(RevisionLine line) {
-        long hash = line.digestHash();
-        bucketHashes[bucketOf(line.key())] ^= hash;
+    private void toggleInHashes(RevisionSummary summary) {
+        long hash = summary.digestHash();
+        bucketHashes[bucketOf(summary.key())] ^= hash;
         rootHash ^= hash;
     }
 
-    private record Entry(KnownDocument document, RevisionLine line) {}
+    private record KnownRevision(DocumentRevision document, RevisionSummary summary) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetAssignment.java
@@ -25,7 +25,7 @@
     }
 
     /** Returns the agents that an entry is the first to tell of new documents. */
-    public List<String> firstAgentsOf(String entry) {
+    public List<String> primaryAgentsOf(String entry) {
         return agentsOf(entry).stream()
                 .filter(agent -> entriesOf(agent).getFirst().equals(entry))
                 .collect(Collectors.toList());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetChoice.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetSelector.java
@@ -12,13 +12,13 @@
  * <p>It is asked once for each group of interchangeable engines, such as those that run one model: an entry needs
  * candidates in every group, not many links in all.
  */
-public final class SubsetChoice {
-    private final int leastEntriesPerAgent;
-    private final int leastAgentsPerEntry;
+public final class SubsetSelector {
+    private final int minEntriesPerAgent;
+    private final int minAgentsPerEntry;
 
-    public SubsetChoice(int leastEntriesPerAgent, int leastAgentsPerEntry) {
-        this.leastEntriesPerAgent = leastEntriesPerAgent;
-        this.leastAgentsPerEntry = leastAgentsPerEntry;
+    public SubsetSelector(int minEntriesPerAgent, int minAgentsPerEntry) {
+        this.minEntriesPerAgent = minEntriesPerAgent;
+        this.minAgentsPerEntry = minAgentsPerEntry;
     }
 
     /** Chooses for one group of agents. */
@@ -39,17 +39,17 @@
         if (agents.isEmpty()) {
             return 0;
         }
-        int forCandidates = Math.ceilDiv(entries.size() * leastAgentsPerEntry, agents.size());
-        return Math.min(entries.size(), Math.max(leastEntriesPerAgent, forCandidates));
+        int neededPerAgent = Math.ceilDiv(entries.size() * minAgentsPerEntry, agents.size());
+        return Math.min(entries.size(), Math.max(minEntriesPerAgent, neededPerAgent));
     }
 
     private void addMissing(
             String entry, List<String> chosen, List<String> agents, Map<String, List<String>> entriesByAgent) {
-        if (chosen.size() >= leastAgentsPerEntry) {
+        if (chosen.size() >= minAgentsPerEntry) {
             return;
         }
-        for (String agent : Rendezvous.rank(entry, agents)) {
-            if (chosen.size() < leastAgentsPerEntry && !chosen.contains(agent)) {
+        for (String agent : RendezvousHash.rank(entry, agents)) {
+            if (chosen.size() < minAgentsPerEntry && !chosen.contains(agent)) {
                 chosen.add(agent);
                 entriesByAgent.get(agent).add(entry);
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/StoreAgreement.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/WatchCoverage.java
@@ -10,37 +10,37 @@
  * <p>A watch served by an old replica of the store looks alive and says nothing new, so the relay would vouch for a table
  * that is behind. What its neighbours know and its watch never showed gives the replica away.
  */
-final class StoreAgreement {
+final class WatchCoverage {
     private final Set<DocumentKey> unseen = new HashSet<>();
     private boolean watching;
 
     /** A watch is about to begin; nothing that is known has been seen in it yet. */
-    void begin(Collection<DocumentKey> known) {
+    void start(Collection<DocumentKey> known) {
         watching = true;
         unseen.clear();
         unseen.addAll(known);
     }
 
     /** This process watches the store no longer. */
-    void end() {
+    void stop() {
         watching = false;
         unseen.clear();
     }
 
-    void learnedFromPeer(DocumentKey key) {
+    void receivedFromPeer(DocumentKey key) {
         if (watching) {
             unseen.add(key);
         }
     }
 
-    void learnedFromStore(DocumentKey key, boolean newestKnown) {
+    void receivedFromStore(DocumentKey key, boolean newestKnown) {
         if (newestKnown) {
             unseen.remove(key);
         }
     }
 
     /** Says whether the watch has shown everything that is known. */
-    boolean holds() {
+    boolean isComplete() {
         return watching && unseen.isEmpty();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/BackendCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/BackendCheck.java
@@ -7,32 +7,33 @@
     @Override
     public void check(LocatedDocument located, Findings findings) {
         ServiceDocument document = located.document();
-        PlaceIndex places = located.places();
+        LocationIndex locations = located.locations();
         boolean hasModels = !document.models().isEmpty();
         boolean hasEngines =
                 document.backends().stream().anyMatch(BackendDeclaration.EngineDeclaration.class::isInstance);
         boolean hasPlainServices =
                 document.backends().stream().anyMatch(BackendDeclaration.PlainServiceDeclaration.class::isInstance);
         if (hasModels && !hasEngines) {
-            findings.add(places.placeOf("engines"), "The service has models and no engine.", "Declare an engine.");
+            findings.add(
+                    locations.locationOf("engines"), "The service has models and no engine.", "Declare an engine.");
         }
         if (hasEngines && !hasModels) {
-            findings.add(places.placeOf("models"), "The service has engines and no model.", "Declare a model.");
+            findings.add(locations.locationOf("models"), "The service has engines and no model.", "Declare a model.");
         }
         if (!hasEngines && !hasPlainServices && !hasModels) {
             findings.add(
-                    places.placeOf(""),
+                    locations.locationOf(""),
                     "The service has no backend server.",
                     "Declare engines with models, or plain services.");
         }
         for (int index = 0; index < document.kinds().size(); index++) {
             RequestKind kind = document.kinds().get(index);
             String path = "kinds[" + index + "].match";
-            switch (KindFlavour.of(kind, document)) {
+            switch (RequestCategory.of(kind, document)) {
                 case GENERATION -> {
                     if (!hasModels) {
                         findings.add(
-                                places.placeOf(path),
+                                locations.locationOf(path),
                                 "The kind \"" + kind.name() + "\" takes generations, and no model is declared.",
                                 "Declare a model and engines.");
                     }
@@ -40,7 +41,7 @@
                 case PLAIN_CALL -> {
                     if (!hasPlainServices) {
                         findings.add(
-                                places.placeOf(path),
+                                locations.locationOf(path),
                                 "The kind \"" + kind.name() + "\" takes plain calls, and no plain service is declared.",
                                 "Declare a plain service, or give the kind a model and longestOutputTokens.");
                     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/CallerTokenCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/CallerTokenCheck.java
@@ -13,14 +13,14 @@
         List<String> hashes = located.document().callerTokenHashes();
         if (hashes.isEmpty()) {
             findings.add(
-                    located.places().placeOf("callerTokenHashes"),
+                    located.locations().locationOf("callerTokenHashes"),
                     "Nobody may call the service.",
                     "List the SHA-256 hash of at least one caller's token.");
         }
         for (int index = 0; index < hashes.size(); index++) {
             if (!SHA_256.matcher(hashes.get(index)).matches()) {
                 findings.add(
-                        located.places().placeOf("callerTokenHashes[" + index + "]"),
+                        located.locations().locationOf("callerTokenHashes[" + index + "]"),
                         "The text is not a SHA-256 hash.",
                         "Write the 64 small hexadecimal digits of the token's SHA-256 hash, never the token itself.");
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DeclaredBackend.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DeclaredBackend.java
@@ -11,7 +11,7 @@
  */
 record DeclaredBackend(String path, BackendDeclaration declaration) {
     /** Returns the backend servers of a document, each with its path. */
-    static List<DeclaredBackend> all(ServiceDocument document) {
+    static List<DeclaredBackend> allOf(ServiceDocument document) {
         List<DeclaredBackend> declared = new ArrayList<>();
         int engines = 0;
         int plainServices = 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentAcceptance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentAcceptance.java
@@ -28,7 +28,7 @@
  * overwrite it while its writer may only be paused.
  */
 public final class DocumentAcceptance {
-    private static final int MOST_TRIES = 4;
+    private static final int MAX_ATTEMPTS = 4;
 
     private final ObjectStore store;
     private final DocumentHistory history;
@@ -46,8 +46,8 @@
 
     /** Reads the document as the store holds it; empty where the service has none. */
     public Optional<StoredDocument> read(ServiceName name) throws StoreException {
-        Optional<StoredObject> object = store.read(StoredDocuments.documentKey(name));
-        return object.isEmpty() ? Optional.empty() : Optional.of(StoredDocuments.read(object.get()));
+        Optional<StoredObject> object = store.read(StoredDocumentCodec.documentKey(name));
+        return object.isEmpty() ? Optional.empty() : Optional.of(StoredDocumentCodec.read(object.get()));
     }
 
     /** Returns the latest revisions, newest first. */
@@ -132,34 +132,34 @@
         }
         ServiceDocument next = document.withRevision(readRevision + 1);
         String nonce = RequestId.draw(random).toString();
-        Acceptance acceptance = new Acceptance(operator, timeSource.timeOfDay(), nonce, difference.sentences());
+        Acceptance acceptance = new Acceptance(operator, timeSource.timeOfDay(), nonce, difference.descriptions());
         StoredDocument written = write(current, next, acceptance);
-        return new AcceptedDocument(written, difference, recordQuietly(written));
+        return new AcceptedDocument(written, difference, tryRecord(written));
     }
 
     private StoredDocument write(Optional<StoredDocument> current, ServiceDocument next, Acceptance acceptance)
             throws AspenmoorException {
         ServiceName name = ServiceName.of(next);
-        String value = StoredDocuments.write(next, acceptance);
-        Optional<AspenmoorException> lost = Optional.empty();
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        String value = StoredDocumentCodec.write(next, acceptance);
+        Optional<AspenmoorException> unknownOutcome = Optional.empty();
+        for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
             try {
                 StoredObject object = writeOnce(current, name, value);
                 return new StoredDocument(object, next, Optional.of(acceptance));
             } catch (StoreConflictException conflict) {
                 // The conflict may be with our own write whose answer was lost; the nonce tells.
-                return settle(name, next.revision(), acceptance.nonce(), lost);
+                return resolveAfterConflict(name, next.revision(), acceptance.nonce(), unknownOutcome);
             } catch (StoreOutcomeUnknownException unknown) {
                 // The write may still be under way, so reading now would settle nothing. The same write again is safe:
                 // it has the same condition, so only one of the two takes effect.
-                lost = Optional.of(unknown);
+                unknownOutcome = Optional.of(unknown);
             } catch (StoreUnavailableException | StoreBudgetException notWritten) {
-                if (lost.isEmpty()) {
+                if (unknownOutcome.isEmpty()) {
                     throw notWritten;
                 }
             }
         }
-        throw new DocumentOutcomeUnknownException(name, next.revision(), lost.orElse(null));
+        throw new DocumentOutcomeUnknownException(name, next.revision(), unknownOutcome.orElse(null));
     }
 
     private StoredObject writeOnce(Optional<StoredDocument> current, ServiceName name, String value)
@@ -167,12 +167,13 @@
         if (current.isPresent()) {
             return store.update(current.get().object(), value);
         }
-        ObjectKey key = StoredDocuments.documentKey(name);
+        ObjectKey key = StoredDocumentCodec.documentKey(name);
         return store.create(key, value);
     }
 
     /** Finds out whether the write with this nonce took effect, after a conflict has shown that some write did. */
-    private StoredDocument settle(ServiceName name, long revision, String nonce, Optional<AspenmoorException> lost)
+    private StoredDocument resolveAfterConflict(
+            ServiceName name, long revision, String nonce, Optional<AspenmoorException> unknownOutcome)
             throws AspenmoorException {
         try {
             Optional<StoredDocument> current = read(name);
@@ -188,11 +189,11 @@
             }
             // The conflict proved that the document has moved on; a read that does not show it comes from a replica
             // that lags, and says nothing of whether the lost write was the one that moved it.
-            if (lost.isPresent() && revisionOf(current) < revision) {
-                throw new DocumentOutcomeUnknownException(name, revision, lost.get());
+            if (unknownOutcome.isPresent() && revisionOf(current) < revision) {
+                throw new DocumentOutcomeUnknownException(name, revision, unknownOutcome.get());
             }
         } catch (StoreException unreadable) {
-            if (lost.isPresent()) {
+            if (unknownOutcome.isPresent()) {
                 throw new DocumentOutcomeUnknownException(name, revision, unreadable);
             }
             throw unreadable;
@@ -205,17 +206,17 @@
         Optional<StoredDocument> base = readRevision == 0 ? Optional.empty() : history.read(name, readRevision);
         List<String> changes = List.of();
         if (current.isPresent() && (base.isPresent() || readRevision == 0)) {
-            changes = difference(base, current.get().document()).sentences();
+            changes = difference(base, current.get().document()).descriptions();
         }
         return new DocumentConflictException(name, readRevision, revisionOf(current), changes);
     }
 
-    private boolean recordQuietly(StoredDocument written) {
+    private boolean tryRecord(StoredDocument written) {
         try {
             history.record(written);
-            history.dropBefore(written);
+            history.removeOutdated(written);
             return true;
-        } catch (StoreException recordedByNextChange) {
+        } catch (StoreException unrecorded) {
             return false;
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChange.java
@@ -130,12 +130,12 @@
     record BackendRedeclared(BackendDeclaration before, BackendDeclaration after) implements DocumentChange {}
 
     /** Returns what changes, as one sentence. */
-    default String sentence() {
-        return DocumentChangeText.sentence(this);
+    default String description() {
+        return DocumentChangeDescription.describe(this);
     }
 
     /** Returns what the change does to engines, as one sentence; empty where it touches none. */
     default Optional<String> engineEffect() {
-        return DocumentChangeText.engineEffect(this);
+        return DocumentChangeDescription.engineEffect(this);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChangeText.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChangeDescription.java
@@ -4,10 +4,10 @@
 import java.util.stream.Collectors;
 
 /** Says in sentences what a change is and what it does to engines. */
-final class DocumentChangeText {
-    private DocumentChangeText() {}
+final class DocumentChangeDescription {
+    private DocumentChangeDescription() {}
 
-    static String sentence(DocumentChange change) {
+    static String describe(DocumentChange change) {
         return switch (change) {
             case DocumentChange.ModelAdded added ->
                 "Model " + added.model().name() + " is added in version "
@@ -32,8 +32,8 @@
             case DocumentChange.KindsReordered reordered ->
                 "Kinds are matched in the order " + String.join(", ", reordered.order()) + ".";
             case DocumentChange.RoleChangePriceChanged changed ->
-                "The price of a role change goes from " + Sentences.number(changed.before()) + " to "
-                        + Sentences.number(changed.after()) + ".";
+                "The price of a role change goes from " + MessageText.number(changed.before()) + " to "
+                        + MessageText.number(changed.after()) + ".";
             case DocumentChange.CallerTokensChanged changed ->
                 "Caller tokens: " + changed.added() + " added, " + changed.removed() + " removed.";
             case DocumentChange.BackendAdded added ->
@@ -82,8 +82,8 @@
     }
 
     private static String kindAdded(RequestKind kind) {
-        return "Kind " + kind.name() + " is added: weight " + Sentences.number(kind.weight()) + ", deadline "
-                + Sentences.seconds(kind.deadline()) + (kind.idempotent() ? "." : ", non-idempotent.");
+        return "Kind " + kind.name() + " is added: weight " + MessageText.number(kind.weight()) + ", deadline "
+                + MessageText.seconds(kind.deadline()) + (kind.idempotent() ? "." : ", non-idempotent.");
     }
 
     private static Optional<String> backendAdded(BackendDeclaration backend) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChecker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentChecker.java
@@ -8,9 +8,9 @@
 
 /** Reads a document from text and applies every rule, so that all mistakes are reported together. */
 public final class DocumentChecker {
-    private static final Comparator<Finding> BY_PLACE = Comparator.comparingInt(
-                    (Finding finding) -> finding.place().line())
-            .thenComparingInt(finding -> finding.place().column());
+    private static final Comparator<Finding> BY_LOCATION = Comparator.comparingInt(
+                    (Finding finding) -> finding.location().line())
+            .thenComparingInt(finding -> finding.location().column());
 
     private final List<DocumentCheck> checks;
 
@@ -39,7 +39,7 @@
             }
         }
         List<Finding> sorted =
-                findings.all().stream().sorted(BY_PLACE).distinct().toList();
+                findings.all().stream().sorted(BY_LOCATION).distinct().toList();
         return new CheckedDocument(located, sorted);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentDifference.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentDifference.java
@@ -31,9 +31,9 @@
 
     /** Describes a document that is the first of its service. */
     public static DocumentDifference ofNew(ServiceDocument document) {
-        ServiceDocument nothing = new ServiceDocument(
+        ServiceDocument empty = new ServiceDocument(
                 document.team(), document.service(), 0, List.of(), List.of(), 0, List.of(), List.of());
-        return between(nothing, document);
+        return between(empty, document);
     }
 
     /** Says whether the two documents declare the same. */
@@ -42,8 +42,8 @@
     }
 
     /** Returns the changes as sentences. */
-    public List<String> sentences() {
-        return changes.stream().map(DocumentChange::sentence).toList();
+    public List<String> descriptions() {
+        return changes.stream().map(DocumentChange::description).toList();
     }
 
     private static void addModels(ServiceDocument before, ServiceDocument after, List<DocumentChange> changes) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentHistory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentHistory.java
@@ -14,7 +14,7 @@
     /** How many revisions of a document are kept. */
     public static final int REVISIONS_KEPT = 200;
 
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final ObjectStore store;
 
@@ -24,8 +24,8 @@
 
     /** Reads one revision; empty where it never was or is no longer kept. */
     public Optional<StoredDocument> read(ServiceName name, long revision) throws StoreException {
-        Optional<StoredObject> object = store.read(StoredDocuments.revisionKey(name, revision));
-        return object.isEmpty() ? Optional.empty() : Optional.of(StoredDocuments.read(object.get()));
+        Optional<StoredObject> object = store.read(StoredDocumentCodec.revisionKey(name, revision));
+        return object.isEmpty() ? Optional.empty() : Optional.of(StoredDocumentCodec.read(object.get()));
     }
 
     /**
@@ -52,31 +52,31 @@
     /** Writes a document's revision into the history unless it stands there. */
     void record(StoredDocument stored) throws StoreException {
         ServiceName name = ServiceName.of(stored.document());
-        for (int tries = 1; ; tries++) {
+        for (int attempt = 1; ; attempt++) {
             try {
                 store.create(
-                        StoredDocuments.revisionKey(name, stored.document().revision()),
+                        StoredDocumentCodec.revisionKey(name, stored.document().revision()),
                         stored.object().value());
                 return;
             } catch (StoreConflictException recordedBefore) {
                 return;
-            } catch (StoreOutcomeUnknownException lost) {
+            } catch (StoreOutcomeUnknownException outcomeUnknown) {
                 // A second create writes nothing new: it conflicts where the first took effect.
-                if (tries == MOST_TRIES) {
-                    throw lost;
+                if (attempt == MAX_ATTEMPTS) {
+                    throw outcomeUnknown;
                 }
             }
         }
     }
 
     /** Drops the revision that has become too old, if it is there. */
-    void dropBefore(StoredDocument newest) throws StoreException {
+    void removeOutdated(StoredDocument newest) throws StoreException {
         long revision = newest.document().revision() - REVISIONS_KEPT;
         if (revision <= 0) {
             return;
         }
         ServiceName name = ServiceName.of(newest.document());
-        Optional<StoredObject> old = store.read(StoredDocuments.revisionKey(name, revision));
+        Optional<StoredObject> old = store.read(StoredDocumentCodec.revisionKey(name, revision));
         if (old.isPresent()) {
             store.delete(old.get());
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentReader.java
@@ -14,11 +14,11 @@
     static final String ACCEPTANCE_FIELD = "acceptance";
 
     // Whole numbers beyond this are not exact in every JSON reader.
-    private static final double MOST_REVISION = (1L << 53) - 1;
-    private static final double MOST_WEIGHT = 1_000_000;
-    private static final double LEAST_DEADLINE_SECONDS = 0.05;
-    private static final double MOST_DEADLINE_SECONDS = 3600;
-    private static final int MOST_TOKENS = 1_000_000;
+    private static final double MAX_REVISION = (1L << 53) - 1;
+    private static final double MAX_WEIGHT = 1_000_000;
+    private static final double MIN_DEADLINE_SECONDS = 0.05;
+    private static final double MAX_DEADLINE_SECONDS = 3600;
+    private static final int MAX_TOKENS = 1_000_000;
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(30);
 
     private final Findings findings;
@@ -35,23 +35,23 @@
     /** Reads a document and keeps the place of each field, for checks that come after reading. */
     public Optional<LocatedDocument> readLocated(String source, String text) {
         Optional<LocatedValue.ObjectValue> root = new LocatedJsonParser(source, findings).parseObject(text);
-        return root.map(
-                object -> new LocatedDocument(readDocument(new FieldReader(object, findings)), new PlaceIndex(object)));
+        return root.map(object ->
+                new LocatedDocument(readDocument(new FieldReader(object, findings)), new LocationIndex(object)));
     }
 
     private ServiceDocument readDocument(FieldReader reader) {
         ServiceDocument document = new ServiceDocument(
                 reader.requiredText("team"),
                 reader.requiredText("service"),
-                (long) reader.decimal("revision", 0, MOST_REVISION, 0),
+                (long) reader.decimal("revision", 0, MAX_REVISION, 0),
                 readModels(reader),
                 readKinds(reader),
-                reader.decimal("roleChangePrice", 0, MOST_WEIGHT, 0),
+                reader.decimal("roleChangePrice", 0, MAX_WEIGHT, 0),
                 reader.texts("callerTokenHashes"),
                 readBackends(reader));
         // Stored documents carry how they were accepted; StoredDocuments reads it.
         reader.object(ACCEPTANCE_FIELD);
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         return document;
     }
 
@@ -60,7 +60,7 @@
         for (FieldReader model : reader.objects("models")) {
             models.add(new ModelDeclaration(
                     model.requiredText("name"), model.requiredText("version"), readAdapters(model)));
-            model.refuseUnknownFields();
+            model.rejectUnknownFields();
         }
         return models;
     }
@@ -69,7 +69,7 @@
         List<AdapterDeclaration> adapters = new ArrayList<>();
         for (FieldReader adapter : model.objects("adapters")) {
             adapters.add(new AdapterDeclaration(adapter.requiredText("name"), adapter.requiredText("version")));
-            adapter.refuseUnknownFields();
+            adapter.rejectUnknownFields();
         }
         return adapters;
     }
@@ -77,16 +77,16 @@
     private static List<RequestKind> readKinds(FieldReader reader) {
         List<RequestKind> kinds = new ArrayList<>();
         for (FieldReader kind : reader.objects("kinds")) {
-            kind.require("weight", "1");
-            kind.require("deadlineSeconds", "2.5");
+            kind.requirePresent("weight", "1");
+            kind.requirePresent("deadlineSeconds", "2.5");
             kinds.add(new RequestKind(
                     kind.requiredText("name"),
                     readMatch(kind),
-                    kind.decimal("weight", 0, MOST_WEIGHT, 1),
-                    kind.seconds("deadlineSeconds", LEAST_DEADLINE_SECONDS, MOST_DEADLINE_SECONDS, DEFAULT_DEADLINE),
-                    kind.truth("idempotent", true),
-                    kind.integer("longestOutputTokens", 0, MOST_TOKENS, 0)));
-            kind.refuseUnknownFields();
+                    kind.decimal("weight", 0, MAX_WEIGHT, 1),
+                    kind.seconds("deadlineSeconds", MIN_DEADLINE_SECONDS, MAX_DEADLINE_SECONDS, DEFAULT_DEADLINE),
+                    kind.bool("idempotent", true),
+                    kind.integer("longestOutputTokens", 0, MAX_TOKENS, 0)));
+            kind.rejectUnknownFields();
         }
         return kinds;
     }
@@ -98,14 +98,14 @@
                     Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
         }
         FieldReader reader = match.get();
-        int mostPromptTokens = reader.integer("mostPromptTokens", 1, MOST_TOKENS, 0);
+        int mostPromptTokens = reader.integer("mostPromptTokens", 1, MAX_TOKENS, 0);
         KindMatch read = new KindMatch(
                 reader.optionalText("model"),
                 reader.optionalText("adapter"),
                 reader.optionalText("method"),
                 reader.optionalText("pathPrefix"),
                 mostPromptTokens == 0 ? Optional.empty() : Optional.of(mostPromptTokens));
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
         return read;
     }
 
@@ -115,13 +115,13 @@
             backends.add(new BackendDeclaration.EngineDeclaration(
                     engine.requiredText("name"),
                     engine.requiredText("dataCentre"),
-                    engine.truth("checksFencingNumbers", false)));
-            engine.refuseUnknownFields();
+                    engine.bool("checksFencingNumbers", false)));
+            engine.rejectUnknownFields();
         }
         for (FieldReader plain : reader.objects("plainServices")) {
             backends.add(new BackendDeclaration.PlainServiceDeclaration(
                     plain.requiredText("name"), plain.requiredText("dataCentre")));
-            plain.refuseUnknownFields();
+            plain.rejectUnknownFields();
         }
         return backends;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentWriter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DocumentWriter.java
@@ -6,7 +6,7 @@
 
 /** Writes a document as plain JSON that {@link DocumentReader} reads back to an equal document. */
 public final class DocumentWriter {
-    private static final double MILLISECONDS_OF_SECOND = 1000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
     private DocumentWriter() {}
 
@@ -51,7 +51,7 @@
         kind.match().pathPrefix().ifPresent(prefix -> match.put("pathPrefix", prefix));
         kind.match().mostPromptTokens().ifPresent(tokens -> match.put("mostPromptTokens", tokens));
         node.put("weight", kind.weight());
-        node.put("deadlineSeconds", kind.deadline().toMillis() / MILLISECONDS_OF_SECOND);
+        node.put("deadlineSeconds", kind.deadline().toMillis() / MILLIS_PER_SECOND);
         node.put("idempotent", kind.idempotent());
         node.put("longestOutputTokens", kind.longestOutputTokens());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DuplicateCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/DuplicateCheck.java
@@ -4,36 +4,36 @@
 import java.util.List;
 import java.util.Map;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /** Names must tell their bearers apart. */
 final class DuplicateCheck implements DocumentCheck {
     @Override
     public void check(LocatedDocument located, Findings findings) {
         ServiceDocument document = located.document();
-        Register models = new Register("model", located.places(), findings);
+        UniqueNames models = new UniqueNames("model", located.locations(), findings);
         for (int index = 0; index < document.models().size(); index++) {
             ModelDeclaration model = document.models().get(index);
             models.add("models[" + index + "].name", model.name());
-            checkAdapters("models[" + index + "]", model, located.places(), findings);
+            checkAdapters("models[" + index + "]", model, located.locations(), findings);
         }
-        Register kinds = new Register("kind", located.places(), findings);
+        UniqueNames kinds = new UniqueNames("kind", located.locations(), findings);
         for (int index = 0; index < document.kinds().size(); index++) {
             kinds.add("kinds[" + index + "].name", document.kinds().get(index).name());
         }
-        Register backends = new Register("backend server", located.places(), findings);
-        for (DeclaredBackend backend : DeclaredBackend.all(document)) {
+        UniqueNames backends = new UniqueNames("backend server", located.locations(), findings);
+        for (DeclaredBackend backend : DeclaredBackend.allOf(document)) {
             backends.add(backend.path() + ".name", backend.declaration().name());
         }
-        Register hashes = new Register("token hash", located.places(), findings);
+        UniqueNames hashes = new UniqueNames("token hash", located.locations(), findings);
         List<String> tokenHashes = document.callerTokenHashes();
         for (int index = 0; index < tokenHashes.size(); index++) {
             hashes.add("callerTokenHashes[" + index + "]", tokenHashes.get(index));
         }
     }
 
-    private static void checkAdapters(String path, ModelDeclaration model, PlaceIndex places, Findings findings) {
-        Register adapters = new Register("adapter of " + model.name(), places, findings);
+    private static void checkAdapters(String path, ModelDeclaration model, LocationIndex locations, Findings findings) {
+        UniqueNames adapters = new UniqueNames("adapter of " + model.name(), locations, findings);
         for (int index = 0; index < model.adapters().size(); index++) {
             String adapterPath = path + ".adapters[" + index + "].name";
             adapters.add(adapterPath, model.adapters().get(index).name());
@@ -41,15 +41,15 @@
     }
 
     /** Remembers where each name stood first. */
-    private static final class Register {
-        private final String bearer;
-        private final PlaceIndex places;
+    private static final class UniqueNames {
+        private final String itemType;
+        private final LocationIndex locations;
         private final Findings findings;
-        private final Map<String, Place> first = new HashMap<>();
+        private final Map<String, SourceLocation> firstLocations = new HashMap<>();
 
-        Register(String bearer, PlaceIndex places, Findings findings) {
-            this.bearer = bearer;
-            this.places = places;
+        UniqueNames(String itemType, LocationIndex locations, Findings findings) {
+            this.itemType = itemType;
+            this.locations = locations;
             this.findings = findings;
         }
 
@@ -57,12 +57,12 @@
             if (name.isEmpty()) {
                 return;
             }
-            Place place = places.placeOf(path);
-            Place earlier = first.putIfAbsent(name, place);
+            SourceLocation location = locations.locationOf(path);
+            SourceLocation earlier = firstLocations.putIfAbsent(name, location);
             if (earlier != null) {
                 findings.add(
-                        place,
-                        "The " + bearer + " \"" + name + "\" stands already in line " + earlier.line() + ".",
+                        location,
+                        "The " + itemType + " \"" + name + "\" stands already in line " + earlier.line() + ".",
                         "Rename or remove one of the two.");
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/FleetCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/FleetCheck.java
@@ -15,7 +15,7 @@
 
     @Override
     public void check(LocatedDocument located, Findings findings) {
-        for (DeclaredBackend backend : DeclaredBackend.all(located.document())) {
+        for (DeclaredBackend backend : DeclaredBackend.allOf(located.document())) {
             checkBackend(backend, located, findings);
         }
         checkTokens(located, findings);
@@ -35,38 +35,39 @@
         Optional<String> actual = fleet.dataCentreOf(name);
         if (fleet.hasDataCentre(dataCentre).filter(known -> !known).isPresent()) {
             findings.add(
-                    located.places().placeOf(backend.path() + ".dataCentre"),
+                    located.locations().locationOf(backend.path() + ".dataCentre"),
                     "The platform has no data centre \"" + dataCentre + "\".",
                     "Write the name that the hosts' settings use.");
-        } else if (actual.filter(place -> !place.equals(dataCentre)).isPresent()) {
+        } else if (actual.filter(declared -> !declared.equals(dataCentre)).isPresent()) {
             findings.add(
-                    located.places().placeOf(backend.path() + ".dataCentre"),
+                    located.locations().locationOf(backend.path() + ".dataCentre"),
                     "The backend server \"" + name + "\" stands in \"" + actual.get() + "\".",
                     "Write \"" + actual.get() + "\".");
         }
-        ServiceName self = ServiceName.of(located.document());
-        Optional<ServiceName> owner = fleet.ownerOf(name).filter(other -> !other.equals(self));
+        ServiceName service = ServiceName.of(located.document());
+        Optional<ServiceName> owner = fleet.ownerOf(name).filter(other -> !other.equals(service));
         if (owner.isPresent()) {
             findings.add(
-                    located.places().placeOf(backend.path() + ".name"),
-                    "The backend server \"" + name + "\" is declared by " + shown(owner.get(), self) + ".",
+                    located.locations().locationOf(backend.path() + ".name"),
+                    "The backend server \"" + name + "\" is declared by " + displayName(owner.get(), service) + ".",
                     "Ask that team to withdraw it first, or remove it here.");
         }
     }
 
     /** Names another service only to its own team: one team must not see another's. */
-    private static String shown(ServiceName owner, ServiceName self) {
-        return owner.team().equals(self.team()) ? owner.toString() : "another team";
+    private static String displayName(ServiceName owner, ServiceName requester) {
+        return owner.team().equals(requester.team()) ? owner.toString() : "another team";
     }
 
     private void checkTokens(LocatedDocument located, Findings findings) {
         List<String> hashes = located.document().callerTokenHashes();
         for (int index = 0; index < hashes.size(); index++) {
-            boolean isOthers = fleet.isTokenOfOtherTeam(located.document().team(), hashes.get(index))
+            boolean usedByOtherTeam = fleet.isTokenOfOtherTeam(
+                            located.document().team(), hashes.get(index))
                     .orElse(false);
-            if (isOthers) {
+            if (usedByOtherTeam) {
                 findings.add(
-                        located.places().placeOf("callerTokenHashes[" + index + "]"),
+                        located.locations().locationOf("callerTokenHashes[" + index + "]"),
                         "The token is in use by another team, so its requests could reach either.",
                         "Draw a new token for the callers of this service.");
             }
@@ -77,7 +78,7 @@
         Optional<ServiceName> other = fleet.otherServiceOfModel(ServiceName.of(located.document()), model.name());
         if (other.isPresent()) {
             findings.add(
-                    located.places().placeOf(path + ".name"),
+                    located.locations().locationOf(path + ".name"),
                     "The model \"" + model.name() + "\" is declared by " + other.get()
                             + " too, so a request could reach either.",
                     "Name it otherwise in one of the two documents.");
@@ -86,33 +87,33 @@
                 .filter(known -> !known)
                 .isPresent()) {
             findings.add(
-                    located.places().placeOf(path + ".version"),
+                    located.locations().locationOf(path + ".version"),
                     "The weight store has no version \"" + model.version() + "\" of \"" + model.name() + "\".",
                     "Put it there first, or write a version that is there.");
         }
         List<Optional<Boolean>> answers = located.document().backends().stream()
                 .filter(BackendDeclaration.EngineDeclaration.class::isInstance)
-                .map(engine -> fleet.canHold(engine.name(), model.name()))
+                .map(engine -> fleet.hasMemoryFor(engine.name(), model.name()))
                 .toList();
-        boolean noneCanHold = answers.stream().allMatch(answer -> answer.isPresent() && !answer.get());
-        if (!answers.isEmpty() && noneCanHold) {
+        boolean noEngineHasMemory = answers.stream().allMatch(answer -> answer.isPresent() && !answer.get());
+        if (!answers.isEmpty() && noEngineHasMemory) {
             findings.add(
-                    located.places().placeOf(path + ".name"),
+                    located.locations().locationOf(path + ".name"),
                     "No engine of the service can hold the model \"" + model.name() + "\".",
                     "Declare an engine with more memory, or remove the model.");
         }
     }
 
     private void checkDeadline(String path, RequestKind kind, LocatedDocument located, Findings findings) {
-        Optional<Duration> tokenTime = kind.match().model().flatMap(fleet::shortestTokenTime);
-        if (tokenTime.isEmpty()) {
+        Optional<Duration> tokenInterval = kind.match().model().flatMap(fleet::minTokenInterval);
+        if (tokenInterval.isEmpty()) {
             return;
         }
-        Duration needed = tokenTime.get().multipliedBy(kind.longestOutputTokens());
+        Duration needed = tokenInterval.get().multipliedBy(kind.longestOutputTokens());
         if (needed.compareTo(kind.deadline()) > 0) {
             findings.add(
-                    located.places().placeOf(path + ".deadlineSeconds"),
-                    "The longest answer takes " + Sentences.seconds(needed) + " on the fleet's fastest engine.",
+                    located.locations().locationOf(path + ".deadlineSeconds"),
+                    "The longest answer takes " + MessageText.seconds(needed) + " on the fleet's fastest engine.",
                     "Write a later deadline or a smaller longestOutputTokens.");
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/FleetView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/FleetView.java
@@ -24,8 +24,8 @@
     Optional<Boolean> hasModelVersion(String model, String version);
 
     /** Says whether an engine's memory can hold a model. */
-    Optional<Boolean> canHold(String engine, String model);
+    Optional<Boolean> hasMemoryFor(String engine, String model);
 
     /** Returns the shortest time in which any engine of the fleet generates one token of a model. */
-    Optional<Duration> shortestTokenTime(String model);
+    Optional<Duration> minTokenInterval(String model);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/KindClassifier.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/KindClassifier.java
@@ -14,15 +14,16 @@
     }
 
     private static boolean matches(KindMatch match, RequestTraits traits) {
-        boolean asksModel = traits.model().isPresent();
+        boolean isModelRequest = traits.model().isPresent();
         if (match.model().isPresent() && !match.model().equals(traits.model())) {
             return false;
         }
         if (match.adapter().isPresent() && !match.adapter().equals(traits.adapter())) {
             return false;
         }
-        boolean namesCall = match.method().isPresent() || match.pathPrefix().isPresent();
-        if (namesCall && asksModel) {
+        boolean matchesPlainCalls =
+                match.method().isPresent() || match.pathPrefix().isPresent();
+        if (matchesPlainCalls && isModelRequest) {
             return false;
         }
         if (match.method().isPresent() && !match.method().get().equalsIgnoreCase(traits.method())) {
@@ -32,8 +33,6 @@
                 && !traits.path().startsWith(match.pathPrefix().get())) {
             return false;
         }
-        return match.mostPromptTokens()
-                .map(most -> traits.promptTokens() <= most)
-                .orElse(true);
+        return match.mostPromptTokens().map(max -> traits.promptTokens() <= max).orElse(true);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/KindDifference.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/KindDifference.java
@@ -33,23 +33,26 @@
         }
     }
 
-    private static List<String> names(List<RequestKind> kinds, Map<String, RequestKind> among) {
-        return kinds.stream().map(RequestKind::name).filter(among::containsKey).toList();
+    private static List<String> names(List<RequestKind> kinds, Map<String, RequestKind> retained) {
+        return kinds.stream()
+                .map(RequestKind::name)
+                .filter(retained::containsKey)
+                .toList();
     }
 
     private static List<FieldChange> fields(RequestKind before, RequestKind after) {
         List<FieldChange> fields = new ArrayList<>();
-        compare(fields, "weight", Sentences.number(before.weight()), Sentences.number(after.weight()));
-        compare(fields, "deadline", Sentences.seconds(before.deadline()), Sentences.seconds(after.deadline()));
+        compare(fields, "weight", MessageText.number(before.weight()), MessageText.number(after.weight()));
+        compare(fields, "deadline", MessageText.seconds(before.deadline()), MessageText.seconds(after.deadline()));
         compare(fields, "idempotent", before.idempotent(), after.idempotent());
         compare(fields, "longestOutputTokens", before.longestOutputTokens(), after.longestOutputTokens());
         KindMatch old = before.match();
         KindMatch current = after.match();
-        compare(fields, "model", shown(old.model()), shown(current.model()));
-        compare(fields, "adapter", shown(old.adapter()), shown(current.adapter()));
-        compare(fields, "method", shown(old.method()), shown(current.method()));
-        compare(fields, "pathPrefix", shown(old.pathPrefix()), shown(current.pathPrefix()));
-        compare(fields, "mostPromptTokens", shown(old.mostPromptTokens()), shown(current.mostPromptTokens()));
+        compare(fields, "model", format(old.model()), format(current.model()));
+        compare(fields, "adapter", format(old.adapter()), format(current.adapter()));
+        compare(fields, "method", format(old.method()), format(current.method()));
+        compare(fields, "pathPrefix", format(old.pathPrefix()), format(current.pathPrefix()));
+        compare(fields, "mostPromptTokens", format(old.mostPromptTokens()), format(current.mostPromptTokens()));
         return fields;
     }
 
@@ -59,7 +62,7 @@
         }
     }
 
-    private static String shown(Optional<?> part) {
-        return part.map(Object::toString).orElse("(any)");
+    private static String format(Optional<?> criterion) {
+        return criterion.map(Object::toString).orElse("(any)");
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/LocatedDocument.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/LocatedDocument.java
@@ -4,6 +4,6 @@
  * A document with the places of its fields in the text it was read from.
  *
  * @param document what was read
- * @param places where each field stands
+ * @param locations where each field stands
  */
-public record LocatedDocument(ServiceDocument document, PlaceIndex places) {}
+public record LocatedDocument(ServiceDocument document, LocationIndex locations) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/PlaceIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/LocationIndex.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 import org.aspenmoor.internal.json.LocatedValue;
 
 /**
@@ -12,41 +12,41 @@
  * <p>Items of an array are counted among items of their own type, because the reader leaves out items of the wrong
  * type: {@code kinds[1]} is the second kind that was read, and its place still names the item as the text counts it.
  */
-public final class PlaceIndex {
-    private final Place root;
-    private final Map<String, Place> places = new HashMap<>();
+public final class LocationIndex {
+    private final SourceLocation root;
+    private final Map<String, SourceLocation> locations = new HashMap<>();
 
-    public PlaceIndex(LocatedValue.ObjectValue object) {
-        this.root = object.place();
+    public LocationIndex(LocatedValue.ObjectValue object) {
+        this.root = object.location();
         addFields("", object);
     }
 
     /** Says whether the text has a field of this path. */
-    public boolean isWritten(String path) {
-        return places.containsKey(path);
+    public boolean contains(String path) {
+        return locations.containsKey(path);
     }
 
     /** Returns where the field stands, or its nearest enclosing value with the path of the missing field. */
-    public Place placeOf(String path) {
-        Place found = places.get(path);
+    public SourceLocation locationOf(String path) {
+        SourceLocation found = locations.get(path);
         if (found != null) {
             return found;
         }
-        Place enclosing = enclosingPlace(path);
-        return new Place(enclosing.source(), enclosing.line(), enclosing.column(), path);
+        SourceLocation enclosing = enclosingLocation(path);
+        return new SourceLocation(enclosing.source(), enclosing.line(), enclosing.column(), path);
     }
 
-    private Place enclosingPlace(String path) {
-        String shorter = path;
+    private SourceLocation enclosingLocation(String path) {
+        String prefix = path;
         while (true) {
-            int end = Math.max(shorter.lastIndexOf('.'), shorter.lastIndexOf('['));
+            int end = Math.max(prefix.lastIndexOf('.'), prefix.lastIndexOf('['));
             if (end < 0) {
                 return root;
             }
-            shorter = shorter.substring(0, end);
-            Place place = places.get(shorter);
-            if (place != null) {
-                return place;
+            prefix = prefix.substring(0, end);
+            SourceLocation location = locations.get(prefix);
+            if (location != null) {
+                return location;
             }
         }
     }
@@ -57,7 +57,7 @@
     }
 
     private void add(String path, LocatedValue value) {
-        places.put(path, value.place());
+        locations.put(path, value.location());
         switch (value) {
             case LocatedValue.ObjectValue object -> addFields(path, object);
             case LocatedValue.ArrayValue array -> addItems(path, array.items());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/Sentences.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/MessageText.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** Small parts of sentences that several messages share. */
-final class Sentences {
-    private static final double MILLISECONDS_OF_SECOND = 1000.0;
+final class MessageText {
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
-    private Sentences() {}
+    private MessageText() {}
 
     /** Joins names for reading; says "(none)" for an empty list. */
     static String list(List<String> names) {
@@ -16,7 +16,7 @@
 
     /** Writes a duration in seconds. */
     static String seconds(Duration duration) {
-        return number(duration.toMillis() / MILLISECONDS_OF_SECOND) + " s";
+        return number(duration.toMillis() / MILLIS_PER_SECOND) + " s";
     }
 
     /** Writes a number without a useless fraction. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/NameCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/NameCheck.java
@@ -12,20 +12,20 @@
     @Override
     public void check(LocatedDocument located, Findings findings) {
         ServiceDocument document = located.document();
-        Names names = new Names(located.places(), findings);
+        Names names = new Names(located.locations(), findings);
         names.plain("team", document.team());
         names.plain("service", document.service());
         checkModels(document.models(), names);
         for (int index = 0; index < document.kinds().size(); index++) {
             names.plain("kinds[" + index + "].name", document.kinds().get(index).name());
         }
-        for (DeclaredBackend backend : DeclaredBackend.all(document)) {
+        for (DeclaredBackend backend : DeclaredBackend.allOf(document)) {
             names.plain(backend.path() + ".name", backend.declaration().name());
             names.plain(backend.path() + ".dataCentre", backend.declaration().dataCentre());
         }
-        if (located.places().isWritten(DocumentReader.ACCEPTANCE_FIELD)) {
+        if (located.locations().contains(DocumentReader.ACCEPTANCE_FIELD)) {
             findings.add(
-                    located.places().placeOf(DocumentReader.ACCEPTANCE_FIELD),
+                    located.locations().locationOf(DocumentReader.ACCEPTANCE_FIELD),
                     "The record of an acceptance is written by the system.",
                     "Remove the field.");
         }
@@ -52,7 +52,7 @@
      * @param places where they stand
      * @param findings where mistakes go
      */
-    private record Names(PlaceIndex places, Findings findings) {
+    private record Names(LocationIndex locations, Findings findings) {
         void plain(String path, String name) {
             match(PLAIN_NAME, path, name, "Use 1 to 63 small letters, digits and inner hyphens.");
         }
@@ -64,7 +64,7 @@
         private void match(Pattern pattern, String path, String name, String remedy) {
             // The reader has already reported a missing name.
             if (!name.isEmpty() && !pattern.matcher(name).matches()) {
-                findings.add(places.placeOf(path), "The name \"" + name + "\" cannot be used.", remedy);
+                findings.add(locations.locationOf(path), "The name \"" + name + "\" cannot be used.", remedy);
             }
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/ProposalCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/ProposalCheck.java
@@ -29,7 +29,7 @@
         long written = located.document().revision();
         if (written != 0 && written != proposal.readRevision()) {
             findings.add(new Finding(
-                    located.places().placeOf("revision"),
+                    located.locations().locationOf("revision"),
                     "The revision " + written + " was set by hand; the system counts it.",
                     "Remove the field, or leave the " + proposal.readRevision() + " that was read."));
         }
@@ -37,13 +37,13 @@
     }
 
     private static void compare(
-            LocatedDocument located, String field, String written, String asked, List<Finding> findings) {
-        if (!written.isEmpty() && !written.equals(asked)) {
+            LocatedDocument located, String field, String written, String requested, List<Finding> findings) {
+        if (!written.isEmpty() && !written.equals(requested)) {
             findings.add(new Finding(
-                    located.places().placeOf(field),
-                    "The document names the " + field + " \"" + written + "\", and the request is for \"" + asked
+                    located.locations().locationOf(field),
+                    "The document names the " + field + " \"" + written + "\", and the request is for \"" + requested
                             + "\".",
-                    "Write \"" + asked + "\", or send it to its own service."));
+                    "Write \"" + requested + "\", or send it to its own service."));
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/KindFlavour.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/RequestCategory.java
@@ -1,35 +1,35 @@
 package org.aspenmoor.internal.document;
 
 /** Which sort of request a kind takes. */
-public enum KindFlavour {
+public enum RequestCategory {
     /** A completion by a model engine. */
     GENERATION,
     /** A call passed through to a plain service. */
     PLAIN_CALL;
 
     /** Returns the sort of request that a kind speaks of; where the kind says nothing, the service's backends decide. */
-    public static KindFlavour of(RequestKind kind, ServiceDocument document) {
-        if (asksForPlainCall(kind)) {
+    public static RequestCategory of(RequestKind kind, ServiceDocument document) {
+        if (restrictsPlainCalls(kind)) {
             return PLAIN_CALL;
         }
-        if (asksForGeneration(kind) || kind.longestOutputTokens() > 0) {
+        if (restrictsGenerations(kind) || kind.longestOutputTokens() > 0) {
             return GENERATION;
         }
-        boolean onlyModels = !document.models().isEmpty()
+        boolean servesModelsOnly = !document.models().isEmpty()
                 && document.backends().stream().noneMatch(BackendDeclaration.PlainServiceDeclaration.class::isInstance);
-        return onlyModels ? GENERATION : PLAIN_CALL;
+        return servesModelsOnly ? GENERATION : PLAIN_CALL;
     }
 
     /** Says whether a kind's match has parts of both sorts, so that no request can be of it. */
     static boolean isMixed(RequestKind kind) {
-        return asksForPlainCall(kind) && asksForGeneration(kind);
+        return restrictsPlainCalls(kind) && restrictsGenerations(kind);
     }
 
-    private static boolean asksForPlainCall(RequestKind kind) {
+    private static boolean restrictsPlainCalls(RequestKind kind) {
         return kind.match().method().isPresent() || kind.match().pathPrefix().isPresent();
     }
 
-    private static boolean asksForGeneration(RequestKind kind) {
+    private static boolean restrictsGenerations(RequestKind kind) {
         KindMatch match = kind.match();
         return match.model().isPresent()
                 || match.adapter().isPresent()
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/StoredDocuments.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/StoredDocumentCodec.java
@@ -14,13 +14,13 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /** Names, writes and reads documents in the store: the document's fields, and beside them how it was accepted. */
-public final class StoredDocuments {
-    private static final String BY = "by";
-    private static final String AT = "at";
+public final class StoredDocumentCodec {
+    private static final String OPERATOR = "by";
+    private static final String ACCEPTED_AT = "at";
     private static final String NONCE = "nonce";
     private static final String CHANGES = "changes";
 
-    private StoredDocuments() {}
+    private StoredDocumentCodec() {}
 
     /** Returns the name of the object that holds the document in force. */
     public static ObjectKey documentKey(ServiceName name) {
@@ -36,8 +36,8 @@
     public static String write(ServiceDocument document, Acceptance acceptance) {
         ObjectNode root = DocumentWriter.writeTree(document);
         ObjectNode node = root.putObject(DocumentReader.ACCEPTANCE_FIELD);
-        node.put(BY, acceptance.by());
-        node.put(AT, acceptance.at().toString());
+        node.put(OPERATOR, acceptance.operator());
+        node.put(ACCEPTED_AT, acceptance.acceptedAt().toString());
         node.put(NONCE, acceptance.nonce());
         acceptance.changes().forEach(node.putArray(CHANGES)::add);
         return root.toString();
@@ -61,18 +61,18 @@
         }
         Optional<Acceptance> acceptance = new FieldReader(root.get(), findings)
                 .object(DocumentReader.ACCEPTANCE_FIELD)
-                .flatMap(StoredDocuments::readAcceptance);
+                .flatMap(StoredDocumentCodec::readAcceptance);
         return new StoredDocument(object, document.get(), acceptance);
     }
 
     private static Optional<Acceptance> readAcceptance(FieldReader reader) {
         try {
             return Optional.of(new Acceptance(
-                    reader.optionalText(BY).orElse(""),
-                    Instant.parse(reader.optionalText(AT).orElse("")),
+                    reader.optionalText(OPERATOR).orElse(""),
+                    Instant.parse(reader.optionalText(ACCEPTED_AT).orElse("")),
                     reader.optionalText(NONCE).orElse(""),
                     reader.texts(CHANGES)));
-        } catch (DateTimeParseException notWrittenBySystem) {
+        } catch (DateTimeParseException invalid) {
             return Optional.empty();
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/UnknownFleetView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/UnknownFleetView.java
@@ -36,12 +36,12 @@
     }
 
     @Override
-    public Optional<Boolean> canHold(String engine, String model) {
+    public Optional<Boolean> hasMemoryFor(String engine, String model) {
         return Optional.empty();
     }
 
     @Override
-    public Optional<Duration> shortestTokenTime(String model) {
+    public Optional<Duration> minTokenInterval(String model) {
         return Optional.empty();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/UnreachableKindCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/UnreachableKindCheck.java
@@ -12,9 +12,9 @@
         List<RequestKind> kinds = located.document().kinds();
         for (int later = 1; later < kinds.size(); later++) {
             for (int earlier = 0; earlier < later; earlier++) {
-                if (takesAllOf(kinds.get(earlier), kinds.get(later))) {
+                if (matchesAllOf(kinds.get(earlier), kinds.get(later))) {
                     findings.add(
-                            located.places().placeOf("kinds[" + later + "]"),
+                            located.locations().locationOf("kinds[" + later + "]"),
                             "The kind \"" + kinds.get(later).name() + "\" never matches: \""
                                     + kinds.get(earlier).name() + "\" stands before it and takes all its requests.",
                             "Move it before \"" + kinds.get(earlier).name() + "\" or narrow the match of that one.");
@@ -24,29 +24,33 @@
         }
     }
 
-    private static boolean takesAllOf(RequestKind earlier, RequestKind later) {
-        KindMatch wide = earlier.match();
-        KindMatch narrow = later.match();
-        return holdsWhenever(wide.model(), narrow.model(), String::equals)
-                && holdsWhenever(wide.adapter(), narrow.adapter(), String::equals)
-                && holdsWhenever(wide.method(), narrow.method(), String::equalsIgnoreCase)
-                && holdsWhenever(wide.pathPrefix(), narrow.pathPrefix(), (prefix, path) -> path.startsWith(prefix))
-                && holdsForPrompts(wide, narrow);
+    private static boolean matchesAllOf(RequestKind earlier, RequestKind later) {
+        KindMatch earlierMatch = earlier.match();
+        KindMatch laterMatch = later.match();
+        return isImpliedBy(earlierMatch.model(), laterMatch.model(), String::equals)
+                && isImpliedBy(earlierMatch.adapter(), laterMatch.adapter(), String::equals)
+                && isImpliedBy(earlierMatch.method(), laterMatch.method(), String::equalsIgnoreCase)
+                && isImpliedBy(
+                        earlierMatch.pathPrefix(), laterMatch.pathPrefix(), (prefix, path) -> path.startsWith(prefix))
+                && impliesPromptLimit(earlierMatch, laterMatch);
     }
 
-    private static boolean holdsForPrompts(KindMatch wide, KindMatch narrow) {
+    private static boolean impliesPromptLimit(KindMatch earlierMatch, KindMatch laterMatch) {
         // A plain call has no prompt, so every limit on prompts lets it pass.
-        boolean narrowTakesPlainCalls =
-                narrow.method().isPresent() || narrow.pathPrefix().isPresent();
-        return narrowTakesPlainCalls
-                || holdsWhenever(
-                        wide.mostPromptTokens(), narrow.mostPromptTokens(), (limit, tokens) -> tokens <= limit);
+        boolean laterMatchesPlainCalls =
+                laterMatch.method().isPresent() || laterMatch.pathPrefix().isPresent();
+        return laterMatchesPlainCalls
+                || isImpliedBy(
+                        earlierMatch.mostPromptTokens(),
+                        laterMatch.mostPromptTokens(),
+                        (limit, tokens) -> tokens <= limit);
     }
 
-    private static <T> boolean holdsWhenever(Optional<T> wide, Optional<T> narrow, BiPredicate<T, T> implied) {
-        if (wide.isEmpty()) {
+    private static <T> boolean isImpliedBy(
+            Optional<T> earlierMatch, Optional<T> laterMatch, BiPredicate<T, T> implies) {
+        if (earlierMatch.isEmpty()) {
             return true;
         }
-        return narrow.isPresent() && implied.test(wide.get(), narrow.get());
+        return laterMatch.isPresent() && implies.test(earlierMatch.get(), laterMatch.get());
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/finding/Findings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/finding/Findings.java
@@ -8,8 +8,8 @@
     private final List<Finding> found = new ArrayList<>();
 
     /** Adds one finding. */
-    public void add(Place place, String problem, String remedy) {
-        found.add(new Finding(place, problem, remedy));
+    public void add(SourceLocation location, String problem, String remedy) {
+        found.add(new Finding(location, problem, remedy));
     }
 
     /** Returns what was found so far. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/finding/Place.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/finding/SourceLocation.java
@@ -8,7 +8,7 @@
  * @param column counted from 1; 0 where there is none
  * @param path the field, such as {@code kinds[2].weight}
  */
-public record Place(String source, int line, int column, String path) {
+public record SourceLocation(String source, int line, int column, String path) {
     @Override
     public String toString() {
         String position = line > 0 ? source + ":" + line + ":" + column : source;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/FieldReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/FieldReader.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /**
  * Reads the fields of one object, collecting a finding for each that is missing, of the wrong type, out of range, or
@@ -18,14 +18,14 @@
  * is reported at once.
  */
 public final class FieldReader {
-    private static final double MILLISECONDS_OF_SECOND = 1000.0;
+    private static final double MILLIS_PER_SECOND = 1000.0;
 
     /** Stands for a URL that was not given or is malformed; nothing is asked there, since the findings end the start. */
-    private static final URI URL_INSTEAD = URI.create("http://127.0.0.1/");
+    private static final URI PLACEHOLDER_URL = URI.create("http://127.0.0.1/");
 
     private final LocatedValue.ObjectValue object;
     private final Findings findings;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> knownNames = new HashSet<>();
 
     public FieldReader(LocatedValue.ObjectValue object, Findings findings) {
         this.object = object;
@@ -33,37 +33,37 @@
     }
 
     /** Returns where the object stands. */
-    public Place place() {
-        return object.place();
+    public SourceLocation location() {
+        return object.location();
     }
 
     /** Returns where a field stands, or where the object does if the field is missing. */
-    public Place placeOf(String name) {
+    public SourceLocation locationOf(String name) {
         LocatedValue value = object.fields().get(name);
         if (value != null) {
-            return value.place();
+            return value.location();
         }
-        Place parent = object.place();
+        SourceLocation parent = object.location();
         String path = parent.path().isEmpty() ? name : parent.path() + "." + name;
-        return new Place(parent.source(), parent.line(), parent.column(), path);
+        return new SourceLocation(parent.source(), parent.line(), parent.column(), path);
     }
 
     /** Reads a string that must be there. */
     public String requiredText(String name) {
         Optional<String> text = optionalText(name);
         if (text.isEmpty() && !object.fields().containsKey(name)) {
-            findings.add(placeOf(name), "The field is missing.", "Add \"" + name + "\" with a text.");
+            findings.add(locationOf(name), "The field is missing.", "Add \"" + name + "\" with a text.");
         }
         return text.orElse("");
     }
 
     /** Reads a string that may be missing. */
     public Optional<String> optionalText(String name) {
-        return switch (take(name)) {
+        return switch (value(name)) {
             case null -> Optional.empty();
             case LocatedValue.TextValue text
             when text.text().isBlank() -> {
-                findings.add(text.place(), "The text is empty.", "Write a value or remove the field.");
+                findings.add(text.location(), "The text is empty.", "Write a value or remove the field.");
                 yield Optional.empty();
             }
             case LocatedValue.TextValue text -> Optional.of(text.text());
@@ -83,32 +83,32 @@
             // Reported below, like another scheme.
         }
         if (!text.isEmpty()) {
-            findings.add(placeOf(name), "The address is no HTTP URL.", "Write it as http://IP:PORT.");
+            findings.add(locationOf(name), "The address is no HTTP URL.", "Write it as http://IP:PORT.");
         }
-        return URL_INSTEAD;
+        return PLACEHOLDER_URL;
     }
 
     /** Reads a whole number within bounds; the fallback stands where the field is missing. */
-    public int integer(String name, int least, int most, int fallback) {
-        Optional<Double> number = number(name, least, most, true);
+    public int integer(String name, int min, int max, int fallback) {
+        Optional<Double> number = number(name, min, max, true);
         return number.map(Double::intValue).orElse(fallback);
     }
 
     /** Reads a number within bounds; the fallback stands where the field is missing. */
-    public double decimal(String name, double least, double most, double fallback) {
-        return number(name, least, most, false).orElse(fallback);
+    public double decimal(String name, double min, double max, double fallback) {
+        return number(name, min, max, false).orElse(fallback);
     }
 
     /** Reads a number of seconds within bounds, fractions allowed. */
-    public Duration seconds(String name, double least, double most, Duration fallback) {
-        Optional<Double> number = number(name, least, most, false);
-        return number.map(seconds -> Duration.ofMillis(Math.round(seconds * MILLISECONDS_OF_SECOND)))
+    public Duration seconds(String name, double min, double max, Duration fallback) {
+        Optional<Double> number = number(name, min, max, false);
+        return number.map(seconds -> Duration.ofMillis(Math.round(seconds * MILLIS_PER_SECOND)))
                 .orElse(fallback);
     }
 
     /** Reads a truth value; the fallback stands where the field is missing. */
-    public boolean truth(String name, boolean fallback) {
-        return switch (take(name)) {
+    public boolean bool(String name, boolean fallback) {
+        return switch (value(name)) {
             case null -> fallback;
             case LocatedValue.BooleanValue value -> value.value();
             case LocatedValue other ->
@@ -117,16 +117,18 @@
     }
 
     /** Adds a finding where a field that has no default is missing. */
-    public void require(String name, String example) {
+    public void requirePresent(String name, String example) {
         if (!object.fields().containsKey(name)) {
             findings.add(
-                    placeOf(name), "The field is missing.", "Add it, for example \"" + name + "\": " + example + ".");
+                    locationOf(name),
+                    "The field is missing.",
+                    "Add it, for example \"" + name + "\": " + example + ".");
         }
     }
 
     /** Reads an object that may be missing. */
     public Optional<FieldReader> object(String name) {
-        return switch (take(name)) {
+        return switch (value(name)) {
             case null -> Optional.empty();
             case LocatedValue.ObjectValue value -> Optional.of(new FieldReader(value, findings));
             case LocatedValue other -> wrongType(other, "an object in braces");
@@ -158,20 +160,21 @@
     }
 
     /** Adds a finding for every field that nobody asked for; call it last. */
-    public void refuseUnknownFields() {
+    public void rejectUnknownFields() {
         object.fields().forEach((name, value) -> {
-            if (!asked.contains(name)) {
-                findings.add(value.place(), "The field is not known.", "Remove it; known here: " + sortedNames() + ".");
+            if (!knownNames.contains(name)) {
+                findings.add(
+                        value.location(), "The field is not known.", "Remove it; known here: " + sortedNames() + ".");
             }
         });
     }
 
     private String sortedNames() {
-        return String.join(", ", asked.stream().sorted().toList());
+        return String.join(", ", knownNames.stream().sorted().toList());
     }
 
     private List<LocatedValue> items(String name) {
-        return switch (take(name)) {
+        return switch (value(name)) {
             case null -> List.of();
             case LocatedValue.ArrayValue array -> array.items();
             case LocatedValue other ->
@@ -180,15 +183,15 @@
         };
     }
 
-    private Optional<Double> number(String name, double least, double most, boolean integral) {
-        return switch (take(name)) {
+    private Optional<Double> number(String name, double min, double max, boolean integral) {
+        return switch (value(name)) {
             case null -> Optional.empty();
             case LocatedValue.NumberValue value
             when integral && !value.integral() -> wrongType(value, "a whole number");
             case LocatedValue.NumberValue value
-            when value.number() < least || value.number() > most -> {
-                String remedy = "Write a number from " + shown(least) + " to " + shown(most) + ".";
-                findings.add(value.place(), "The number " + shown(value.number()) + " is out of range.", remedy);
+            when value.number() < min || value.number() > max -> {
+                String remedy = "Write a number from " + format(min) + " to " + format(max) + ".";
+                findings.add(value.location(), "The number " + format(value.number()) + " is out of range.", remedy);
                 yield Optional.empty();
             }
             case LocatedValue.NumberValue value -> Optional.of(value.number());
@@ -196,17 +199,17 @@
         };
     }
 
-    private static String shown(double number) {
+    private static String format(double number) {
         return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 
     private <T> Optional<T> wrongType(LocatedValue value, String expected) {
-        findings.add(value.place(), "The value has the wrong type.", "Write " + expected + ".");
+        findings.add(value.location(), "The value has the wrong type.", "Write " + expected + ".");
         return Optional.empty();
     }
 
-    private LocatedValue take(String name) {
-        asked.add(name);
+    private LocatedValue value(String name) {
+        knownNames.add(name);
         return object.fields().get(name);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/LocatedJsonParser.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/LocatedJsonParser.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /** Reads JSON with comments and trailing commas into values that know their place. */
 public final class LocatedJsonParser {
@@ -36,66 +36,69 @@
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.nextToken();
             if (parser.currentToken() != JsonToken.START_OBJECT) {
-                findings.add(placeOf(parser, ""), "The text is not a JSON object.", "Start it with '{'.");
+                findings.add(locationOf(parser, ""), "The text is not a JSON object.", "Start it with '{'.");
                 return Optional.empty();
             }
             LocatedValue.ObjectValue value = readObject(parser, "");
             if (parser.nextToken() != null) {
-                findings.add(placeOf(parser, ""), "Text follows the object.", "Remove it.");
+                findings.add(locationOf(parser, ""), "Text follows the object.", "Remove it.");
             }
             return Optional.of(value);
         } catch (JsonProcessingException malformed) {
-            JsonLocation location = malformed.getLocation();
-            Place place = new Place(source, location.getLineNr(), location.getColumnNr(), "");
+            JsonLocation jsonLocation = malformed.getLocation();
+            SourceLocation location =
+                    new SourceLocation(source, jsonLocation.getLineNr(), jsonLocation.getColumnNr(), "");
             findings.add(
-                    place, "The text is not valid JSON: " + malformed.getOriginalMessage() + ".", "Mend the syntax.");
+                    location,
+                    "The text is not valid JSON: " + malformed.getOriginalMessage() + ".",
+                    "Mend the syntax.");
             return Optional.empty();
-        } catch (IOException impossibleForStrings) {
-            findings.add(new Place(source, 0, 0, ""), "The text could not be read.", "Try again.");
+        } catch (IOException impossible) {
+            findings.add(new SourceLocation(source, 0, 0, ""), "The text could not be read.", "Try again.");
             return Optional.empty();
         }
     }
 
     private LocatedValue readValue(JsonParser parser, String path) throws IOException {
-        Place place = placeOf(parser, path);
+        SourceLocation location = locationOf(parser, path);
         return switch (parser.currentToken()) {
             case START_OBJECT -> readObject(parser, path);
             case START_ARRAY -> readArray(parser, path);
-            case VALUE_NUMBER_INT -> new LocatedValue.NumberValue(place, parser.getDoubleValue(), true);
-            case VALUE_NUMBER_FLOAT -> new LocatedValue.NumberValue(place, parser.getDoubleValue(), false);
-            case VALUE_TRUE, VALUE_FALSE -> new LocatedValue.BooleanValue(place, parser.getBooleanValue());
-            case VALUE_NULL -> new LocatedValue.NullValue(place);
-            default -> new LocatedValue.TextValue(place, parser.getText());
+            case VALUE_NUMBER_INT -> new LocatedValue.NumberValue(location, parser.getDoubleValue(), true);
+            case VALUE_NUMBER_FLOAT -> new LocatedValue.NumberValue(location, parser.getDoubleValue(), false);
+            case VALUE_TRUE, VALUE_FALSE -> new LocatedValue.BooleanValue(location, parser.getBooleanValue());
+            case VALUE_NULL -> new LocatedValue.NullValue(location);
+            default -> new LocatedValue.TextValue(location, parser.getText());
         };
     }
 
     private LocatedValue.ObjectValue readObject(JsonParser parser, String path) throws IOException {
-        Place place = placeOf(parser, path);
+        SourceLocation location = locationOf(parser, path);
         Map<String, LocatedValue> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             String fieldPath = path.isEmpty() ? name : path + "." + name;
-            Place namePlace = placeOf(parser, fieldPath);
+            SourceLocation nameLocation = locationOf(parser, fieldPath);
             parser.nextToken();
             LocatedValue value = readValue(parser, fieldPath);
             if (fields.putIfAbsent(name, value) != null) {
-                findings.add(namePlace, "The field stands twice.", "Keep one of the two.");
+                findings.add(nameLocation, "The field stands twice.", "Keep one of the two.");
             }
         }
-        return new LocatedValue.ObjectValue(place, fields);
+        return new LocatedValue.ObjectValue(location, fields);
     }
 
     private LocatedValue.ArrayValue readArray(JsonParser parser, String path) throws IOException {
-        Place place = placeOf(parser, path);
+        SourceLocation location = locationOf(parser, path);
         List<LocatedValue> items = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             items.add(readValue(parser, path + "[" + items.size() + "]"));
         }
-        return new LocatedValue.ArrayValue(place, items);
+        return new LocatedValue.ArrayValue(location, items);
     }
 
-    private Place placeOf(JsonParser parser, String path) {
-        JsonLocation location = parser.currentTokenLocation();
-        return new Place(source, location.getLineNr(), location.getColumnNr(), path);
+    private SourceLocation locationOf(JsonParser parser, String path) {
+        JsonLocation jsonLocation = parser.currentTokenLocation();
+        return new SourceLocation(source, jsonLocation.getLineNr(), jsonLocation.getColumnNr(), path);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/LocatedValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/LocatedValue.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.Map;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /** A JSON value that knows where it stands. */
 public sealed interface LocatedValue {
     /** Returns where the value stands. */
-    Place place();
+    SourceLocation location();
 
     /**
      * An object; fields keep their order.
@@ -15,7 +15,7 @@
      * @param place where it starts
      * @param fields its fields by name
      */
-    record ObjectValue(Place place, Map<String, LocatedValue> fields) implements LocatedValue {}
+    record ObjectValue(SourceLocation location, Map<String, LocatedValue> fields) implements LocatedValue {}
 
     /**
      * An array.
@@ -23,7 +23,7 @@
      * @param place where it starts
      * @param items its items
      */
-    record ArrayValue(Place place, List<LocatedValue> items) implements LocatedValue {}
+    record ArrayValue(SourceLocation location, List<LocatedValue> items) implements LocatedValue {}
 
     /**
      * A string.
@@ -31,7 +31,7 @@
      * @param place where it stands
      * @param text its content
      */
-    record TextValue(Place place, String text) implements LocatedValue {}
+    record TextValue(SourceLocation location, String text) implements LocatedValue {}
 
     /**
      * A number.
@@ -40,7 +40,7 @@
      * @param number its value
      * @param integral whether it was written without fraction or exponent
      */
-    record NumberValue(Place place, double number, boolean integral) implements LocatedValue {}
+    record NumberValue(SourceLocation location, double number, boolean integral) implements LocatedValue {}
 
     /**
      * A truth value.
@@ -48,12 +48,12 @@
      * @param place where it stands
      * @param value its value
      */
-    record BooleanValue(Place place, boolean value) implements LocatedValue {}
+    record BooleanValue(SourceLocation location, boolean value) implements LocatedValue {}
 
     /**
      * A null.
      *
      * @param place where it stands
      */
-    record NullValue(Place place) implements LocatedValue {}
+    record NullValue(SourceLocation location) implements LocatedValue {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/SettingsFile.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/json/SettingsFile.java
@@ -13,7 +13,7 @@
  * their places at once.
  */
 public final class SettingsFile {
-    private static final String NAME = "The settings";
+    private static final String SUBJECT = "The settings";
 
     private SettingsFile() {}
 
@@ -34,11 +34,11 @@
     public static <T> T read(String source, String text, Findings findings, Function<FieldReader, T> fields)
             throws AspenmoorException {
         Optional<LocatedValue.ObjectValue> root = new LocatedJsonParser(source, findings).parseObject(text);
-        findings.throwIfAny(NAME);
+        findings.throwIfAny(SUBJECT);
         FieldReader reader = new FieldReader(root.orElseThrow(), findings);
         T settings = fields.apply(reader);
-        reader.refuseUnknownFields();
-        findings.throwIfAny(NAME);
+        reader.rejectUnknownFields();
+        findings.throwIfAny(SUBJECT);
         return settings;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
@@ -27,7 +27,7 @@
                 fields.integer("chunkTokens", 1, MOST_CHUNK_TOKENS, usual.chunkTokens()),
                 fields.decimal("transferSeconds", 0, 1, usual.transferSeconds()),
                 fields.decimal("transferTokensPerSecond", 1, MOST_TOKENS_PER_SECOND, usual.transferTokensPerSecond()));
-        fields.refuseUnknownFields();
+        fields.rejectUnknownFields();
         return read;
     }
 }
