--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
@@ -44,99 +44,99 @@
     }
 
     @Test
-    public void should_grant_a_new_key_once_and_give_its_outcome_to_repeats() {
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) claim(committer, "booth-4", "body");
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
+    public void should_grant_a_new_key_once_and_return_the_recorded_answer_to_retries() {
+        ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "booth-4", "body");
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
 
         record(committer, granted.ticket());
 
-        ClaimVerdict repeat = claim(committerOfOtherEntry, "booth-4", "body");
-        assertEquals(((ClaimVerdict.AlreadyAnswered) repeat).answer(), BOOKED);
+        ClaimDecision retry = claim(committerOfOtherEntry, "booth-4", "body");
+        assertEquals(((ClaimDecision.AlreadyAnswered) retry).answer(), BOOKED);
     }
 
     // A caller's library reuses a key for another booking. Answered with the first booking's outcome, the second would
     // seem to be booked and is not.
     @Test
-    public void should_refuse_another_body_under_the_same_key() {
+    public void should_refuse_when_a_key_is_reused_with_another_body() {
         claim(committer, "booth-4", "body");
 
-        assertTrue(claim(committerOfOtherEntry, "booth-4", "other body") instanceof ClaimVerdict.KeyReused);
+        assertTrue(claim(committerOfOtherEntry, "booth-4", "other body") instanceof ClaimDecision.KeyReused);
     }
 
     // A caller in a hurry sends its booking to two entries at the same moment. Both write; exactly one may dispatch.
     @Test
-    public void should_grant_a_key_at_one_of_two_entries_only() {
-        List<ClaimVerdict> ofOther = new ArrayList<>();
-        faults.beforeNextEffect(() -> ofOther.add(claim(committerOfOtherEntry, "booth-4", "body")));
+    public void should_grant_a_key_once_when_two_entries_claim_it_concurrently() {
+        List<ClaimDecision> decisionsOfOther = new ArrayList<>();
+        faults.beforeNextEffect(() -> decisionsOfOther.add(claim(committerOfOtherEntry, "booth-4", "body")));
 
-        ClaimVerdict verdict = claim(committer, "booth-4", "body");
+        ClaimDecision decision = claim(committer, "booth-4", "body");
 
-        assertTrue(ofOther.getFirst() instanceof ClaimVerdict.Granted);
-        assertTrue(verdict instanceof ClaimVerdict.StillUnknown);
+        assertTrue(decisionsOfOther.getFirst() instanceof ClaimDecision.Granted);
+        assertTrue(decision instanceof ClaimDecision.OutcomeUnknown);
     }
 
     // The store takes the claim and loses the answer. Taken for somebody else's, the call would be unknown for ever
     // although it never ran; taken for a failure, it would be claimed twice.
     @Test
-    public void should_recognise_its_own_claim_after_a_lost_answer() {
+    public void should_recognise_its_own_claim_when_the_store_answer_was_lost() {
         faults.nextWrite(StoreFault.ANSWER_LOST);
 
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
-        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
+        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
     }
 
     // A claim's write is held up and lands while it is tried again. One of the two takes effect, and the call is
     // granted
     // once.
     @Test
-    public void should_grant_once_when_a_held_up_claim_lands_during_the_next_try() {
+    public void should_grant_once_when_a_delayed_write_takes_effect_during_the_next_attempt() {
         faults.nextWrite(StoreFault.LANDS_LATE);
         faults.beforeNextEffect(() -> faults.beforeNextEffect(store::deliverLate));
 
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
     }
 
     // The store is out. A booking cannot be claimed, so it is refused at once and has certainly not run.
     @Test
-    public void should_refuse_as_not_run_while_the_store_is_out() {
+    public void should_refuse_as_not_run_when_the_store_is_unavailable() {
         faults.nextRead(StoreFault.UNAVAILABLE);
 
-        ClaimVerdict verdict = claim(committer, "booth-4", "body");
+        ClaimDecision decision = claim(committer, "booth-4", "body");
 
-        Duration comeBackAfter = ((ClaimVerdict.NotClaimed) verdict).comeBackAfter();
-        assertTrue(comeBackAfter.compareTo(Duration.ofSeconds(2)) >= 0);
-        assertTrue(comeBackAfter.compareTo(Duration.ofSeconds(4)) <= 0);
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
+        Duration retryAfter = ((ClaimDecision.NotClaimed) decision).retryAfter();
+        assertTrue(retryAfter.compareTo(Duration.ofSeconds(2)) >= 0);
+        assertTrue(retryAfter.compareTo(Duration.ofSeconds(4)) <= 0);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
     // The store goes out between a claim that took effect and the read that would have shown it. The caller is told
     // "not run"; when the store is back, the key must not be taken by a call that never ran.
     @Test
-    public void should_free_a_key_that_it_gave_up() {
+    public void should_release_the_key_when_an_unconfirmed_claim_was_refused() {
         claim(committer, "first", "body");
         faults.nextWrite(StoreFault.ANSWER_LOST);
         faults.nextRead(StoreFault.UNAVAILABLE);
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.NotClaimed);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.NotClaimed);
 
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
     // The entry is killed after the claim, before or after the dispatch or before the outcome is recorded. Nobody knows
     // whether the booking ran; every repeat is told so until the claim's life ends, and none runs it.
     @Test
-    public void should_stay_unknown_when_the_claimer_is_gone() {
+    public void should_answer_unknown_until_expiry_when_the_claiming_entry_terminated() {
         claim(committer, "booth-4", "body");
 
         for (int hour = 0; hour < 23; hour++) {
             time.advance(Duration.ofHours(1));
             ClaimCommitter restarted = committer(new ScriptedStoreFaults(), 10 + hour);
-            assertTrue(claim(restarted, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
+            assertTrue(claim(restarted, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
         }
     }
 
     @Test
-    public void should_forget_a_claim_after_its_life() throws StoreException {
+    public void should_remove_a_claim_when_its_retention_has_passed() throws StoreException {
         claim(committer, "booth-4", "body");
         time.advance(Duration.ofHours(24).plusSeconds(1));
 
@@ -147,31 +147,31 @@
 
     // An agent states that a claimed call never started. The caller is told "not run" and may repeat it under its key.
     @Test
-    public void should_free_the_key_of_a_call_that_never_started() {
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) claim(committer, "booth-4", "body");
+    public void should_release_the_key_when_the_call_never_started() {
+        ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "booth-4", "body");
 
-        committer.neverStarted(granted.ticket());
+        committer.recordNeverStarted(granted.ticket());
 
-        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimVerdict.Granted);
+        assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
     // The store is out when the outcome is to be recorded. It waits and is recorded later; a repeat meanwhile is told
     // that nobody knows.
     @Test
-    public void should_record_an_outcome_after_an_outage() {
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) claim(committer, "booth-4", "body");
+    public void should_record_an_outcome_when_the_store_is_available_again() {
+        ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "booth-4", "body");
         faults.nextWrite(StoreFault.UNAVAILABLE);
         record(committer, granted.ticket());
-        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimVerdict.StillUnknown);
+        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
 
         time.advance(ONE_BUCKET.outcomeDelay());
         committer.commitBatch();
 
-        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimVerdict.AlreadyAnswered);
+        assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimDecision.AlreadyAnswered);
     }
 
     @Test
-    public void should_write_once_for_all_claims_that_wait() {
+    public void should_write_once_for_all_waiting_claims() {
         for (int call = 0; call < 200; call++) {
             committer.submit(request("key-" + call, "body"));
         }
@@ -183,33 +183,33 @@
     }
 
     @Test
-    public void should_share_the_write_of_an_outcome_with_the_next_claim() {
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) claim(committer, "key-1", "body");
-        committer.answered(granted.ticket(), BOOKED);
+    public void should_write_an_outcome_together_with_the_next_claim() {
+        ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "key-1", "body");
+        committer.recordAnswer(granted.ticket(), BOOKED);
         assertFalse(committer.hasDueWork());
 
         claim(committer, "key-2", "body");
 
         assertEquals(store.writes(), 2);
-        assertTrue(claim(committerOfOtherEntry, "key-1", "body") instanceof ClaimVerdict.AlreadyAnswered);
+        assertTrue(claim(committerOfOtherEntry, "key-1", "body") instanceof ClaimDecision.AlreadyAnswered);
     }
 
     @Test
-    public void should_give_up_bodies_before_it_refuses_claims() throws StoreException {
+    public void should_drop_recorded_bodies_before_refusing_claims_when_the_bucket_is_full() throws StoreException {
         int granted = 0;
-        ClaimVerdict last = null;
-        for (int call = 0; call < 200 && !(last instanceof ClaimVerdict.NotClaimed); call++) {
+        ClaimDecision last = null;
+        for (int call = 0; call < 200 && !(last instanceof ClaimDecision.NotClaimed); call++) {
             last = claim(committer, "key-" + call, "body");
-            if (last instanceof ClaimVerdict.Granted grant) {
+            if (last instanceof ClaimDecision.Granted grant) {
                 granted++;
                 record(committer, grant.ticket());
             }
         }
 
-        assertTrue(last instanceof ClaimVerdict.NotClaimed);
+        assertTrue(last instanceof ClaimDecision.NotClaimed);
         assertTrue(granted > 60, "granted " + granted);
-        assertTrue(store.peek(BUCKET).orElseThrow().value().length() <= ONE_BUCKET.mostBucketCharacters());
-        assertTrue(claim(committerOfOtherEntry, "key-0", "body") instanceof ClaimVerdict.AlreadyAnswered);
+        assertTrue(store.peek(BUCKET).orElseThrow().value().length() <= ONE_BUCKET.maxBucketCharacters());
+        assertTrue(claim(committerOfOtherEntry, "key-0", "body") instanceof ClaimDecision.AlreadyAnswered);
         assertEquals(
                 bucket().find(request("key-0", "body").key().hash())
                         .orElseThrow()
@@ -218,15 +218,15 @@
     }
 
     @Test
-    public void should_refuse_when_too_many_wait() {
-        for (int call = 0; call < ONE_BUCKET.mostWaiting(); call++) {
+    public void should_refuse_when_too_many_claims_wait() {
+        for (int call = 0; call < ONE_BUCKET.maxWaiting(); call++) {
             assertTrue(committer.submit(request("key-" + call, "body")));
         }
         assertFalse(committer.submit(request("one too many", "body")));
     }
 
-    private ClaimCommitter committer(ScriptedStoreFaults ofDesk, long seed) {
-        return new ClaimCommitter(store.client(ofDesk), ONE_BUCKET, time, new Random(seed));
+    private ClaimCommitter committer(ScriptedStoreFaults faultsOfStore, long seed) {
+        return new ClaimCommitter(store.client(faultsOfStore), ONE_BUCKET, time, new Random(seed));
     }
 
     private ClaimRequest request(String key, String bodyDigest) {
@@ -234,15 +234,15 @@
         return new ClaimRequest(new RequestId(0, requests), new ClaimKey("seitkali", "studio-desk", key), bodyDigest);
     }
 
-    private ClaimVerdict claim(ClaimCommitter at, String key, String bodyDigest) {
-        at.submit(request(key, bodyDigest));
-        return at.commitBatch().getLast();
+    private ClaimDecision claim(ClaimCommitter by, String key, String bodyDigest) {
+        by.submit(request(key, bodyDigest));
+        return by.commitBatch().getLast();
     }
 
-    private void record(ClaimCommitter at, ClaimTicket ticket) {
-        at.answered(ticket, BOOKED);
+    private void record(ClaimCommitter by, ClaimTicket ticket) {
+        by.recordAnswer(ticket, BOOKED);
         time.advance(ONE_BUCKET.outcomeDelay());
-        at.commitBatch();
+        by.commitBatch();
     }
 
     private ClaimBucket bucket() throws StoreException {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCostTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCostTest.java
@@ -21,33 +21,33 @@
     private static final RecordedAnswer BOOKED = new RecordedAnswer(201, "text/plain", Optional.empty(), "digest");
 
     @DataProvider
-    public Object[][] callsOfRoundAndWrites() {
+    public Object[][] callsPerRoundAndWrites() {
         return new Object[][] {{1, 291}, {4, 546}, {16, 791}, {64, 800}};
     }
 
     @Test(dataProvider = "callsOfRoundAndWrites")
-    public void should_share_writes_as_load_grows(int callsOfRound, int expectedWrites) {
+    public void should_share_writes_when_load_grows(int callsPerRound, int expectedWrites) {
         ManualTimeSource time = new ManualTimeSource();
         FakeStore store = new FakeStore();
         ClaimCommitter committer =
                 new ClaimCommitter(store.client(StoreCallFaults.NONE), ClaimSettings.DEFAULT, time, new Random(11));
         List<ClaimTicket> running = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
-            for (int call = 0; call < callsOfRound; call++) {
+            for (int call = 0; call < callsPerRound; call++) {
                 ClaimKey key = new ClaimKey("seitkali", "studio-desk", round + "-" + call);
                 committer.submit(new ClaimRequest(new RequestId(round, call), key, "body"));
             }
-            running.forEach(ticket -> committer.answered(ticket, BOOKED));
+            running.forEach(ticket -> committer.recordAnswer(ticket, BOOKED));
             running.clear();
             while (committer.hasDueWork()) {
-                for (ClaimVerdict verdict : committer.commitBatch()) {
-                    running.add(((ClaimVerdict.Granted) verdict).ticket());
+                for (ClaimDecision decision : committer.commitBatch()) {
+                    running.add(((ClaimDecision.Granted) decision).ticket());
                 }
             }
             time.advance(ROUND);
         }
 
-        assertEquals(running.size(), callsOfRound);
+        assertEquals(running.size(), callsPerRound);
         assertEquals(store.writes(), expectedWrites);
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DisseminationTreeTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DisseminationTreeTest.java
@@ -14,15 +14,15 @@
     private static final int RELAYS = 3;
     private static final int FORWARDERS = 6;
 
-    private final RelayChoice relayChoice = new RelayChoice(RELAYS);
-    private final DisseminationTree tree = new DisseminationTree(relayChoice, FORWARDERS);
+    private final RelaySelector relaySelector = new RelaySelector(RELAYS);
+    private final DisseminationTree tree = new DisseminationTree(relaySelector, FORWARDERS);
 
     @Test
     public void should_push_to_each_entry_of_the_data_centre_exactly_once() {
         List<EntryMember> entries = fleet(9, 44);
         Map<String, Integer> pushes = new HashMap<>();
 
-        entries.forEach(entry -> tree.ofEntry(entry, entries, List.of())
+        entries.forEach(entry -> tree.neighboursOfEntry(entry, entries, List.of())
                 .pushTargets()
                 .forEach(target -> pushes.merge(target, 1, Integer::sum)));
 
@@ -31,21 +31,23 @@
     }
 
     @Test
-    public void should_bound_how_many_each_entry_pushes_to() {
+    public void should_bound_the_push_targets_of_each_entry() {
         List<EntryMember> entries = fleet(9, 44);
 
         for (EntryMember entry : entries) {
-            int targets = tree.ofEntry(entry, entries, List.of()).pushTargets().size();
+            int targets = tree.neighboursOfEntry(entry, entries, List.of())
+                    .pushTargets()
+                    .size();
             assertTrue(targets <= 8, entry + " pushes to " + targets);
         }
     }
 
     @Test
-    public void should_link_entries_without_a_mesh() {
+    public void should_link_entries_without_a_full_mesh() {
         List<EntryMember> entries = fleet(9, 44);
         int links = 0;
         for (EntryMember entry : entries) {
-            links += tree.ofEntry(entry, entries, List.of()).links().size();
+            links += tree.neighboursOfEntry(entry, entries, List.of()).links().size();
         }
 
         assertTrue(links <= entries.size() * 12, "links: " + links);
@@ -54,23 +56,23 @@
     // A relay's host fails. If every entry then chose anew, all watches would begin again at one moment and fill the
     // store's budget just when changes have to get through.
     @Test
-    public void should_replace_only_the_relay_that_left() {
+    public void should_replace_only_the_failed_relay_when_a_relay_fails() {
         List<EntryMember> entries = fleet(1, 44);
-        List<String> before = relayChoice.relays("dc-0", entries);
+        List<String> before = relaySelector.relays("dc-0", entries);
 
         List<EntryMember> remaining = new ArrayList<>(entries);
         remaining.removeIf(entry -> entry.process().equals(before.getFirst()));
-        List<String> after = relayChoice.relays("dc-0", remaining);
+        List<String> after = relaySelector.relays("dc-0", remaining);
 
         assertEquals(after.subList(0, RELAYS - 1), before.subList(1, RELAYS));
         assertEquals(after.size(), RELAYS);
     }
 
     @Test
-    public void should_work_with_a_single_entry() {
+    public void should_push_to_agents_when_there_is_a_single_entry() {
         List<EntryMember> entries = fleet(1, 1);
 
-        Neighbours neighbours = tree.ofEntry(entries.getFirst(), entries, List.of("agent-1"));
+        Neighbours neighbours = tree.neighboursOfEntry(entries.getFirst(), entries, List.of("agent-1"));
 
         assertTrue(neighbours.relay());
         assertEquals(neighbours.pushTargets(), List.of("agent-1"));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeRandomisedTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeRandomisedTest.java
@@ -18,11 +18,11 @@
     private static final int ENTRIES_PER_DATA_CENTRE = 7;
     private static final int DOCUMENTS = 40;
     private static final int FAULTY_STEPS = 3000;
-    private static final int MOST_IN_FLIGHT = 2000;
+    private static final int MAX_IN_FLIGHT = 2000;
     private static final Duration STEP = Duration.ofMillis(50);
-    private static final Duration QUIET = Duration.ofSeconds(30);
+    private static final Duration FAULT_FREE_TIME = Duration.ofSeconds(30);
 
-    private final DisseminationTree tree = new DisseminationTree(new RelayChoice(2), 2);
+    private final DisseminationTree tree = new DisseminationTree(new RelaySelector(2), 2);
 
     @DataProvider
     public Object[][] seeds() {
@@ -37,12 +37,12 @@
     // are
     // replaced at any moment. A caller would notice a process that goes back to an old document, or never gets the new.
     @Test(dataProvider = "seeds")
-    public void should_never_revert_and_should_converge_once_messages_arrive_again(long seed) {
+    public void should_never_revert_and_should_converge_when_faults_stop(long seed) {
         Run run = new Run(seed);
         for (int step = 0; step < FAULTY_STEPS; step++) {
             run.faultyStep();
         }
-        run.quietSteps((int) QUIET.dividedBy(STEP));
+        run.faultFreeSteps((int) FAULT_FREE_TIME.dividedBy(STEP));
         run.assertConverged();
     }
 
@@ -52,7 +52,7 @@
         private final List<EntryMember> members = new ArrayList<>();
         private final Map<String, DocumentExchange> exchanges = new TreeMap<>();
         private final Map<String, Map<DocumentKey, Long>> inForce = new HashMap<>();
-        private final List<Flight> flights = new ArrayList<>();
+        private final List<MessageInFlight> messagesInFlight = new ArrayList<>();
         private final long[] accepted = new long[DOCUMENTS];
 
         Run(long seed) {
@@ -73,17 +73,17 @@
             if (random.nextInt(200) == 0) {
                 start(members.get(random.nextInt(members.size())));
             }
-            for (int delivery = random.nextInt(40); delivery > 0 && !flights.isEmpty(); delivery--) {
-                deliverFaultily();
+            for (int delivery = random.nextInt(40); delivery > 0 && !messagesInFlight.isEmpty(); delivery--) {
+                deliverWithFaults();
             }
             tickAll();
         }
 
-        void quietSteps(int steps) {
+        void faultFreeSteps(int steps) {
             for (int step = 0; step < steps; step++) {
                 time.advance(STEP);
-                for (int waiting = flights.size(); waiting > 0; waiting--) {
-                    deliver(flights.removeFirst());
+                for (int waiting = messagesInFlight.size(); waiting > 0; waiting--) {
+                    deliver(messagesInFlight.removeFirst());
                 }
                 tickAll();
             }
@@ -102,43 +102,45 @@
             int index = random.nextInt(DOCUMENTS);
             accepted[index]++;
             for (EntryMember member : members) {
-                boolean relay = tree.ofEntry(member, members, List.of()).relay();
+                boolean relay =
+                        tree.neighboursOfEntry(member, members, List.of()).relay();
                 if (relay && random.nextInt(3) > 0) {
                     long revision = 1 + random.nextLong(accepted[index]);
-                    KnownDocument document = document(index, random.nextBoolean() ? accepted[index] : revision);
-                    Arrival arrival = random.nextInt(4) == 0 ? Arrival.LISTING : Arrival.WATCH_EVENT;
-                    send(member.process(), exchanges.get(member.process()).learnedFromStore(document, arrival));
+                    DocumentRevision document = document(index, random.nextBoolean() ? accepted[index] : revision);
+                    StoreUpdateSource arrival =
+                            random.nextInt(4) == 0 ? StoreUpdateSource.LISTING : StoreUpdateSource.WATCH_EVENT;
+                    send(member.process(), exchanges.get(member.process()).receivedFromStore(document, arrival));
                 }
             }
         }
 
-        private void deliverFaultily() {
-            Flight flight = flights.get(random.nextInt(flights.size()));
-            int fate = random.nextInt(10);
-            if (fate > 0) {
-                flights.remove(flight);
+        private void deliverWithFaults() {
+            MessageInFlight message = messagesInFlight.get(random.nextInt(messagesInFlight.size()));
+            int roll = random.nextInt(10);
+            if (roll > 0) {
+                messagesInFlight.remove(message);
             }
-            if (fate < 8) {
-                deliver(flight);
+            if (roll < 8) {
+                deliver(message);
             }
         }
 
-        private void deliver(Flight flight) {
-            String peer = flight.outgoing().peer();
+        private void deliver(MessageInFlight message) {
+            String peer = message.outgoing().peer();
             send(
                     peer,
                     exchanges
                             .get(peer)
-                            .received(flight.from(), flight.outgoing().message()));
+                            .received(message.from(), message.outgoing().message()));
         }
 
         private void tickAll() {
             exchanges.forEach((process, exchange) -> send(process, exchange.tick()));
-            assertTrue(flights.size() < MOST_IN_FLIGHT, "messages in flight: " + flights.size());
+            assertTrue(messagesInFlight.size() < MAX_IN_FLIGHT, "messages in flight: " + messagesInFlight.size());
         }
 
-        private void send(String from, List<Outgoing> outgoing) {
-            outgoing.forEach(message -> flights.add(new Flight(from, message)));
+        private void send(String from, List<AddressedMessage> outgoing) {
+            outgoing.forEach(message -> messagesInFlight.add(new MessageInFlight(from, message)));
         }
 
         private void start(EntryMember member) {
@@ -147,22 +149,22 @@
                     ExchangeSettings.defaults(),
                     time,
                     new Random(random.nextLong()),
-                    document -> assertForward(member.process(), document));
-            exchange.neighboursChanged(tree.ofEntry(member, members, List.of()));
+                    document -> assertNewer(member.process(), document));
+            exchange.neighboursChanged(tree.neighboursOfEntry(member, members, List.of()));
             exchanges.put(member.process(), exchange);
         }
 
-        private void assertForward(String process, KnownDocument document) {
+        private void assertNewer(String process, DocumentRevision document) {
             Long before =
                     inForce.computeIfAbsent(process, name -> new HashMap<>()).put(document.key(), document.revision());
             assertTrue(before == null || before < document.revision(), process + " went back to " + document);
         }
 
-        private KnownDocument document(int index, long revision) {
-            return new KnownDocument(
+        private DocumentRevision document(int index, long revision) {
+            return new DocumentRevision(
                     new DocumentKey("team-" + index, "drafting"), revision, "{\"r\":" + revision + "}");
         }
     }
 
-    private record Flight(String from, Outgoing outgoing) {}
+    private record MessageInFlight(String from, AddressedMessage outgoing) {}
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/ExchangeFleet.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/ExchangeFleet.java
@@ -25,10 +25,10 @@
     private final List<EntryMember> members = new ArrayList<>();
     private final Map<String, DocumentExchange> exchanges = new LinkedHashMap<>();
     private final Map<String, Map<DocumentKey, Long>> inForce = new HashMap<>();
-    private final Set<String> cutOff = new HashSet<>();
-    private final Deque<Flight> flights = new ArrayDeque<>();
-    private final RelayChoice relayChoice = new RelayChoice(RELAYS);
-    private final DisseminationTree tree = new DisseminationTree(relayChoice, FORWARDERS);
+    private final Set<String> disconnected = new HashSet<>();
+    private final Deque<MessageInFlight> messagesInFlight = new ArrayDeque<>();
+    private final RelaySelector relaySelector = new RelaySelector(RELAYS);
+    private final DisseminationTree tree = new DisseminationTree(relaySelector, FORWARDERS);
     private int delivered;
 
     ExchangeFleet(String dataCentre, int entries) {
@@ -40,60 +40,61 @@
             members.add(new EntryMember(dataCentre + "-entry-" + index, dataCentre));
         }
         members.forEach(member -> exchanges.computeIfAbsent(member.process(), this::start));
-        giveNeighbours();
+        updateNeighbours();
     }
 
     /** Replaces a process by a fresh one that knows nothing. */
     void restart(String process) {
         inForce.remove(process);
         exchanges.put(process, start(process));
-        giveNeighbours();
+        updateNeighbours();
     }
 
     /** Ends a process; the others notice in their view. */
     void kill(String process) {
         members.removeIf(member -> member.process().equals(process));
         exchanges.remove(process);
-        giveNeighbours();
+        updateNeighbours();
     }
 
-    void cutOff(String process) {
-        cutOff.add(process);
+    void disconnect(String process) {
+        disconnected.add(process);
     }
 
-    void heal(String process) {
-        cutOff.remove(process);
+    void reconnect(String process) {
+        disconnected.remove(process);
     }
 
     List<String> relays(String dataCentre) {
-        return relayChoice.relays(dataCentre, members);
+        return relaySelector.relays(dataCentre, members);
     }
 
     String leaf(String dataCentre) {
-        return relayChoice.rank(dataCentre, members).getLast();
+        return relaySelector.rank(dataCentre, members).getLast();
     }
 
     List<String> processes() {
         return List.copyOf(exchanges.keySet());
     }
 
-    DocumentExchange at(String process) {
+    DocumentExchange exchangeOf(String process) {
         return exchanges.get(process);
     }
 
-    void watchEvent(String relay, KnownDocument document) {
-        send(relay, at(relay).learnedFromStore(document, Arrival.WATCH_EVENT));
+    void watchEvent(String relay, DocumentRevision document) {
+        send(relay, exchangeOf(relay).receivedFromStore(document, StoreUpdateSource.WATCH_EVENT));
         deliverAll();
     }
 
-    void listing(String relay, List<KnownDocument> documents) {
-        at(relay).watchBegins();
-        documents.forEach(document -> send(relay, at(relay).learnedFromStore(document, Arrival.LISTING)));
+    void listing(String relay, List<DocumentRevision> documents) {
+        exchangeOf(relay).watchStarting();
+        documents.forEach(
+                document -> send(relay, exchangeOf(relay).receivedFromStore(document, StoreUpdateSource.LISTING)));
         deliverAll();
     }
 
     void receive(String process, String sender, DisseminationMessage message) {
-        send(process, at(process).received(sender, message));
+        send(process, exchangeOf(process).received(sender, message));
         deliverAll();
     }
 
@@ -101,26 +102,26 @@
     void run(Duration span) {
         for (long ticks = span.dividedBy(TICK); ticks > 0; ticks--) {
             time.advance(TICK);
-            processes().forEach(process -> send(process, at(process).tick()));
+            processes().forEach(process -> send(process, exchangeOf(process).tick()));
             deliverAll();
         }
     }
 
     /** Returns whom a process compares with while nobody answers it. */
-    List<String> peersAsked(String process, Duration span) {
+    List<String> peersCompared(String process, Duration span) {
         List<String> peers = new ArrayList<>();
         for (long ticks = span.dividedBy(TICK); ticks > 0; ticks--) {
-            at(process).tick().forEach(message -> peers.add(message.peer()));
+            exchangeOf(process).tick().forEach(message -> peers.add(message.peer()));
             time.advance(TICK);
         }
         return peers;
     }
 
     long revisionAt(String process, DocumentKey key) {
-        return at(process).find(key).map(KnownDocument::revision).orElse(0L);
+        return exchangeOf(process).find(key).map(DocumentRevision::revision).orElse(0L);
     }
 
-    boolean everyoneHas(DocumentKey key, long revision) {
+    boolean allHold(DocumentKey key, long revision) {
         return processes().stream().allMatch(process -> revisionAt(process, key) == revision);
     }
 
@@ -133,34 +134,35 @@
                 ExchangeSettings.defaults(),
                 time,
                 new Random(StableHash.of(process)),
-                document -> note(process, document));
+                document -> recordInForce(process, document));
     }
 
-    private void note(String process, KnownDocument document) {
+    private void recordInForce(String process, DocumentRevision document) {
         Long before =
                 inForce.computeIfAbsent(process, name -> new HashMap<>()).put(document.key(), document.revision());
         assertTrue(before == null || before <= document.revision(), process + " went back to " + document);
     }
 
-    private void giveNeighbours() {
-        members.forEach(member -> at(member.process()).neighboursChanged(tree.ofEntry(member, members, List.of())));
+    private void updateNeighbours() {
+        members.forEach(member ->
+                exchangeOf(member.process()).neighboursChanged(tree.neighboursOfEntry(member, members, List.of())));
     }
 
-    private void send(String from, List<Outgoing> outgoing) {
-        outgoing.forEach(message -> flights.add(new Flight(from, message)));
+    private void send(String from, List<AddressedMessage> outgoing) {
+        outgoing.forEach(message -> messagesInFlight.add(new MessageInFlight(from, message)));
     }
 
     private void deliverAll() {
-        while (!flights.isEmpty()) {
-            Flight flight = flights.remove();
-            String to = flight.outgoing().peer();
-            if (cutOff.contains(flight.from()) || cutOff.contains(to) || !exchanges.containsKey(to)) {
+        while (!messagesInFlight.isEmpty()) {
+            MessageInFlight message = messagesInFlight.remove();
+            String to = message.outgoing().peer();
+            if (disconnected.contains(message.from()) || disconnected.contains(to) || !exchanges.containsKey(to)) {
                 continue;
             }
             delivered++;
-            send(to, at(to).received(flight.from(), flight.outgoing().message()));
+            send(to, exchangeOf(to).received(message.from(), message.outgoing().message()));
         }
     }
 
-    private record Flight(String from, Outgoing outgoing) {}
+    private record MessageInFlight(String from, AddressedMessage outgoing) {}
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/SubsetChoiceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/SubsetSelectorTest.java
@@ -12,11 +12,11 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class SubsetChoiceTest {
-    private static final int LEAST_ENTRIES = 3;
-    private static final int LEAST_AGENTS = 4;
+public class SubsetSelectorTest {
+    private static final int MIN_ENTRIES = 3;
+    private static final int MIN_AGENTS = 4;
 
-    private final SubsetChoice choice = new SubsetChoice(LEAST_ENTRIES, LEAST_AGENTS);
+    private final SubsetSelector selector = new SubsetSelector(MIN_ENTRIES, MIN_AGENTS);
 
     @DataProvider
     public Object[][] sizes() {
@@ -28,21 +28,21 @@
         List<String> entryNames = names("entry", entries);
         List<String> agentNames = names("agent", agents);
 
-        SubsetAssignment assignment = choice.choose(entryNames, agentNames);
+        SubsetAssignment assignment = selector.choose(entryNames, agentNames);
 
-        int wanted = Math.min(entries, Math.max(LEAST_ENTRIES, Math.ceilDiv(entries * LEAST_AGENTS, agents)));
-        int most = Math.max(LEAST_AGENTS, (int) Math.ceil(1.25 * agents * wanted / entries));
+        int entriesPerAgent = Math.min(entries, Math.max(MIN_ENTRIES, Math.ceilDiv(entries * MIN_AGENTS, agents)));
+        int maxAgents = Math.max(MIN_AGENTS, (int) Math.ceil(1.25 * agents * entriesPerAgent / entries));
         for (String agent : agentNames) {
-            assertTrue(assignment.entriesOf(agent).size() >= Math.min(LEAST_ENTRIES, entries), agent);
+            assertTrue(assignment.entriesOf(agent).size() >= Math.min(MIN_ENTRIES, entries), agent);
         }
         for (String entry : entryNames) {
             int links = assignment.agentsOf(entry).size();
-            assertTrue(links >= Math.min(LEAST_AGENTS, agents) && links <= most, entry + " has " + links);
+            assertTrue(links >= Math.min(MIN_AGENTS, agents) && links <= maxAgents, entry + " has " + links);
         }
     }
 
     @Test
-    public void should_choose_alike_whatever_the_order_of_the_view() {
+    public void should_select_the_same_links_when_the_view_is_in_another_order() {
         List<String> entries = names("entry", 44);
         List<String> agents = names("agent", 20);
         List<String> shuffled = new ArrayList<>(entries);
@@ -54,40 +54,40 @@
     // An entry host fails, as one does every hour. Each link that moves besides its own costs a connection and the load
     // view behind it, and callers meet entries that know little of the engines.
     @Test
-    public void should_move_few_links_when_one_entry_leaves() {
+    public void should_create_few_new_links_when_one_entry_leaves() {
         List<String> entries = names("entry", 44);
         List<String> agents = names("agent", 200);
         Set<String> before = links(entries, agents);
 
-        int moved = 0;
+        int created = 0;
         for (String leaving : entries) {
             List<String> remaining = new ArrayList<>(entries);
             remaining.remove(leaving);
             Set<String> fresh = links(remaining, agents);
             fresh.removeAll(before);
-            moved += fresh.size();
+            created += fresh.size();
         }
 
         int leavingLinks = before.size();
-        assertTrue(moved < 2 * leavingLinks, moved + " new links for " + leavingLinks + " lost ones");
+        assertTrue(created < 2 * leavingLinks, created + " new links for " + leavingLinks + " lost ones");
     }
 
     @Test
-    public void should_give_each_agent_exactly_one_entry_that_tells_it_first() {
+    public void should_give_each_agent_exactly_one_primary_entry() {
         List<String> entries = names("entry", 10);
         List<String> agents = names("agent", 30);
-        SubsetAssignment assignment = choice.choose(entries, agents);
+        SubsetAssignment assignment = selector.choose(entries, agents);
 
-        List<String> told = new ArrayList<>();
-        entries.forEach(entry -> told.addAll(assignment.firstAgentsOf(entry)));
+        List<String> primaryAgents = new ArrayList<>();
+        entries.forEach(entry -> primaryAgents.addAll(assignment.primaryAgentsOf(entry)));
 
-        Collections.sort(told);
+        Collections.sort(primaryAgents);
         Collections.sort(agents);
-        assertEquals(told, agents);
+        assertEquals(primaryAgents, agents);
     }
 
     private Set<String> links(List<String> entries, List<String> agents) {
-        SubsetAssignment assignment = choice.choose(entries, agents);
+        SubsetAssignment assignment = selector.choose(entries, agents);
         Set<String> links = new HashSet<>();
         agents.forEach(agent -> assignment.entriesOf(agent).forEach(entry -> links.add(entry + " " + agent)));
         return links;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    public void should_count_revisions_up_and_record_who_when_and_what() throws AspenmoorException {
+    public void should_increment_the_revision_and_record_operator_time_and_changes() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         AcceptedDocument second = accept(SECOND, 1, "bolat");
 
@@ -42,13 +42,13 @@
         List<StoredDocument> history = acceptance.history(NAME, 10);
         assertEquals(history.size(), 2);
         Acceptance recorded = acceptance.revision(NAME, 2).acceptance().orElseThrow();
-        assertEquals(recorded.by(), "bolat");
-        assertEquals(recorded.at(), new ManualTimeSource().timeOfDay());
+        assertEquals(recorded.operator(), "bolat");
+        assertEquals(recorded.acceptedAt(), new ManualTimeSource().timeOfDay());
         assertEquals(recorded.changes(), List.of("Model scene-drafter goes from version 3 to 4."));
     }
 
     @Test
-    public void should_count_no_revision_for_the_same_declaration() throws AspenmoorException {
+    public void should_keep_the_revision_when_the_declaration_is_unchanged() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
 
         AcceptedDocument again = accept("// only a comment\n" + DocumentTexts.DRAFTING, 1, "bolat");
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void should_report_all_mistakes_and_write_nothing() {
+    public void should_report_all_mistakes_and_write_nothing_when_the_text_is_invalid() {
         String text = DocumentTexts.DRAFTING
                 .replace("\"service\"", "\"revision\": 7, \"service\"")
                 .replace("\"weight\": 5", "\"weight\": 0");
@@ -66,40 +66,43 @@
         FindingsException refused = expectThrows(FindingsException.class, () -> accept(text, 0, "aigul"));
 
         assertEquals(refused.findings().size(), 2);
-        assertTrue(store.memory().read(StoredDocuments.documentKey(NAME)).isEmpty());
+        assertTrue(store.memory().read(StoredDocumentCodec.documentKey(NAME)).isEmpty());
     }
 
     @DataProvider
-    public Object[][] moments_of_the_race() {
+    public Object[][] writes_preceded_by_a_concurrent_change() {
         return new Object[][] {{1}, {2}};
     }
 
     @Test(dataProvider = "moments_of_the_race")
-    public void should_tell_the_loser_of_a_race_what_changed(int write) throws AspenmoorException {
+    public void should_report_the_other_changes_when_a_concurrent_change_is_accepted_first(int write)
+            throws AspenmoorException {
         // Two operators read revision 1 and accept at one moment; the second one's change comes between the first one's
         // reading and one of her writes. Without the condition one of the changes would be lost without a word.
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         store.beforeWrite(write, () -> acceptUnchecked(SECOND, 1, "bolat"));
 
-        DocumentConflictException lost = expectThrows(DocumentConflictException.class, () -> accept(THIRD, 1, "aigul"));
+        DocumentConflictException conflict =
+                expectThrows(DocumentConflictException.class, () -> accept(THIRD, 1, "aigul"));
 
-        assertEquals(lost.currentRevision(), 2L);
-        assertEquals(lost.changesMeanwhile(), List.of("Model scene-drafter goes from version 3 to 4."));
+        assertEquals(conflict.currentRevision(), 2L);
+        assertEquals(conflict.changesMeanwhile(), List.of("Model scene-drafter goes from version 3 to 4."));
         assertEquals(
-                acceptance.read(NAME).orElseThrow().acceptance().orElseThrow().by(), "bolat");
+                acceptance.read(NAME).orElseThrow().acceptance().orElseThrow().operator(), "bolat");
     }
 
     @Test
-    public void should_refuse_a_change_made_on_an_old_revision() throws AspenmoorException {
+    public void should_refuse_a_change_when_it_is_based_on_an_old_revision() throws AspenmoorException {
         // An operator's file was made from revision 1, and revision 2 was accepted hours ago. Accepted all the same,
         // the
         // old file would undo the second change, and the revision would not move forward.
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         accept(SECOND, 1, "bolat");
 
-        DocumentConflictException late = expectThrows(DocumentConflictException.class, () -> accept(THIRD, 1, "aigul"));
+        DocumentConflictException conflict =
+                expectThrows(DocumentConflictException.class, () -> accept(THIRD, 1, "aigul"));
 
-        assertEquals(late.changesMeanwhile(), List.of("Model scene-drafter goes from version 3 to 4."));
+        assertEquals(conflict.changesMeanwhile(), List.of("Model scene-drafter goes from version 3 to 4."));
         assertEquals(acceptance.read(NAME).orElseThrow().document().revision(), 2L);
     }
 
@@ -115,7 +118,8 @@
     }
 
     @Test(dataProvider = "lost_writes")
-    public void should_settle_a_lost_answer(List<Fault> faults) throws AspenmoorException {
+    public void should_report_the_change_as_accepted_when_the_store_answer_was_lost(List<Fault> faults)
+            throws AspenmoorException {
         // The answer to the conditional update is lost, once before and once after it took effect. Taken as a failure,
         // the operator would be told of a conflict with a change that is her own.
         accept(DocumentTexts.DRAFTING, 0, "aigul");
@@ -128,7 +132,7 @@
     }
 
     @Test
-    public void should_recognise_its_own_change_under_a_later_one() throws AspenmoorException {
+    public void should_recognise_its_own_change_when_a_later_change_replaced_it() throws AspenmoorException {
         // The answer is lost after the write took effect, and another operator accepts the next revision before the
         // retry. The document no longer carries the nonce; the history does.
         accept(DocumentTexts.DRAFTING, 0, "aigul");
@@ -142,12 +146,12 @@
     }
 
     @Test
-    public void should_not_deny_a_change_on_the_word_of_a_stale_replica() throws AspenmoorException {
+    public void should_report_an_unknown_outcome_when_a_lagging_replica_answers() throws AspenmoorException {
         // The answer is lost after the write took effect, the retry conflicts, and the read that should settle it comes
         // from a replica that lags. The operator would be told that nothing was written, and see her change in force.
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         StoredObject earlier =
-                store.memory().read(StoredDocuments.documentKey(NAME)).orElseThrow();
+                store.memory().read(StoredDocumentCodec.documentKey(NAME)).orElseThrow();
         store.failNextWrites(List.of(Fault.NONE, Fault.ANSWER_LOST));
         store.beforeWrite(3, () -> store.answerReadsWith(earlier));
 
@@ -155,7 +159,7 @@
     }
 
     @Test
-    public void should_say_that_nothing_is_known_when_the_store_stays_silent() throws AspenmoorException {
+    public void should_report_an_unknown_outcome_when_the_store_does_not_answer_again() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         store.failNextWrites(
                 List.of(Fault.NONE, Fault.ANSWER_LOST, Fault.UNAVAILABLE, Fault.UNAVAILABLE, Fault.UNAVAILABLE));
@@ -164,7 +168,7 @@
     }
 
     @Test
-    public void should_say_that_nothing_was_written_when_the_store_is_down() throws AspenmoorException {
+    public void should_report_that_nothing_was_written_when_the_store_is_unavailable() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         store.failNextWrites(List.of(Fault.NONE, Fault.UNAVAILABLE));
 
@@ -185,7 +189,7 @@
     }
 
     @Test(dataProvider = "kills")
-    public void should_leave_no_gap_in_the_history_when_killed(List<Fault> faults, long revisionLeft)
+    public void should_leave_no_gap_in_the_history_when_the_process_is_killed(List<Fault> faults, long revisionLeft)
             throws AspenmoorException {
         // The entry is killed before or after any of the three writes of an acceptance. A user would notice a change in
         // force that nobody is on record for, or a record of a change that never came.
@@ -202,28 +206,28 @@
         for (long revision = 1; revision <= current + 1; revision++) {
             assertTrue(
                     store.memory()
-                            .read(StoredDocuments.revisionKey(NAME, revision))
+                            .read(StoredDocumentCodec.revisionKey(NAME, revision))
                             .isPresent(),
                     "revision " + revision);
         }
         assertFalse(store.memory()
-                .read(StoredDocuments.revisionKey(NAME, current + 2))
+                .read(StoredDocumentCodec.revisionKey(NAME, current + 2))
                 .isPresent());
     }
 
     @Test
-    public void should_revert_as_a_new_revision() throws AspenmoorException {
+    public void should_create_a_new_revision_when_reverting() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         accept(SECOND, 1, "aigul");
 
         AcceptedDocument reverted = acceptance.revert(NAME, 1, 2, "bolat");
 
         assertEquals(reverted.stored().document().revision(), 3L);
-        assertEquals(reverted.difference().sentences(), List.of("Model scene-drafter goes from version 4 to 3."));
+        assertEquals(reverted.difference().descriptions(), List.of("Model scene-drafter goes from version 4 to 3."));
     }
 
     @Test
-    public void should_keep_a_bounded_history() throws AspenmoorException {
+    public void should_remove_the_oldest_revision_when_the_history_is_full() throws AspenmoorException {
         accept(DocumentTexts.DRAFTING, 0, "aigul");
         for (long revision = 1; revision <= DocumentHistory.REVISIONS_KEPT; revision++) {
             accept(revision % 2 == 0 ? SECOND : THIRD, revision, "aigul");
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentCheckerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentCheckerTest.java
@@ -12,7 +12,7 @@
 
 public class DocumentCheckerTest {
     @Test
-    public void should_find_nothing_in_a_right_document() {
+    public void should_report_nothing_when_the_document_is_valid() {
         assertEquals(check(DocumentTexts.DRAFTING), List.of());
     }
 
@@ -51,18 +51,18 @@
     }
 
     @Test(dataProvider = "mistakes")
-    public void should_name_the_place_of_a_mistake(String right, String wrong, String place, String problem) {
-        List<Finding> findings = check(DocumentTexts.DRAFTING.replace(right, wrong));
+    public void should_report_the_location_of_a_mistake(String valid, String invalid, String location, String problem) {
+        List<Finding> findings = check(DocumentTexts.DRAFTING.replace(valid, invalid));
 
         assertTrue(
                 findings.stream()
                         .map(Finding::toString)
-                        .anyMatch(finding -> finding.startsWith("d.json:" + place) && finding.contains(problem)),
+                        .anyMatch(finding -> finding.startsWith("d.json:" + location) && finding.contains(problem)),
                 findings.toString());
     }
 
     @Test
-    public void should_say_that_models_lack_engines() {
+    public void should_report_models_without_engines() {
         String text = "{\"team\": \"a\", \"service\": \"b\", \"models\": [{\"name\": \"m\", \"version\": \"1\"}]}";
 
         List<String> problems = check(text).stream().map(Finding::problem).toList();
@@ -76,20 +76,21 @@
     }
 
     @Test
-    public void should_keep_places_right_after_an_item_of_the_wrong_type() {
+    public void should_report_correct_locations_after_an_item_of_the_wrong_type() {
         String text = DocumentTexts.DRAFTING
                 .replace("\"engines\": [", "\"engines\": [7,")
                 .replace("\"almaty-2\"", "\"Almaty 2\"");
 
-        List<String> places =
-                check(text).stream().map(finding -> finding.place().toString()).toList();
+        List<String> locations = check(text).stream()
+                .map(finding -> finding.location().toString())
+                .toList();
 
-        assertEquals(places, List.of("d.json:18:15 (engines[0])", "d.json:20:41 (engines[2].dataCentre)"));
+        assertEquals(locations, List.of("d.json:18:15 (engines[0])", "d.json:20:41 (engines[2].dataCentre)"));
     }
 
     @Test
-    public void should_check_against_the_fleet() {
-        FleetView fleet = new SmallFleet();
+    public void should_report_conflicts_with_the_fleet() {
+        FleetView fleet = new ConflictingFleet();
 
         List<Finding> findings = new DocumentChecker(fleet)
                 .check("d.json", DocumentTexts.DRAFTING)
@@ -114,7 +115,7 @@
     }
 
     /** A fleet in which little fits. */
-    private static final class SmallFleet implements FleetView {
+    private static final class ConflictingFleet implements FleetView {
         @Override
         public Optional<Boolean> hasDataCentre(String name) {
             return Optional.of(name.equals("almaty-1"));
@@ -146,12 +147,12 @@
         }
 
         @Override
-        public Optional<Boolean> canHold(String engine, String model) {
+        public Optional<Boolean> hasMemoryFor(String engine, String model) {
             return Optional.of(false);
         }
 
         @Override
-        public Optional<Duration> shortestTokenTime(String model) {
+        public Optional<Duration> minTokenInterval(String model) {
             return Optional.of(Duration.ofMillis(50));
         }
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentDifferenceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentDifferenceTest.java
@@ -9,7 +9,7 @@
 
 public class DocumentDifferenceTest {
     @Test
-    public void should_be_empty_for_the_same_declaration_under_another_revision() {
+    public void should_be_empty_when_only_the_revision_differs() {
         ServiceDocument document = DocumentTexts.drafting();
 
         assertTrue(
@@ -17,7 +17,7 @@
     }
 
     @Test
-    public void should_name_every_change_in_a_sentence() {
+    public void should_describe_every_change_in_one_sentence() {
         ServiceDocument before = DocumentTexts.drafting();
         ServiceDocument after = read(DocumentTexts.DRAFTING
                 .replace("\"version\": \"3\"", "\"version\": \"4\"")
@@ -29,7 +29,7 @@
                 .replace("\"checksFencingNumbers\": true", "\"checksFencingNumbers\": false"));
 
         assertEquals(
-                DocumentDifference.between(before, after).sentences(),
+                DocumentDifference.between(before, after).descriptions(),
                 List.of(
                         "Model scene-drafter goes from version 3 to 4.",
                         "Adapter scene-drafter:film is added in version 2.",
@@ -43,7 +43,7 @@
     }
 
     @Test
-    public void should_say_what_a_change_does_to_engines() {
+    public void should_describe_the_effect_of_a_change_on_engines() {
         ServiceDocument before = DocumentTexts.drafting();
         ServiceDocument after = read(DocumentTexts.DRAFTING
                 .replace("\"version\": \"3\"", "\"version\": \"4\"")
@@ -61,7 +61,7 @@
     }
 
     @Test
-    public void should_see_that_kinds_are_matched_in_another_order() {
+    public void should_report_a_change_when_kinds_are_reordered() {
         ServiceDocument before = DocumentTexts.drafting();
         ServiceDocument after = new ServiceDocument(
                 before.team(),
@@ -74,7 +74,7 @@
                 before.backends());
 
         assertEquals(
-                DocumentDifference.between(before, after).sentences(),
+                DocumentDifference.between(before, after).descriptions(),
                 List.of("Kinds are matched in the order reading, booking, scene, cue."));
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentRegistryTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentRegistryTest.java
@@ -17,7 +17,7 @@
     private final ServiceName name = ServiceName.of(document);
 
     @Test
-    public void should_never_go_back_whatever_order_revisions_arrive_in() {
+    public void should_never_apply_a_lower_revision_when_revisions_arrive_out_of_order() {
         // A watch with gaps, a stale relay and the data path bring revisions late, twice and out of order. Were a lower
         // one applied, a user would see an accepted change come undone on this process.
         List<Long> revisions = new ArrayList<>();
@@ -39,7 +39,7 @@
     }
 
     @Test
-    public void should_know_since_when_a_document_is_in_force() {
+    public void should_report_when_a_document_came_into_force() {
         registry.offer(document.withRevision(3));
         timeSource.advance(Duration.ofSeconds(5));
 
@@ -47,11 +47,11 @@
         assertEquals(registry.offer(document.withRevision(2)), OfferResult.OLDER);
 
         DocumentInForce inForce = registry.inForce(name).orElseThrow();
-        assertEquals(Duration.between(inForce.since(), timeSource.timeOfDay()), Duration.ofSeconds(5));
+        assertEquals(Duration.between(inForce.appliedAt(), timeSource.timeOfDay()), Duration.ofSeconds(5));
     }
 
     @Test
-    public void should_refuse_another_content_under_the_same_revision() {
+    public void should_reject_different_content_when_the_revision_is_the_same() {
         DocumentRegistry fresh = new DocumentRegistry(timeSource);
         fresh.offer(document.withRevision(4));
         ServiceDocument other = new ServiceDocument(
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentSchemaTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentSchemaTest.java
@@ -35,14 +35,14 @@
     }
 
     @Test
-    public void should_know_the_same_fields_as_the_reader() {
+    public void should_define_the_same_fields_as_the_reader() {
         String text = """
                 {"x": 0, "models": [{"x": 0, "adapters": [{"x": 0}]}], "kinds": [{"x": 0, "match": {"x": 0}}],
                  "engines": [{"x": 0}], "plainServices": [{"x": 0}]}""";
         Map<String, TreeSet<String>> known = new TreeMap<>();
         for (Finding finding :
                 new DocumentChecker(new UnknownFleetView()).check("d", text).findings()) {
-            String path = finding.place().path();
+            String path = finding.location().path();
             if (finding.problem().equals("The field is not known.")) {
                 String names = finding.remedy().replaceAll(".*known here: |\\.$", "");
                 known.put(path.replaceAll("\\.?x$", ""), new TreeSet<>(Arrays.asList(names.split(", "))));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    public void should_publish_the_defaults_that_the_writer_spells_out() throws IOException {
+    public void should_declare_the_defaults_that_the_writer_writes() throws IOException {
         String text = """
                 {"team": "a", "service": "b", "models": [{"name": "m", "version": "1"}],
                  "kinds": [{"name": "k", "weight": 1, "deadlineSeconds": 1}],
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/ScriptedObjectStore.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/ScriptedObjectStore.java
@@ -42,8 +42,8 @@
 
     private final InMemoryObjectStore memory = new InMemoryObjectStore();
     private final Deque<Fault> faults = new ArrayDeque<>();
-    private Runnable interruption = () -> {};
-    private int writesUntilInterruption;
+    private Runnable beforeScheduledWrite = () -> {};
+    private int writesUntilAction;
     private Optional<StoredObject> stale = Optional.empty();
 
     InMemoryObjectStore memory() {
@@ -55,9 +55,9 @@
     }
 
     /** Lets something happen right before a write, counted from 1. */
-    void beforeWrite(int number, Runnable happens) {
-        writesUntilInterruption = number;
-        interruption = happens;
+    void beforeWrite(int number, Runnable action) {
+        writesUntilAction = number;
+        beforeScheduledWrite = action;
     }
 
     /** Answers reads of an object with an earlier version, as a replica that lags does. */
@@ -104,9 +104,9 @@
     }
 
     private StoredObject write(Write write) throws StoreException {
-        writesUntilInterruption--;
-        if (writesUntilInterruption == 0) {
-            interruption.run();
+        writesUntilAction--;
+        if (writesUntilAction == 0) {
+            beforeScheduledWrite.run();
         }
         Fault fault = faults.isEmpty() ? Fault.NONE : faults.removeFirst();
         return switch (fault) {
@@ -115,20 +115,20 @@
             case REQUEST_LOST -> throw new StoreOutcomeUnknownException("No answer came.", "store", "Read.");
             case KILLED_BEFORE -> throw new KilledException();
             case ANSWER_LOST -> {
-                runUnheard(write);
+                runWithoutAnswer(write);
                 throw new StoreOutcomeUnknownException("No answer came.", "store", "Read.");
             }
             case KILLED_AFTER -> {
-                runUnheard(write);
+                runWithoutAnswer(write);
                 throw new KilledException();
             }
         };
     }
 
-    private static void runUnheard(Write write) throws StoreException {
+    private static void runWithoutAnswer(Write write) throws StoreException {
         try {
             write.run();
-        } catch (StoreConflictException answerThatNobodyHears) {
+        } catch (StoreConflictException answerLost) {
             // The caller learns nothing of the conflict either.
         }
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/UnreachableKindCheckTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/UnreachableKindCheckTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import org.aspenmoor.internal.finding.Finding;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 import org.aspenmoor.internal.json.LocatedValue;
 import org.testng.annotations.Test;
 
@@ -25,13 +25,13 @@
     private final Random random = new Random(17);
 
     @Test
-    public void should_name_no_kind_that_some_request_reaches() {
-        int named = 0;
+    public void should_not_report_a_kind_when_some_request_matches_it() {
+        int reported = 0;
         for (int round = 0; round < DOCUMENTS; round++) {
             ServiceDocument document = document();
             for (Finding finding : check(document)) {
-                int index = Integer.parseInt(finding.place().path().replaceAll("\\D", ""));
-                named++;
+                int index = Integer.parseInt(finding.location().path().replaceAll("\\D", ""));
+                reported++;
                 RequestKind kind = document.kinds().get(index);
                 assertTrue(
                         requests().stream()
@@ -40,11 +40,11 @@
                         finding + " in " + document.kinds());
             }
         }
-        assertTrue(named > DOCUMENTS / 10, "too few cases: " + named);
+        assertTrue(reported > DOCUMENTS / 10, "too few cases: " + reported);
     }
 
     @Test
-    public void should_name_a_kind_behind_one_that_takes_everything() {
+    public void should_report_a_kind_when_an_earlier_kind_matches_everything() {
         RequestKind everything = kind("k0", nothing());
         RequestKind bookings = kind(
                 "k1",
@@ -57,9 +57,9 @@
 
     private static List<Finding> check(ServiceDocument document) {
         Findings findings = new Findings();
-        Place place = new Place("d", 1, 1, "");
-        PlaceIndex places = new PlaceIndex(new LocatedValue.ObjectValue(place, Map.of()));
-        new UnreachableKindCheck().check(new LocatedDocument(document, places), findings);
+        SourceLocation location = new SourceLocation("d", 1, 1, "");
+        LocationIndex locations = new LocationIndex(new LocatedValue.ObjectValue(location, Map.of()));
+        new UnreachableKindCheck().check(new LocatedDocument(document, locations), findings);
         return findings.all();
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/json/FieldReaderTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/json/FieldReaderTest.java
@@ -10,7 +10,7 @@
 
 public class FieldReaderTest {
     @Test
-    public void should_report_every_mistake_with_its_place_at_once() {
+    public void should_report_all_mistakes_with_their_locations() {
         Findings findings = new Findings();
         String text = "{\n  // a port out of range\n  \"port\": 70000,\n  \"name\": 3,\n  \"colour\": \"red\"\n}";
         FieldReader reader = new FieldReader(
@@ -22,14 +22,14 @@
         reader.integer("port", 1, 65535, 8080);
         reader.optionalText("name");
         reader.requiredText("host");
-        reader.refuseUnknownFields();
+        reader.rejectUnknownFields();
 
-        List<String> places = findings.all().stream()
-                .map(Finding::place)
+        List<String> locations = findings.all().stream()
+                .map(Finding::location)
                 .map(Object::toString)
                 .toList();
         assertEquals(
-                places,
+                locations,
                 List.of(
                         "settings.json:3:11 (port)",
                         "settings.json:4:11 (name)",
@@ -38,13 +38,13 @@
     }
 
     @Test
-    public void should_name_the_line_of_broken_syntax() {
+    public void should_report_the_line_when_the_syntax_is_invalid() {
         Findings findings = new Findings();
 
         assertTrue(new LocatedJsonParser("settings.json", findings)
                 .parseObject("{\n  \"port\" 1\n}")
                 .isEmpty());
 
-        assertEquals(findings.all().getFirst().place().line(), 2);
+        assertEquals(findings.all().getFirst().location().line(), 2);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentAnswers.java
@@ -29,8 +29,8 @@
     static ObjectNode revision(StoredDocument stored) {
         ObjectNode node = heading(stored.document());
         stored.acceptance().ifPresent(acceptance -> {
-            node.put("acceptedBy", acceptance.by());
-            node.put("acceptedAt", acceptance.at().toString());
+            node.put("acceptedBy", acceptance.operator());
+            node.put("acceptedAt", acceptance.acceptedAt().toString());
             acceptance.changes().forEach(node.putArray("changes")::add);
         });
         return node;
@@ -45,7 +45,7 @@
     static ArrayNode changes(DocumentDifference difference) {
         ArrayNode array = JsonNodeFactory.instance.arrayNode();
         for (DocumentChange change : difference.changes()) {
-            ObjectNode node = array.addObject().put("change", change.sentence());
+            ObjectNode node = array.addObject().put("change", change.description());
             change.engineEffect().ifPresent(effect -> node.put("engines", effect));
         }
         return array;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
@@ -47,7 +47,7 @@
         for (DocumentInForce inForce : registry.all()) {
             if (request.operator().scope().covers(inForce.document().team())) {
                 documents.add(DocumentAnswers.heading(inForce.document())
-                        .put("since", inForce.since().toString()));
+                        .put("since", inForce.appliedAt().toString()));
             }
         }
         ObjectNode body = JsonNodeFactory.instance.objectNode();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
@@ -112,7 +112,7 @@
                 dataCentre,
                 ServiceName.of(inForce.document()),
                 inForce.document().revision(),
-                Optional.of(inForce.since()));
+                Optional.of(inForce.appliedAt()));
     }
 
     private static BackendState state(JsonNode node) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
@@ -46,10 +46,10 @@
         ArrayNode array = JsonNodeFactory.instance.arrayNode();
         for (Finding finding : findings) {
             array.addObject()
-                    .put("source", finding.place().source())
-                    .put("line", finding.place().line())
-                    .put("column", finding.place().column())
-                    .put("path", finding.place().path())
+                    .put("source", finding.location().source())
+                    .put("line", finding.location().line())
+                    .put("column", finding.location().column())
+                    .put("path", finding.location().path())
                     .put("problem", finding.problem())
                     .put("remedy", finding.remedy());
         }
@@ -62,7 +62,7 @@
                 "place",
                 mistakes.findings().isEmpty()
                         ? ""
-                        : mistakes.findings().getFirst().place().source());
+                        : mistakes.findings().getFirst().location().source());
         body.set("findings", findings(mistakes.findings()));
         return new ApiAnswer(UNPROCESSABLE, body, Map.of());
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.authority.SlotTerms;
 import org.aspenmoor.internal.document.BackendDeclaration;
 import org.aspenmoor.internal.document.ServiceName;
-import org.aspenmoor.internal.document.StoredDocuments;
+import org.aspenmoor.internal.document.StoredDocumentCodec;
 import org.aspenmoor.internal.engine.EngineControl;
 import org.aspenmoor.internal.settings.AgentSettings;
 import org.aspenmoor.internal.settings.BackendSettings;
@@ -136,11 +136,11 @@
     private boolean engineChecksNumbers() throws StoreException {
         BackendSettings backend = settings.backend();
         Optional<StoredObject> document =
-                store.read(StoredDocuments.documentKey(new ServiceName(backend.team(), backend.service())));
+                store.read(StoredDocumentCodec.documentKey(new ServiceName(backend.team(), backend.service())));
         if (document.isEmpty()) {
             return false;
         }
-        return StoredDocuments.read(document.get())
+        return StoredDocumentCodec.read(document.get())
                 .document()
                 .backend(backend.name())
                 .filter(declared -> declared instanceof BackendDeclaration.EngineDeclaration engine
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.claim.ClaimCommitter;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimSettings;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.duty.DutyHandler;
 import org.aspenmoor.internal.limit.TokenBucket;
 import org.aspenmoor.internal.retry.BreakerDecision;
@@ -45,7 +45,7 @@
     private final ClaimSettings settings;
     private final CircuitBreaker storeBreaker;
     private final TimeSource time;
-    private final Consumer<ClaimVerdict> verdicts;
+    private final Consumer<ClaimDecision> verdicts;
     private final TokenBucket pace;
     private long commitsRestUntil;
     private final Map<RequestId, Integer> looks = new HashMap<>();
@@ -57,7 +57,7 @@
             CircuitBreaker storeBreaker,
             TimeSource time,
             double commitsPerSecond,
-            Consumer<ClaimVerdict> verdicts) {
+            Consumer<ClaimDecision> verdicts) {
         this.committer = committer;
         this.settings = settings;
         this.storeBreaker = storeBreaker;
@@ -71,8 +71,8 @@
     public void handle(ClaimMessage message) {
         switch (message) {
             case ClaimMessage.Asked asked -> ask(asked.request());
-            case ClaimMessage.Answered answered -> committer.answered(answered.ticket(), answered.answer());
-            case ClaimMessage.NeverStarted never -> committer.neverStarted(never.ticket());
+            case ClaimMessage.Answered answered -> committer.recordAnswer(answered.ticket(), answered.answer());
+            case ClaimMessage.NeverStarted never -> committer.recordNeverStarted(never.ticket());
             case ClaimMessage.Tick ignored -> submitDueLooks();
             case ClaimMessage.FlushAsked asked -> flush(asked.flushed());
         }
@@ -108,7 +108,7 @@
 
     private void ask(ClaimRequest request) {
         if (storeBreaker.ask() instanceof BreakerDecision.Open open) {
-            verdicts.accept(new ClaimVerdict.NotClaimed(
+            verdicts.accept(new ClaimDecision.NotClaimed(
                     request, open.comeBackAfter(), "The store did not answer the claims before this one."));
             return;
         }
@@ -118,18 +118,18 @@
     private void submit(ClaimRequest request) {
         if (!committer.submit(request)) {
             looks.remove(request.id());
-            verdicts.accept(new ClaimVerdict.NotClaimed(
-                    request, settings.comeBackAfter(), "Too many claims wait for the store."));
+            verdicts.accept(new ClaimDecision.NotClaimed(
+                    request, settings.minRetryAfter(), "Too many claims wait for the store."));
         }
     }
 
-    private void judged(ClaimVerdict verdict) {
-        if (verdict instanceof ClaimVerdict.NotClaimed) {
+    private void judged(ClaimDecision verdict) {
+        if (verdict instanceof ClaimDecision.NotClaimed) {
             storeBreaker.failed();
         } else {
             storeBreaker.succeeded();
         }
-        if (verdict instanceof ClaimVerdict.StillUnknown unknown && looksAgain(unknown.request())) {
+        if (verdict instanceof ClaimDecision.OutcomeUnknown unknown && looksAgain(unknown.request())) {
             return;
         }
         looks.remove(verdict.request().id());
@@ -156,7 +156,7 @@
     }
 
     private void flush(CompletableFuture<Void> flushed) {
-        lookAgain.forEach(look -> verdicts.accept(new ClaimVerdict.StillUnknown(look.request())));
+        lookAgain.forEach(look -> verdicts.accept(new ClaimDecision.OutcomeUnknown(look.request())));
         lookAgain.clear();
         for (int step = 0; step < FLUSH_STEPS; step++) {
             while (committer.hasDueWork()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DocumentKey;
-import org.aspenmoor.internal.dissemination.KnownDocument;
-import org.aspenmoor.internal.dissemination.RevisionLine;
+import org.aspenmoor.internal.dissemination.DocumentRevision;
+import org.aspenmoor.internal.dissemination.RevisionSummary;
 import org.aspenmoor.internal.wire.v1.DocumentAsk;
 import org.aspenmoor.internal.wire.v1.DocumentDigest;
 import org.aspenmoor.internal.wire.v1.DocumentUpdate;
@@ -23,7 +23,7 @@
         return switch (message) {
             case DisseminationMessage.Update update ->
                 frame.setDocumentUpdate(update(update.document())).build();
-            case DisseminationMessage.Ask ask ->
+            case DisseminationMessage.FetchRequest ask ->
                 frame.setDocumentAsk(DocumentAsk.newBuilder()
                                 .setTeam(ask.key().team())
                                 .setService(ask.key().service())
@@ -31,23 +31,24 @@
                         .build();
             case DisseminationMessage.Compare compare ->
                 frame.setDocumentDigest(step(DocumentDigest.Step.COMPARE)
-                                .setNumber(compare.number())
+                                .setNumber(compare.comparisonId())
                                 .setRootHash(compare.rootHash()))
                         .build();
             case DisseminationMessage.Equal equal ->
                 frame.setDocumentDigest(equal(equal)).build();
             case DisseminationMessage.Differs differs ->
                 frame.setDocumentDigest(step(DocumentDigest.Step.DIFFERS)
-                                .setNumber(differs.number())
+                                .setNumber(differs.comparisonId())
                                 .addAllBucketHashes(differs.bucketHashes()))
                         .build();
-            case DisseminationMessage.BucketLines bucketLines ->
+            case DisseminationMessage.BucketRevisions bucketLines ->
                 frame.setDocumentDigest(step(DocumentDigest.Step.BUCKET_LINES)
                                 .addAllBuckets(bucketLines.buckets())
-                                .addAllLines(lines(bucketLines.lines())))
+                                .addAllLines(lines(bucketLines.revisions())))
                         .build();
-            case DisseminationMessage.NewerLines newerLines ->
-                frame.setDocumentDigest(step(DocumentDigest.Step.NEWER_LINES).addAllLines(lines(newerLines.lines())))
+            case DisseminationMessage.NewerRevisions newerLines ->
+                frame.setDocumentDigest(
+                                step(DocumentDigest.Step.NEWER_LINES).addAllLines(lines(newerLines.revisions())))
                         .build();
         };
     }
@@ -59,7 +60,7 @@
                 document(frame.getDocumentUpdate()).map(document -> new DisseminationMessage.Update(document));
             case DOCUMENT_ASK -> {
                 DocumentAsk ask = frame.getDocumentAsk();
-                yield Optional.of(new DisseminationMessage.Ask(
+                yield Optional.of(new DisseminationMessage.FetchRequest(
                         new DocumentKey(ask.getTeam(), ask.getService()), ask.getRevision()));
             }
             case DOCUMENT_DIGEST -> digest(frame.getDocumentDigest());
@@ -74,8 +75,8 @@
             case DIFFERS ->
                 Optional.of(new DisseminationMessage.Differs(digest.getNumber(), digest.getBucketHashesList()));
             case BUCKET_LINES ->
-                Optional.of(new DisseminationMessage.BucketLines(digest.getBucketsList(), revisionLines(digest)));
-            case NEWER_LINES -> Optional.of(new DisseminationMessage.NewerLines(revisionLines(digest)));
+                Optional.of(new DisseminationMessage.BucketRevisions(digest.getBucketsList(), revisionLines(digest)));
+            case NEWER_LINES -> Optional.of(new DisseminationMessage.NewerRevisions(revisionLines(digest)));
             case STEP_UNSPECIFIED, UNRECOGNIZED -> Optional.empty();
         };
     }
@@ -85,7 +86,7 @@
     }
 
     private static DocumentDigest.Builder equal(DisseminationMessage.Equal equal) {
-        DocumentDigest.Builder digest = step(DocumentDigest.Step.EQUAL).setNumber(equal.number());
+        DocumentDigest.Builder digest = step(DocumentDigest.Step.EQUAL).setNumber(equal.comparisonId());
         // Rounded up, so that a table never looks fresher on the other side than it is.
         equal.confirmedAge().ifPresent(age -> digest.setConfirmedAgeMilliseconds(age.toMillis() + 1));
         return digest;
@@ -97,7 +98,7 @@
                 : Optional.empty();
     }
 
-    private static DocumentUpdate update(KnownDocument document) {
+    private static DocumentUpdate update(DocumentRevision document) {
         Deflated content = Deflated.of(document.content().getBytes(StandardCharsets.UTF_8));
         return DocumentUpdate.newBuilder()
                 .setTeam(document.key().team())
@@ -108,14 +109,15 @@
                 .build();
     }
 
-    private static Optional<KnownDocument> document(DocumentUpdate update) {
+    private static Optional<DocumentRevision> document(DocumentUpdate update) {
         DocumentKey key = new DocumentKey(update.getTeam(), update.getService());
         return new Deflated(update.getDocument(), update.getInflatedLength())
                 .inflate()
-                .map(plain -> new KnownDocument(key, update.getRevision(), new String(plain, StandardCharsets.UTF_8)));
+                .map(plain ->
+                        new DocumentRevision(key, update.getRevision(), new String(plain, StandardCharsets.UTF_8)));
     }
 
-    private static List<DocumentDigest.Line> lines(List<RevisionLine> lines) {
+    private static List<DocumentDigest.Line> lines(List<RevisionSummary> lines) {
         return lines.stream()
                 .map(line -> DocumentDigest.Line.newBuilder()
                         .setTeam(line.key().team())
@@ -126,9 +128,9 @@
                 .toList();
     }
 
-    private static List<RevisionLine> revisionLines(DocumentDigest digest) {
+    private static List<RevisionSummary> revisionLines(DocumentDigest digest) {
         return digest.getLinesList().stream()
-                .map(line -> new RevisionLine(
+                .map(line -> new RevisionSummary(
                         new DocumentKey(line.getTeam(), line.getService()), line.getRevision(), line.getContentHash()))
                 .toList();
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.internal.accounting.ChunkAccount;
 import org.aspenmoor.internal.accounting.RequestAccount;
-import org.aspenmoor.internal.claim.ClaimVerdict;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.duty.DutyHandler;
 import org.aspenmoor.internal.engine.EngineRole;
@@ -132,7 +132,7 @@
         claims.ask(request).ifPresent(refusal -> requestTable.refused(request, refusal, now));
     }
 
-    private void claimJudged(ClaimVerdict verdict, long now) {
+    private void claimJudged(ClaimDecision verdict, long now) {
         Optional<ActiveRequest> found = requestTable.find(verdict.request().id());
         if (found.isEmpty()) {
             releaseUnwanted(verdict);
@@ -140,18 +140,18 @@
         }
         ActiveRequest request = found.get();
         switch (verdict) {
-            case ClaimVerdict.Granted granted -> {
+            case ClaimDecision.Granted granted -> {
                 request.claimed(granted.ticket());
                 driver.admit(request, now);
             }
-            case ClaimVerdict.AlreadyAnswered already -> {
+            case ClaimDecision.AlreadyAnswered already -> {
                 requestTable.trace(request, now, "its key was answered before, the recorded answer is given again");
                 requestTable.answered(request, already.answer().status(), now);
                 request.sink().plainAnswer(Claims.replay(already.answer()));
             }
-            case ClaimVerdict.StillUnknown ignored ->
+            case ClaimDecision.OutcomeUnknown ignored ->
                 requestTable.unknown(request, "The key was used before and what came of it is not known.", now);
-            case ClaimVerdict.KeyReused ignored ->
+            case ClaimDecision.KeyReused ignored ->
                 requestTable.refused(
                         request,
                         new Outcome.NotRun(
@@ -159,17 +159,17 @@
                                 Duration.ZERO,
                                 "The idempotency key was used before with another request; draw a new key."),
                         now);
-            case ClaimVerdict.NotClaimed not ->
+            case ClaimDecision.NotClaimed not ->
                 requestTable.refused(
                         request,
-                        new Outcome.NotRun(RefusalReason.STORE_UNAVAILABLE, not.comeBackAfter(), not.detail()),
+                        new Outcome.NotRun(RefusalReason.STORE_UNAVAILABLE, not.retryAfter(), not.detail()),
                         now);
         }
     }
 
     // The caller went away while the claim was made: nothing ran, so its key is freed for a repeat.
-    private void releaseUnwanted(ClaimVerdict verdict) {
-        if (verdict instanceof ClaimVerdict.Granted granted) {
+    private void releaseUnwanted(ClaimDecision verdict) {
+        if (verdict instanceof ClaimDecision.Granted granted) {
             claims.neverStarted(granted.ticket());
         }
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.aspenmoor.RequestId;
-import org.aspenmoor.internal.claim.ClaimVerdict;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.link.Link;
 import org.aspenmoor.internal.planner.EngineSnapshot;
 import org.aspenmoor.internal.store.ObjectKind;
@@ -42,7 +42,7 @@
     record CollectionKnown(ObjectKind kind) implements EntryMessage {}
 
     /** The store has judged a claim. */
-    record ClaimJudged(ClaimVerdict verdict) implements EntryMessage {}
+    record ClaimJudged(ClaimDecision verdict) implements EntryMessage {}
 
     /** Time has passed. */
     record Tick() implements EntryMessage {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -13,8 +13,8 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.administration.DutyStatus;
 import org.aspenmoor.internal.claim.ClaimCommitter;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimSettings;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.claims.ClaimHandler;
 import org.aspenmoor.internal.claims.ClaimMessage;
 import org.aspenmoor.internal.document.DocumentRegistry;
@@ -193,7 +193,7 @@
         return flushed;
     }
 
-    private void claimJudged(ClaimVerdict verdict) {
+    private void claimJudged(ClaimDecision verdict) {
         eventLoop.put(new EntryMessage.ClaimJudged(verdict));
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjects.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjects.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import org.aspenmoor.internal.document.ServiceDocument;
-import org.aspenmoor.internal.document.StoredDocuments;
+import org.aspenmoor.internal.document.StoredDocumentCodec;
 import org.aspenmoor.internal.registration.AgentRegistration;
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.StoreMalformedException;
@@ -62,7 +62,7 @@
 
     private void documentChanged(StoredObject object) {
         try {
-            ServiceDocument document = StoredDocuments.read(object).document();
+            ServiceDocument document = StoredDocumentCodec.read(object).document();
             if (documentIndex.put(document)) {
                 LOG.infof(
                         "entry: document %s/%s revision %d in force",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.entry.CompletionRequest;
 import org.aspenmoor.internal.entry.PromptPrefix;
 import org.aspenmoor.internal.finding.Findings;
-import org.aspenmoor.internal.finding.Place;
+import org.aspenmoor.internal.finding.SourceLocation;
 
 /** Reads a completion request and names every field that is wrong. */
 final class CompletionReader {
@@ -122,6 +122,6 @@
     }
 
     private void add(String path, String problem, String remedy) {
-        findings.add(new Place(SOURCE, 0, 0, path), problem, remedy);
+        findings.add(new SourceLocation(SOURCE, 0, 0, path), problem, remedy);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
@@ -30,11 +30,11 @@
         ObjectNode body = body("invalid_request_error", "malformed", first.problem() + " " + first.remedy());
         ObjectNode error = error(body);
         error.put("outcome", "not-run");
-        error.put("param", first.place().path());
+        error.put("param", first.location().path());
         var all = error.putArray("findings");
         for (Finding finding : findings) {
             all.addObject()
-                    .put("param", finding.place().path())
+                    .put("param", finding.location().path())
                     .put("problem", finding.problem())
                     .put("remedy", finding.remedy());
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
@@ -51,7 +51,7 @@
             case "agent" -> readAgent(reader);
             case "entry" -> readEntry(reader);
             default -> {
-                findings.add(reader.placeOf("role"), "The role is not known.", "Write \"entry\" or \"agent\".");
+                findings.add(reader.locationOf("role"), "The role is not known.", "Write \"entry\" or \"agent\".");
                 yield readEntry(reader);
             }
         };
@@ -79,7 +79,8 @@
         int httpPort = reader.integer("httpPort", 0, HIGHEST_PORT, 0);
         int linkPort = reader.integer("linkPort", 0, HIGHEST_PORT, 0);
         if (httpPort == linkPort && httpPort != 0) {
-            findings.add(reader.placeOf("linkPort"), "The port is the same as \"httpPort\".", "Choose another, or 0.");
+            findings.add(
+                    reader.locationOf("linkPort"), "The port is the same as \"httpPort\".", "Choose another, or 0.");
         }
         return new ProcessSettings(
                 reader.requiredText("process"),
@@ -107,12 +108,12 @@
             String hash = operator.requiredText("tokenHash");
             if (hash.length() != HASH_DIGITS) {
                 findings.add(
-                        operator.placeOf("tokenHash"),
+                        operator.locationOf("tokenHash"),
                         "The hash has " + hash.length() + " digits.",
                         "Write the SHA-256 of the token as 64 hexadecimal digits.");
             }
             operators.add(new OperatorSettings(operator.requiredText("name"), hash, operator.requiredText("scope")));
-            operator.refuseUnknownFields();
+            operator.rejectUnknownFields();
         }
         return operators;
     }
@@ -120,7 +121,7 @@
     private BackendSettings readBackend(FieldReader reader) {
         Optional<FieldReader> backend = reader.object("backend");
         if (backend.isEmpty()) {
-            reader.require("backend", "{\"name\": \"drafting-1\", ...}");
+            reader.requirePresent("backend", "{\"name\": \"drafting-1\", ...}");
             return new BackendSettings("", "", "", "", BackendType.ENGINE, URI.create("http://127.0.0.1/"));
         }
         FieldReader fields = backend.get();
@@ -131,7 +132,7 @@
                 fields.requiredText("host"),
                 readChoice(fields, "type", BackendType.values(), BackendType.ENGINE),
                 fields.requiredHttpUrl("url"));
-        fields.refuseUnknownFields();
+        fields.rejectUnknownFields();
         return settings;
     }
 
@@ -149,7 +150,7 @@
             known.add(spelled);
         }
         findings.add(
-                reader.placeOf(name), "The choice is not known.", "Write one of " + String.join(", ", known) + ".");
+                reader.locationOf(name), "The choice is not known.", "Write one of " + String.join(", ", known) + ".");
         return fallback;
     }
 
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
@@ -10,10 +10,10 @@
 import java.util.Random;
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.claim.ClaimCommitter;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimKey;
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimSettings;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.claim.RecordedAnswer;
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.store.InMemoryObjectStore;
@@ -32,8 +32,8 @@
 
 public class ClaimHandlerTest {
     private final ManualTimeSource time = new ManualTimeSource();
-    private final List<ClaimVerdict> first = new ArrayList<>();
-    private final List<ClaimVerdict> second = new ArrayList<>();
+    private final List<ClaimDecision> first = new ArrayList<>();
+    private final List<ClaimDecision> second = new ArrayList<>();
     private ObjectStore store;
     private long seeds;
 
@@ -51,7 +51,7 @@
         ClaimHandler one = handler(store, first);
         ClaimHandler other = handler(store, second);
         ask(one, 1);
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) first.getFirst();
+        ClaimDecision.Granted granted = (ClaimDecision.Granted) first.getFirst();
 
         ask(other, 2);
         assertTrue(second.isEmpty());
@@ -60,7 +60,7 @@
         pass(one);
         pass(other);
 
-        assertTrue(second.getFirst() instanceof ClaimVerdict.AlreadyAnswered);
+        assertTrue(second.getFirst() instanceof ClaimDecision.AlreadyAnswered);
     }
 
     // The entry that ran the booking was killed before it could record anything. The repeat must not wait for ever.
@@ -74,7 +74,7 @@
             pass(other);
         }
 
-        assertTrue(second.getFirst() instanceof ClaimVerdict.StillUnknown);
+        assertTrue(second.getFirst() instanceof ClaimDecision.OutcomeUnknown);
     }
 
     // The store keeps silent, so every batch costs a whole time-out. Calls that come later are refused without it.
@@ -89,7 +89,7 @@
         }
 
         assertEquals(first.size(), 5);
-        assertTrue(first.stream().allMatch(verdict -> verdict instanceof ClaimVerdict.NotClaimed));
+        assertTrue(first.stream().allMatch(verdict -> verdict instanceof ClaimDecision.NotClaimed));
         assertEquals(broken.callsInSilence, 1);
     }
 
@@ -105,8 +105,8 @@
             handler.handle(new ClaimMessage.Asked(new ClaimRequest(new RequestId(0, request), key, "digest")));
         }
         handler.batchEnded();
-        for (ClaimVerdict verdict : List.copyOf(first)) {
-            ClaimVerdict.Granted granted = (ClaimVerdict.Granted) verdict;
+        for (ClaimDecision verdict : List.copyOf(first)) {
+            ClaimDecision.Granted granted = (ClaimDecision.Granted) verdict;
             handler.handle(new ClaimMessage.Answered(
                     granted.ticket(), new RecordedAnswer(201, "text/plain", Optional.empty(), "digest")));
         }
@@ -117,7 +117,7 @@
         ask(handler, 9);
 
         assertEquals(switched.callsInSilence, 1);
-        assertTrue(first.getFirst() instanceof ClaimVerdict.NotClaimed);
+        assertTrue(first.getFirst() instanceof ClaimDecision.NotClaimed);
     }
 
     // Many narrators' booths are booked at once. Without the pace every claim would be a write of its own, and the
@@ -153,11 +153,11 @@
         handler.batchEnded();
     }
 
-    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimVerdict> verdicts) {
+    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimDecision> verdicts) {
         return handler(claimsIn, verdicts, 100);
     }
 
-    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimVerdict> verdicts, double commitsPerSecond) {
+    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimDecision> verdicts, double commitsPerSecond) {
         ClaimSettings settings = ClaimSettings.DEFAULT;
         Random random = new Random(seeds++);
         ClaimCommitter committer = new ClaimCommitter(claimsIn, settings, time, random);
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import org.aspenmoor.internal.dissemination.DisseminationMessage;
 import org.aspenmoor.internal.dissemination.DocumentKey;
-import org.aspenmoor.internal.dissemination.KnownDocument;
-import org.aspenmoor.internal.dissemination.RevisionLine;
+import org.aspenmoor.internal.dissemination.DocumentRevision;
+import org.aspenmoor.internal.dissemination.RevisionSummary;
 import org.aspenmoor.internal.wire.v1.Frame;
 import org.aspenmoor.internal.wire.v1.Probe;
 import org.testng.annotations.DataProvider;
@@ -18,20 +18,20 @@
 
 public class DisseminationFramesTest {
     private static final DocumentKey KEY = new DocumentKey("hojas-andinas", "registry");
-    private static final RevisionLine LINE = new RevisionLine(KEY, 12, -5);
+    private static final RevisionSummary LINE = new RevisionSummary(KEY, 12, -5);
 
     @DataProvider
     public Object[][] messages() {
         return new Object[][] {
-            {new DisseminationMessage.Update(new KnownDocument(KEY, 12, "{\"team\": \"ñ\"}"))},
-            {new DisseminationMessage.Update(new KnownDocument(KEY, 13, "{\"engines\": [] }".repeat(200)))},
-            {new DisseminationMessage.Update(new KnownDocument(KEY, 14, ""))},
-            {new DisseminationMessage.Ask(KEY, 11)},
+            {new DisseminationMessage.Update(new DocumentRevision(KEY, 12, "{\"team\": \"ñ\"}"))},
+            {new DisseminationMessage.Update(new DocumentRevision(KEY, 13, "{\"engines\": [] }".repeat(200)))},
+            {new DisseminationMessage.Update(new DocumentRevision(KEY, 14, ""))},
+            {new DisseminationMessage.FetchRequest(KEY, 11)},
             {new DisseminationMessage.Compare(-3, 4)},
             {new DisseminationMessage.Equal(-3, Optional.empty())},
             {new DisseminationMessage.Differs(-3, List.of(1L, -2L))},
-            {new DisseminationMessage.BucketLines(List.of(0, 63), List.of(LINE))},
-            {new DisseminationMessage.NewerLines(List.of(LINE))},
+            {new DisseminationMessage.BucketRevisions(List.of(0, 63), List.of(LINE))},
+            {new DisseminationMessage.NewerRevisions(List.of(LINE))},
         };
     }
 
@@ -57,7 +57,8 @@
     public void should_shorten_a_document_on_the_way() {
         String content = "{\"name\": \"drafting-1\", \"dataCentre\": \"lima-1\"}".repeat(50);
 
-        Frame frame = DisseminationFrames.toFrame(new DisseminationMessage.Update(new KnownDocument(KEY, 12, content)));
+        Frame frame =
+                DisseminationFrames.toFrame(new DisseminationMessage.Update(new DocumentRevision(KEY, 12, content)));
 
         assertTrue(frame.getSerializedSize() < content.length() / 4);
     }
@@ -68,7 +69,8 @@
     @Test
     public void should_drop_an_update_whose_length_does_not_fit() {
         String content = "{\"engines\": [] }".repeat(200);
-        Frame frame = DisseminationFrames.toFrame(new DisseminationMessage.Update(new KnownDocument(KEY, 12, content)));
+        Frame frame =
+                DisseminationFrames.toFrame(new DisseminationMessage.Update(new DocumentRevision(KEY, 12, content)));
 
         for (int length : new int[] {content.length() + 1, Integer.MAX_VALUE, -1}) {
             Frame.Builder garbled = frame.toBuilder();
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.aspenmoor.RefusalReason;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimKey;
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimTicket;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.link.EmbeddedLink;
 import org.aspenmoor.internal.wire.v1.AttemptId;
 import org.aspenmoor.internal.wire.v1.Dispatch;
@@ -144,7 +144,7 @@
         fixture.book(Optional.of("key-1"));
         assertTrue(fixture.dispatchTo(studioDesk).isEmpty());
 
-        fixture.eventLoop().handle(new EntryMessage.ClaimJudged(new ClaimVerdict.Granted(claim(), ticket())));
+        fixture.eventLoop().handle(new EntryMessage.ClaimJudged(new ClaimDecision.Granted(claim(), ticket())));
 
         assertTrue(fixture.dispatchTo(studioDesk).isPresent());
     }
@@ -157,7 +157,7 @@
 
         fixture.eventLoop()
                 .handle(new EntryMessage.ClaimJudged(
-                        new ClaimVerdict.NotClaimed(claim(), Duration.ofSeconds(2), "The store does not answer.")));
+                        new ClaimDecision.NotClaimed(claim(), Duration.ofSeconds(2), "The store does not answer.")));
 
         assertEquals(caller.refusal().orElseThrow().reason(), RefusalReason.STORE_UNAVAILABLE);
         assertEquals(caller.refusal().orElseThrow().comeBackAfter(), Duration.ofSeconds(2));
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
@@ -48,7 +48,8 @@
                 expectThrows(FindingsException.class, () -> new SettingsReader().read("entry.json", text));
 
         List<String> places = mistakes.findings().stream()
-                .map(finding -> finding.place().line() + " " + finding.place().path())
+                .map(finding ->
+                        finding.location().line() + " " + finding.location().path())
                 .sorted()
                 .toList();
         assertEquals(
@@ -62,7 +63,7 @@
         FindingsException mistakes =
                 expectThrows(FindingsException.class, () -> new SettingsReader().read("entry.json", text));
 
-        assertEquals(mistakes.findings().getFirst().place().path(), "linkPort");
+        assertEquals(mistakes.findings().getFirst().location().path(), "linkPort");
     }
 
     @Test
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -98,7 +98,7 @@
             // Reported below, like a port out of range.
         }
         if (!text.isEmpty()) {
-            findings.add(reader.placeOf(name), "The address is malformed.", "Write it as IP:PORT.");
+            findings.add(reader.locationOf(name), "The address is malformed.", "Write it as IP:PORT.");
         }
         return new InetSocketAddress(0);
     }
