--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/DisseminationSlopes.java
@@ -113,7 +113,7 @@
         SubsetSelector choice =
                 new SubsetSelector(DisseminationTrial.ENTRIES_PER_AGENT, DisseminationTrial.AGENTS_PER_GROUP);
         return () ->
-                consumed += choice.choose(entries, agents).agentsOf("entry-0").size();
+                consumed += choice.select(entries, agents).agentsOf("entry-0").size();
     }
 
     private static DocumentExchange exchange(ManualTimeSource time, int documents) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/FleetPlan.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/FleetPlan.java
@@ -70,7 +70,7 @@
                 .toList();
         SubsetAssignment assignment = new SubsetSelector(
                         DisseminationTrial.ENTRIES_PER_AGENT, DisseminationTrial.AGENTS_PER_GROUP)
-                .choose(local, group);
+                .select(local, group);
         for (String entry : local) {
             agentsByEntry.computeIfAbsent(entry, name -> new ArrayList<>()).addAll(assignment.agentsOf(entry));
             firstAgents.computeIfAbsent(entry, name -> new ArrayList<>()).addAll(assignment.primaryAgentsOf(entry));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/AddressedMessage.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/AddressedMessage.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.dissemination;
 
 /**
- * A message on its way out; it may be dropped where no link to the peer is up.
+ * A message to send; it may be dropped if there is no link to the peer.
  *
- * @param peer the process it is for
+ * @param peer the receiving process
  * @param message the message
  */
 public record AddressedMessage(String peer, DisseminationMessage message) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/BoundedAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/BoundedAssignment.java
@@ -10,12 +10,17 @@
 import java.util.TreeSet;
 
 /**
- * Gives each of many subjects some holders by rendezvous hashing, none of which gets much more than its share.
+ * Assigns holders to each subject by rendezvous hashing with bounded load.
  *
- * <p>Plain rendezvous hashing gives some holder far more than its share at these sizes, and that holder's traffic would
- * break the budget first; the cap turns the surplus to each subject's next choice.
+ * <p>With the numbers of holders and subjects used here, plain rendezvous hashing gives some holders far more than the
+ * average load, and their traffic would exceed its budget first. If the preferred holder of a subject has reached the
+ * limit, the next choice is assigned instead.
  */
 final class BoundedAssignment {
+    /**
+     * Limits the subjects per holder, relative to the average. The limit is exceeded only if a subject has too few holders
+     * below it.
+     */
     private static final double CAPACITY_FACTOR = 1.25;
 
     private final Map<String, List<String>> holdersBySubject = new LinkedHashMap<>();
@@ -30,12 +35,12 @@
         }
     }
 
-    /** Returns the holders of a subject, the best first. */
+    /** Returns the holders of a subject, the highest ranked first. */
     List<String> holdersOf(String subject) {
         return holdersBySubject.getOrDefault(subject, List.of());
     }
 
-    /** Returns the subjects a holder was given. */
+    /** Returns the subjects assigned to a holder. */
     List<String> subjectsOf(String holder) {
         return subjectsByHolder.getOrDefault(holder, List.of());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationMessage.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationMessage.java
@@ -4,43 +4,43 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What processes tell each other about documents. */
+/** A message by which processes exchange documents. */
 public sealed interface DisseminationMessage {
     /**
-     * A document, pushed because it is new or sent because it was asked for.
+     * A document, pushed because it is new or sent because it was requested.
      *
      * @param document the document
      */
     record Update(DocumentRevision document) implements DisseminationMessage {}
 
     /**
-     * Asks for a document if the receiver has a newer revision.
+     * Requests a document if the receiver has a newer revision.
      *
-     * @param key which document
-     * @param revision the revision the sender has; 0 for none
+     * @param key the document
+     * @param revision the revision that the sender holds; 0 for none
      */
     record FetchRequest(DocumentKey key, long revision) implements DisseminationMessage {}
 
     /**
-     * Asks whether both tables are equal.
+     * Asks whether the sender and the receiver hold the same revisions.
      *
-     * @param number repeated in the answer
+     * @param comparisonId identifies the comparison; the answer repeats it
      * @param rootHash the hash over the sender's table
      */
     record Compare(long comparisonId, long rootHash) implements DisseminationMessage {}
 
     /**
-     * Answers that both tables were equal.
+     * Answers a comparison: both tables are equal.
      *
-     * @param number that of the question
-     * @param confirmedAge how long ago the sender's table was known to hold everything accepted; empty for never
+     * @param comparisonId the id of the comparison
+     * @param confirmedAge the time since the sender was last confirmed to hold every accepted document; empty if never
      */
     record Equal(long comparisonId, Optional<Duration> confirmedAge) implements DisseminationMessage {}
 
     /**
-     * Answers that the tables differ.
+     * Answers a comparison: the tables differ.
      *
-     * @param number that of the question
+     * @param comparisonId the id of the comparison
      * @param bucketHashes the hash of each bucket of the sender's table
      */
     record Differs(long comparisonId, List<Long> bucketHashes) implements DisseminationMessage {
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Gives all lines of some buckets and asks for what the receiver has newer.
+     * Lists all revisions of some buckets and requests a list of those that the receiver holds in a newer revision.
      *
-     * @param buckets the buckets
-     * @param lines the sender's lines in them
+     * @param buckets the indices of the buckets
+     * @param revisions all revisions that the sender holds in these buckets
      */
     record BucketRevisions(List<Integer> buckets, List<RevisionSummary> revisions) implements DisseminationMessage {
         public BucketRevisions {
@@ -63,9 +63,9 @@
     }
 
     /**
-     * Names documents that the sender has in a newer revision than the receiver had.
+     * Lists documents that the sender holds in a newer revision than the receiver reported.
      *
-     * @param lines the sender's lines
+     * @param revisions the revisions that the sender holds
      */
     record NewerRevisions(List<RevisionSummary> revisions) implements DisseminationMessage {
         public NewerRevisions {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationTree.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DisseminationTree.java
@@ -6,9 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * The shape in which documents travel: relays, below them forwarders, below them the other entries of the data centre,
- * below them the agents. Each process works out its own place from the live view; where two views differ, digests repair
- * what the tree misses.
+ * The tree along which documents are pushed: relays at the top, then forwarders, then the other entries of the data
+ * centre, then the agents. Each process computes its own position from its view of the live entries. If the views of two
+ * processes differ, the comparison of digests delivers what the tree misses.
  */
 public final class DisseminationTree {
     private static final int REMOTE_RELAYS = 2;
@@ -22,11 +22,11 @@
     }
 
     /**
-     * Works out the place of an entry.
+     * Computes the neighbours of an entry.
      *
      * @param self the entry
-     * @param entries all live entries, itself included
-     * @param firstAgents the agents that this entry is the first to tell
+     * @param entries all live entries, including {@code self}
+     * @param primaryAgents the agents to which this entry pushes new documents
      */
     public Neighbours neighboursOfEntry(EntryMember self, Collection<EntryMember> entries, List<String> primaryAgents) {
         List<String> ranked = relaySelector.rank(self.dataCentre(), entries);
@@ -50,7 +50,7 @@
         return new Neighbours(false, pushTargets, partners);
     }
 
-    /** Works out the place of an agent: it is told by the first entry of its subset and asks any of them. */
+    /** Computes the neighbours of an agent. The first entry of its subset pushes to it; it compares with all of them. */
     public Neighbours neighboursOfAgent(List<String> entriesOfSubset) {
         return new Neighbours(false, List.of(), entriesOfSubset);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/DocumentExchange.java
@@ -11,10 +11,10 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * One process's part in spreading documents. It answers each event with the messages to send and is used by one thread.
+ * The document dissemination of one process. Each method returns the messages to send; used by one thread.
  *
- * <p>Documents only move forward here: everything that arrives, from the store or a peer, is offered to the same
- * {@link RevisionTable}. Who sends it and how late it comes therefore cannot matter.
+ * <p>Revisions only increase: every document, from the store or from a peer, is offered to the same
+ * {@link RevisionTable}. The result therefore does not depend on the sender or on the order of arrival.
  */
 public final class DocumentExchange {
     private static final double MIN_PERIOD_FACTOR = 0.75;
@@ -46,7 +46,7 @@
         this.partnerIndex = random.nextInt(Short.MAX_VALUE);
     }
 
-    /** Takes over a new set of neighbours after a change of the live view. */
+    /** Sets the neighbours after a change of the view of live entries. */
     public void neighboursChanged(Neighbours changed) {
         if (!changed.relay()) {
             watchCoverage.stop();
@@ -54,29 +54,30 @@
         neighbours = changed;
     }
 
-    /** Notes that a listing followed by a watch is about to begin, at the start or after a gap. */
+    /** Records that a listing followed by a watch is about to start, initially or after a gap. */
     public void watchStarting() {
         watchCoverage.start(table.keys());
     }
 
-    /** Takes what the store told this relay. */
+    /** Handles a document that this relay received from the store. */
     public List<AddressedMessage> receivedFromStore(DocumentRevision document, StoreUpdateSource source) {
         boolean knownBefore = table.find(document.key()).isPresent();
         boolean applied = apply(document);
         watchCoverage.receivedFromStore(document.key(), !isOlderThanKnown(document));
-        // A first listing would otherwise send thousands of documents down the tree to processes that have them.
+        // Without this condition, the first listing would push thousands of documents to processes that already have
+        // them.
         boolean forward = applied && (source == StoreUpdateSource.WATCH_EVENT || knownBefore);
         return forward ? pushExcept(document, Optional.empty()) : List.of();
     }
 
-    /** Notes that the watch has just shown that it missed nothing so far. */
+    /** Records that the watch has just been confirmed to be complete up to now. */
     public void watchConfirmed() {
         if (watchCoverage.isComplete()) {
             confirmedAtNanos = Optional.of(time.monotonicNanoseconds());
         }
     }
 
-    /** Takes a message of a peer. */
+    /** Handles a message from a peer. */
     public List<AddressedMessage> received(String peer, DisseminationMessage message) {
         return switch (message) {
             case DisseminationMessage.Update update -> receivedUpdate(peer, update.document());
@@ -89,7 +90,7 @@
         };
     }
 
-    /** Takes the word of a process on the data path that it knows a newer revision. */
+    /** Handles a notice from a process on the data path that it knows a newer revision. */
     public List<AddressedMessage> receivedHint(String peer, DocumentKey key, long revision) {
         long known = table.find(key).map(DocumentRevision::revision).orElse(0L);
         if (revision > known) {
@@ -98,7 +99,7 @@
         return startFetches();
     }
 
-    /** Does what is due by now; to be called a few times a second. */
+    /** Runs the work that is due: fetches, timeouts and comparisons. To be called a few times per second. */
     public List<AddressedMessage> tick() {
         long now = time.monotonicNanoseconds();
         fetches.expire(now);
@@ -121,17 +122,17 @@
         return table.find(key);
     }
 
-    /** Returns the documents known, for the state dump and for comparisons in tests. */
+    /** Returns the table of known documents. */
     public RevisionTable table() {
         return table;
     }
 
-    /** Returns how long ago this process was last known to hold every accepted document; empty for never. */
+    /** Returns the time since this process was last confirmed to hold every accepted document; empty if never. */
     public Optional<Duration> confirmedAge() {
-        return confirmedAtNanos.map(moment -> Duration.ofNanos(time.monotonicNanoseconds() - moment));
+        return confirmedAtNanos.map(confirmedAt -> Duration.ofNanos(time.monotonicNanoseconds() - confirmedAt));
     }
 
-    /** Returns how many documents wait to be fetched; bounded by the settings. */
+    /** Returns how many documents are waiting to be fetched or being fetched; bounded by the settings. */
     public int pendingFetches() {
         return fetches.size();
     }
@@ -175,7 +176,8 @@
     private List<AddressedMessage> receivedEqual(DisseminationMessage.Equal equal) {
         Optional<PendingComparison> pending = takeAnsweredComparison(equal.comparisonId());
         if (pending.isPresent() && equal.confirmedAge().isPresent()) {
-            // The peer answered after the question left, so counting from then never makes the table look too fresh.
+            // The peer answered after the comparison was sent, so counting from the time of sending never makes this
+            // table appear more recently confirmed than it is.
             long confirmedAt =
                     pending.get().sentAtNanos() - equal.confirmedAge().get().toNanos();
             confirmedAtNanos = Optional.of(
@@ -189,7 +191,7 @@
                 || differs.bucketHashes().size() != RevisionTable.BUCKETS) {
             return List.of();
         }
-        List<Integer> buckets = someDifferingBuckets(differs.bucketHashes());
+        List<Integer> buckets = differingBuckets(differs.bucketHashes());
         List<RevisionSummary> summaries = new ArrayList<>();
         buckets.forEach(bucket -> summaries.addAll(table.summaries(bucket)));
         return buckets.isEmpty()
@@ -197,7 +199,7 @@
                 : List.of(new AddressedMessage(peer, new DisseminationMessage.BucketRevisions(buckets, summaries)));
     }
 
-    private List<Integer> someDifferingBuckets(List<Long> peerHashes) {
+    private List<Integer> differingBuckets(List<Long> peerHashes) {
         List<Long> hashes = table.bucketHashes();
         List<Integer> differing = new ArrayList<>();
         int start = random.nextInt(RevisionTable.BUCKETS);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/EntryMember.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/EntryMember.java
@@ -3,7 +3,7 @@
 /**
  * A live entry.
  *
- * @param process its name
- * @param dataCentre where it stands
+ * @param process the name of the process
+ * @param dataCentre the data centre that it runs in
  */
 public record EntryMember(String process, String dataCentre) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/ExchangeSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/ExchangeSettings.java
@@ -3,13 +3,14 @@
 import java.time.Duration;
 
 /**
- * The pace and the bounds of one process's document exchange.
+ * The intervals and limits of the document exchange of one process.
  *
  * @param comparePeriod the mean time between two comparisons with a neighbour
- * @param answerTimeout after which the next neighbour is asked instead, and a wanted document asked for again
- * @param maxOutstandingFetches how many documents are asked for at once
- * @param maxWaitingFetches how many documents wait to be asked for
- * @param maxBucketsPerMessage how many buckets of lines one message holds
+ * @param answerTimeout the time after which the next neighbour is compared with instead, and an unanswered fetch is
+ *     dropped so that the document can be requested again
+ * @param maxOutstandingFetches the maximum number of documents requested at the same time
+ * @param maxWaitingFetches the maximum number of documents waiting to be requested
+ * @param maxBucketsPerMessage the maximum number of buckets listed in one message
  */
 public record ExchangeSettings(
         Duration comparePeriod,
@@ -23,7 +24,7 @@
     private static final int DEFAULT_WAITING = 512;
     private static final int DEFAULT_BUCKETS = 4;
 
-    /** Returns the settings that the planned fleet was reckoned with. */
+    /** Returns the default settings, on which the traffic calculation of the planned fleet is based. */
     public static ExchangeSettings defaults() {
         return new ExchangeSettings(
                 DEFAULT_PERIOD, DEFAULT_TIMEOUT, DEFAULT_OUTSTANDING, DEFAULT_WAITING, DEFAULT_BUCKETS);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FetchWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FetchWindow.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * The documents that are known to exist in a newer revision elsewhere: a few are asked for at once, some more wait.
+ * The documents to fetch because a peer has a newer revision. Limits how many fetches are outstanding and how many wait.
  *
- * <p>What does not fit is dropped; the next comparison names it again.
+ * <p>Documents beyond the limits are dropped; the next comparison reports them again.
  */
 final class FetchWindow {
     private final ExchangeSettings settings;
@@ -21,7 +21,7 @@
         this.settings = settings;
     }
 
-    /** Notes that a peer has a newer revision of a document. */
+    /** Adds a document of which a peer has a newer revision; ignored if it is already requested or too many wait. */
     void enqueue(DocumentKey key, String peer) {
         if (outstanding.containsKey(key) || waiting.size() >= settings.maxWaitingFetches()) {
             return;
@@ -29,26 +29,26 @@
         waiting.putIfAbsent(key, peer);
     }
 
-    /** Takes as many asks as may be sent now. */
+    /** Marks as many waiting fetches as the limit allows as outstanding and returns them for sending. */
     List<PendingFetch> startFetches(long now) {
         List<PendingFetch> started = new ArrayList<>();
         Iterator<Map.Entry<DocumentKey, String>> iterator = waiting.entrySet().iterator();
         while (iterator.hasNext() && outstanding.size() < settings.maxOutstandingFetches()) {
-            Map.Entry<DocumentKey, String> next = iterator.next();
+            Map.Entry<DocumentKey, String> fetch = iterator.next();
             iterator.remove();
-            outstanding.put(next.getKey(), now);
-            started.add(new PendingFetch(next.getKey(), next.getValue()));
+            outstanding.put(fetch.getKey(), now);
+            started.add(new PendingFetch(fetch.getKey(), fetch.getValue()));
         }
         return started;
     }
 
-    /** Notes that a document arrived; says whether it had been asked for. */
+    /** Records that a document was received; returns whether it had been requested. */
     boolean complete(DocumentKey key) {
         waiting.remove(key);
         return outstanding.remove(key) != null;
     }
 
-    /** Gives up asks that were not answered in time. */
+    /** Removes outstanding fetches that were not answered within the timeout. */
     void expire(long now) {
         long timeout = settings.answerTimeout().toNanos();
         outstanding.values().removeIf(startedAt -> now - startedAt >= timeout);
@@ -63,10 +63,10 @@
     }
 
     /**
-     * A document to ask for.
+     * A document to fetch.
      *
-     * @param key which document
-     * @param peer who has it
+     * @param key the document
+     * @param peer the process that has it
      */
     record PendingFetch(DocumentKey key, String peer) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessDecision.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 import org.aspenmoor.RefusalReason;
 
-/** What to do with a request, given how sure the process is of its document. */
+/** What to do with a request, given how recently its document was confirmed to be current. */
 public sealed interface FreshnessDecision {
-    /** The document is current within the bound: serve. */
+    /** Serve: the document was confirmed to be current within the allowed age. */
     record Serve() implements FreshnessDecision {}
 
     /**
-     * Serve by the newest known document, and say in metrics and dumps that it may be old.
+     * Serve by the newest known document and report in metrics and dumps that it may be outdated.
      *
-     * @param unconfirmedFor for how long nothing has confirmed it
+     * @param unconfirmedFor the time since the document was last confirmed
      */
     record ServeUnconfirmed(Duration unconfirmedFor) implements FreshnessDecision {}
 
-    /** Read the document from the store first; where the store does not answer, refuse as not run. */
+    /** Read the document from the store first; if the store does not answer, refuse the request as not run. */
     record ReadStoreFirst() implements FreshnessDecision {}
 
     /**
-     * Refuse as not run.
+     * Refuse the request as not run.
      *
-     * @param reason what to tell the caller
-     * @param comeBackAfter how long the caller should wait
+     * @param reason the reason reported to the caller
+     * @param retryAfter how long the caller should wait before a retry
      */
     record Refuse(RefusalReason reason, Duration retryAfter) implements FreshnessDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/FreshnessPolicy.java
@@ -5,12 +5,12 @@
 import org.aspenmoor.RefusalReason;
 
 /**
- * What a process does that cannot tell whether its document is current.
+ * Decides how to handle a request when the process may not hold the current document.
  *
- * <p>Work that may run twice goes on by the newest known document: refusing it would turn each store outage and each
- * partition between regions into an outage of every team, to guard against a change that most likely was not made. A
- * non-idempotent request needs the store for its claim in any case, so reading the document there first costs it one read
- * and loses nothing that would have been served.
+ * <p>Idempotent requests are served by the newest known document. Refusing them would turn every store outage and every
+ * partition between regions into an outage for all teams, to protect against a change that most likely was not made. A
+ * non-idempotent request needs the store for its claim in any case, so reading the document there first costs one read
+ * and refuses nothing that could have been served.
  */
 public final class FreshnessPolicy {
     private static final Duration NEVER = Duration.ofSeconds(Long.MAX_VALUE);
@@ -26,10 +26,10 @@
     /**
      * Decides for one request.
      *
-     * @param confirmedAge how long ago the process was known to hold every accepted document; empty for never
-     * @param documentKnown whether it holds any revision of the service's document
+     * @param confirmedAge the time since the process was last confirmed to hold every accepted document; empty if never
+     * @param documentKnown whether the process holds any revision of the service's document
      * @param idempotent whether the request may run more than once
-     * @param teamForbidsUncertain whether the team would rather be refused than served by an old document
+     * @param teamForbidsUnconfirmed whether the team prefers a refusal to being served by an unconfirmed document
      */
     public FreshnessDecision decide(
             Optional<Duration> confirmedAge,
@@ -53,7 +53,7 @@
         return new FreshnessDecision.ServeUnconfirmed(confirmedAge.orElse(NEVER));
     }
 
-    /** Says whether a table confirmed this long ago counts as current. */
+    /** Returns whether documents that were last confirmed this long ago count as current. */
     public boolean isCurrent(Optional<Duration> confirmedAge) {
         return confirmedAge.filter(age -> age.compareTo(maxUnconfirmedAge) <= 0).isPresent();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/InForceListener.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/InForceListener.java
@@ -1,8 +1,8 @@
 package org.aspenmoor.internal.dissemination;
 
-/** Hears of each document that has just come into force in this process. */
+/** Receives each document that comes into force in this process. */
 @FunctionalInterface
 public interface InForceListener {
-    /** The document is the newest known one from now on. */
+    /** Called when the document has become the newest known revision. */
     void inForce(DocumentRevision document);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/Neighbours.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/Neighbours.java
@@ -5,11 +5,11 @@
 import java.util.Set;
 
 /**
- * The processes that one process talks to about documents.
+ * The processes with which one process exchanges documents.
  *
  * @param relay whether this process watches the store
- * @param pushTargets who is given every new document
- * @param repairPartners who is asked in turn whether both know the same
+ * @param pushTargets the processes to which every new document is sent
+ * @param repairPartners the processes with which the known revisions are compared, in turn
  */
 public record Neighbours(boolean relay, List<String> pushTargets, List<String> repairPartners) {
     public Neighbours {
@@ -17,7 +17,7 @@
         repairPartners = List.copyOf(repairPartners);
     }
 
-    /** Returns all processes this one opens or keeps a link to. */
+    /** Returns all processes to which this process keeps a link. */
     public Set<String> links() {
         Set<String> links = new LinkedHashSet<>(pushTargets);
         links.addAll(repairPartners);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/PendingComparison.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/PendingComparison.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.dissemination;
 
 /**
- * A comparison with a neighbour that waits for its answer.
+ * A comparison with a neighbour that has not been answered yet.
  *
- * @param id repeated in the answer
- * @param peer who was asked
- * @param sentAtNanos when, on the monotonic clock
+ * @param id identifies the comparison; the answer repeats it
+ * @param peer the process that the comparison was sent to
+ * @param sentAtNanos the time of sending, on the monotonic clock
  */
 record PendingComparison(long id, String peer, long sentAtNanos) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RendezvousHash.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RendezvousHash.java
@@ -4,11 +4,14 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Ranks names for a subject alike in every process; a name that leaves moves nothing but its own place. */
+/**
+ * Rendezvous hashing: ranks names for a subject in the same order in every process. Removing a name does not change the
+ * order of the others.
+ */
 final class RendezvousHash {
     private RendezvousHash() {}
 
-    /** Returns the names, the best for the subject first. */
+    /** Returns the names, the highest ranked for the subject first. */
     static List<String> rank(String subject, Collection<String> names) {
         return names.stream()
                 .map(name -> new ScoredName(name, StableHash.of(subject, name)))
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionSummary.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionSummary.java
@@ -1,19 +1,19 @@
 package org.aspenmoor.internal.dissemination;
 
 /**
- * A document as digests name it.
+ * A revision of a document without its content, as exchanged in comparisons.
  *
- * @param key which document
- * @param revision the revision that the sender has
- * @param contentHash a hash of that revision's content
+ * @param key the document
+ * @param revision the revision number
+ * @param contentHash a hash of the content of this revision
  */
 public record RevisionSummary(DocumentKey key, long revision, long contentHash) {
     /**
-     * Says whether this line replaces the other.
+     * Returns whether this revision replaces the other.
      *
-     * <p>Two contents under one revision mean that the store lost a write that was already in force. Without an order
-     * between them two processes would keep serving differently and no digest would ever settle it, so the content hash
-     * decides, alike everywhere.
+     * <p>Two contents with the same revision number mean that the store lost a write that was already in force. Without
+     * an order between them, two processes would keep serving by different documents, and no comparison would resolve
+     * the difference. Therefore the content hash decides, with the same result in every process.
      */
     public boolean isNewerThan(RevisionSummary other) {
         if (revision != other.revision) {
@@ -22,7 +22,7 @@
         return Long.compareUnsigned(contentHash, other.contentHash) > 0;
     }
 
-    /** Returns this line's part of a bucket's hash. */
+    /** Returns the contribution of this revision to the hash of its bucket. */
     long digestHash() {
         return StableHash.combine(StableHash.combine(key.stableHash(), revision), contentHash);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionTable.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/RevisionTable.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The documents a process knows; an entry is only ever replaced by a newer one. */
+/** The newest known revision of each document; a revision is only replaced by a newer one. */
 public final class RevisionTable {
-    /** How many buckets a table's digest has. */
+    /** The number of buckets in the digest of a table. */
     public static final int BUCKETS = 64;
 
     private final Map<DocumentKey, KnownRevision> revisions = new HashMap<>();
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Takes the document if it is newer than the known one; says whether it was taken. */
+    /** Stores the document if it is newer than the known revision; returns whether it was stored. */
     public boolean offer(DocumentRevision document) {
         RevisionSummary summary = document.summary();
         KnownRevision known = revisions.get(document.key());
@@ -49,7 +49,7 @@
         return Optional.ofNullable(revisions.get(key)).map(KnownRevision::document);
     }
 
-    /** Returns the line of the known revision of a document. */
+    /** Returns the summary of the known revision of a document. */
     public Optional<RevisionSummary> findSummary(DocumentKey key) {
         return Optional.ofNullable(revisions.get(key)).map(KnownRevision::summary);
     }
@@ -59,7 +59,7 @@
         return Set.copyOf(revisions.keySet());
     }
 
-    /** Says whether the line names something newer than what is known. */
+    /** Returns whether the summary is newer than the known revision of its document. */
     public boolean isOutdatedBy(RevisionSummary summary) {
         KnownRevision known = revisions.get(summary.key());
         return known == null || summary.isNewerThan(known.summary);
@@ -70,7 +70,7 @@
         return revisions.size();
     }
 
-    /** Returns the hash over all lines; equal hashes mean equal tables. */
+    /** Returns the hash over all known revisions; equal hashes mean equal tables. */
     public long rootHash() {
         return rootHash;
     }
@@ -84,17 +84,17 @@
         return hashes;
     }
 
-    /** Returns the lines of one bucket. */
+    /** Returns the summaries of the documents in one bucket. */
     public Collection<RevisionSummary> summaries(int bucket) {
         return List.copyOf(summariesByBucket.get(bucket).values());
     }
 
-    /** Counts how often two contents were met under one revision; anything but 0 means the store lost a write. */
+    /** Returns how often different contents of one revision were received; not 0 if the store has lost a write. */
     public long contentConflicts() {
         return contentConflicts;
     }
 
-    /** Returns the bucket a document falls into. */
+    /** Returns the bucket that a document belongs to. */
     public static int bucketOf(DocumentKey key) {
         return (int) Long.remainderUnsigned(key.stableHash(), BUCKETS);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/StableHash.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/StableHash.java
@@ -21,12 +21,12 @@
         return mix(hash);
     }
 
-    /** Hashes two texts; their order matters. */
+    /** Hashes two texts; the result depends on their order. */
     public static long of(String first, String second) {
         return combine(of(first), of(second));
     }
 
-    /** Joins a hash with another number; their order matters. */
+    /** Combines a hash with a number; the result depends on their order. */
     public static long combine(long hash, long number) {
         return mix(mix(hash) * PRIME + number);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/StoreUpdateSource.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/StoreUpdateSource.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.dissemination;
 
-/** How the store told a relay of a document. */
+/** How a relay received a document from the store. */
 public enum StoreUpdateSource {
     /** By an event of a running watch. */
     WATCH_EVENT,
-    /** By a listing, at the start or after a gap in the watch. */
+    /** By a listing, when the watch starts or after a gap in it. */
     LISTING
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetAssignment.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Which entries and agents of one group are linked. */
+/** The links between the entries and the agents of one group. */
 public final class SubsetAssignment {
     private final Map<String, List<String>> agentsByEntry;
     private final Map<String, List<String>> entriesByAgent;
@@ -14,17 +14,17 @@
         this.entriesByAgent = entriesByAgent;
     }
 
-    /** Returns the agents an entry links to. */
+    /** Returns the agents that an entry links to. */
     public List<String> agentsOf(String entry) {
         return List.copyOf(agentsByEntry.getOrDefault(entry, List.of()));
     }
 
-    /** Returns the entries that link to an agent; the first one tells it of new documents. */
+    /** Returns the entries that link to an agent; the first one pushes new documents to it. */
     public List<String> entriesOf(String agent) {
         return List.copyOf(entriesByAgent.getOrDefault(agent, List.of()));
     }
 
-    /** Returns the agents that an entry is the first to tell of new documents. */
+    /** Returns the agents to which an entry pushes new documents. */
     public List<String> primaryAgentsOf(String entry) {
         return agentsOf(entry).stream()
                 .filter(agent -> entriesOf(agent).getFirst().equals(entry))
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetSelector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/SubsetSelector.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Chooses which agents each entry of a data centre links to, alike in every process.
+ * Selects the agents that each entry of a data centre links to, with the same result in every process.
  *
- * <p>It is asked once for each group of interchangeable engines, such as those that run one model: an entry needs
- * candidates in every group, not many links in all.
+ * <p>The selection is made separately for each group of interchangeable engines, such as those that run one model,
+ * because an entry needs candidates in every group rather than many links in total.
  */
 public final class SubsetSelector {
     private final int minEntriesPerAgent;
@@ -21,8 +21,8 @@
         this.minAgentsPerEntry = minAgentsPerEntry;
     }
 
-    /** Chooses for one group of agents. */
-    public SubsetAssignment choose(List<String> entries, List<String> agents) {
+    /** Selects the links for one group of agents. */
+    public SubsetAssignment select(List<String> entries, List<String> agents) {
         BoundedAssignment assignment = new BoundedAssignment(entries, agents, entriesPerAgent(entries, agents));
         Map<String, List<String>> agentsByEntry = new HashMap<>();
         Map<String, List<String>> entriesByAgent = new LinkedHashMap<>();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/WatchCoverage.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/WatchCoverage.java
@@ -5,23 +5,23 @@
 import java.util.Set;
 
 /**
- * Which documents a relay knows in a newer revision than its own watch has shown it.
+ * Tracks which documents a relay knows in a newer revision than its own watch has delivered.
  *
- * <p>A watch served by an old replica of the store looks alive and says nothing new, so the relay would vouch for a table
- * that is behind. What its neighbours know and its watch never showed gives the replica away.
+ * <p>A watch served by a lagging replica of the store appears healthy but delivers no new revisions, so the relay would
+ * confirm an outdated table as current. Revisions received from neighbours but not from the watch reveal such a replica.
  */
 final class WatchCoverage {
     private final Set<DocumentKey> unseen = new HashSet<>();
     private boolean watching;
 
-    /** A watch is about to begin; nothing that is known has been seen in it yet. */
+    /** Starts tracking a new watch, which has not delivered any of the known documents yet. */
     void start(Collection<DocumentKey> known) {
         watching = true;
         unseen.clear();
         unseen.addAll(known);
     }
 
-    /** This process watches the store no longer. */
+    /** Stops tracking because this process no longer watches the store. */
     void stop() {
         watching = false;
         unseen.clear();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Says whether the watch has shown everything that is known. */
+    /** Returns whether the watch has delivered the newest known revision of every document. */
     boolean isComplete() {
         return watching && unseen.isEmpty();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/dissemination/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How an accepted document reaches every process: a few relays watch the store, updates travel down a shallow tree, and
- * digests repair what was lost. Nothing here does I/O; the objects belong to one thread each.
+ * Distribution of accepted documents to every process: a few relays watch the store, updates are pushed along a shallow
+ * tree, and comparisons of digests repair lost updates. The classes do no I/O, and each object is used by one thread.
  */
 package org.aspenmoor.internal.dissemination;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DisseminationTreeTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DisseminationTreeTest.java
@@ -53,8 +53,8 @@
         assertTrue(links <= entries.size() * 12, "links: " + links);
     }
 
-    // A relay's host fails. If every entry then chose anew, all watches would begin again at one moment and fill the
-    // store's budget just when changes have to get through.
+    // The host of a relay fails. If all relays were then replaced, all watches would restart at the same time and use
+    // up the store's request budget while changes have to be delivered.
     @Test
     public void should_replace_only_the_failed_relay_when_a_relay_fails() {
         List<EntryMember> entries = fleet(1, 44);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeRandomisedTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeRandomisedTest.java
@@ -33,9 +33,8 @@
         return seeds;
     }
 
-    // Frames between entries are lost, doubled and overtaken, watches skip events and replay old ones, and processes
-    // are
-    // replaced at any moment. A caller would notice a process that goes back to an old document, or never gets the new.
+    // Messages between entries are lost, duplicated and reordered, watches skip events and replay old ones, and
+    // processes are replaced at any time. No process may return to an old document or fail to receive the newest one.
     @Test(dataProvider = "seeds")
     public void should_never_revert_and_should_converge_when_faults_stop(long seed) {
         Run run = new Run(seed);
@@ -97,7 +96,7 @@
             }
         }
 
-        /** A change is accepted; each relay's watch shows it, an older one, or nothing. */
+        /** Accepts a change; the watch of each relay delivers this revision, an older one, or nothing. */
         private void accept() {
             int index = random.nextInt(DOCUMENTS);
             accepted[index]++;
@@ -157,7 +156,7 @@
         private void assertNewer(String process, DocumentRevision document) {
             Long before =
                     inForce.computeIfAbsent(process, name -> new HashMap<>()).put(document.key(), document.revision());
-            assertTrue(before == null || before < document.revision(), process + " went back to " + document);
+            assertTrue(before == null || before < document.revision(), process + " reverted to " + document);
         }
 
         private DocumentRevision document(int index, long revision) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/DocumentExchangeTest.java
@@ -33,38 +33,37 @@
         assertEquals(fleet.messagesDelivered(), 44 - fleet.relays(ALMATY).size());
     }
 
-    // A relay's watch loses an event and goes on as if nothing had happened. Callers of the team would be served by the
-    // old document at that relay's entries until the next change.
+    // The watch of one relay misses an event without noticing. Without repair, the entries below that relay would
+    // serve by the old document until the next change.
     @Test
     public void should_repair_within_the_bound_when_a_watch_misses_an_event() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 12);
-        String seeing = fleet.relays(ALMATY).getFirst();
+        String relay = fleet.relays(ALMATY).getFirst();
 
-        fleet.watchEvent(seeing, drafting(1));
+        fleet.watchEvent(relay, drafting(1));
         fleet.run(BOUND);
 
         assertTrue(fleet.allHold(DRAFTING, 1));
     }
 
-    // A relay was paused and then sends on what it had in its buffers. A change that is already in force would be
-    // undone
-    // for the callers of every entry below it.
+    // A relay was paused and then pushes an old revision from its buffers. If it were applied, a change that is
+    // already in force would be undone in every entry below the relay.
     @Test
     public void should_not_revert_and_should_update_the_relay_when_a_relay_sends_an_old_revision() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 12);
-        String stale = fleet.relays(ALMATY).getLast();
-        fleet.disconnect(stale);
+        String outdatedRelay = fleet.relays(ALMATY).getLast();
+        fleet.disconnect(outdatedRelay);
         fleet.watchEvent(fleet.relays(ALMATY).getFirst(), drafting(7));
         fleet.run(BOUND);
-        fleet.reconnect(stale);
+        fleet.reconnect(outdatedRelay);
 
-        fleet.watchEvent(stale, drafting(6));
+        fleet.watchEvent(outdatedRelay, drafting(6));
 
         assertTrue(fleet.allHold(DRAFTING, 7));
     }
 
-    // After a failover the store answers a relay from a replica that is minutes behind, and that replica's watch stays
-    // silent. The relay would vouch for an old table, and its data centre would serve on by it without any doubt.
+    // After a failover, the store serves a relay from a replica that lags by minutes and whose watch delivers no
+    // events. The relay must not confirm its outdated table as current, or its data centre would keep serving by it.
     @Test
     public void should_not_confirm_its_table_when_a_lagging_replica_serves_its_watch() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 12);
@@ -82,9 +81,9 @@
         assertEquals(fleet.exchangeOf(relay).confirmedAge().orElseThrow(), Duration.ZERO);
     }
 
-    // A region loses the others for minutes and changes are accepted meanwhile. Once the partition heals its callers
-    // must
-    // get the new documents within the bound, also while the store's replica on their side is still behind.
+    // A region is partitioned from the others for minutes, and changes are accepted in the meantime. When the
+    // partition ends, it must receive the new documents within the bound, even while its replica of the store still
+    // lags.
     @Test
     public void should_catch_up_from_another_data_centre_when_a_partition_ends() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 8);
@@ -101,8 +100,8 @@
         assertTrue(fleet.allHold(DRAFTING, 3));
     }
 
-    // An entry is replaced by a fresh one that knows nothing. Until it has caught up it would refuse the teams whose
-    // documents it lacks; it must neither flood the data centre nor go on without them.
+    // An entry is replaced by a new one without documents. Until it has loaded them, it refuses the requests of the
+    // teams whose documents are missing. It must load all of them without flooding the data centre.
     @Test
     public void should_load_all_documents_with_bounded_traffic_when_an_entry_restarts() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 8);
@@ -117,12 +116,13 @@
 
         assertEquals(fleet.exchangeOf(restarted).table().size(), documents.size());
         assertTrue(fleet.exchangeOf(restarted).pendingFetches() == 0);
-        assertTrue(fleet.messagesDelivered() - before < 3 * documents.size(), "messages of one refill");
+        assertTrue(
+                fleet.messagesDelivered() - before < 3 * documents.size(),
+                "messages to load the documents of one entry");
     }
 
-    // A relay is replaced and lists thousands of documents. If it pushed each of them down the tree, entries that have
-    // them
-    // all would spend minutes of their traffic on the restart of one process.
+    // A relay is replaced and lists thousands of documents. If it pushed each of them down the tree, the restart of
+    // one process would cost minutes of traffic to entries that already have all documents.
     @Test
     public void should_not_push_documents_from_a_first_listing() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 8);
@@ -139,16 +139,15 @@
         assertEquals(fleet.messagesDelivered(), before);
     }
 
-    // A relay hears of a change from another relay a moment before its own watch shows it. If it then passed nothing
-    // on,
-    // the entries below it would wait seconds for their next comparison.
+    // A relay receives a change from another relay shortly before its own watch delivers it. If it did not push the
+    // change, the entries below it would wait seconds for their next comparison.
     @Test
     public void should_push_a_change_when_it_was_fetched_from_a_peer() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 8);
         List<String> relays = fleet.relays(ALMATY);
         relays.forEach(relay -> fleet.watchEvent(relay, drafting(1)));
-        DocumentExchange late = fleet.exchangeOf(relays.getFirst());
-        late.receivedHint(relays.getLast(), DRAFTING, 2);
+        DocumentExchange exchange = fleet.exchangeOf(relays.getFirst());
+        exchange.receivedHint(relays.getLast(), DRAFTING, 2);
 
         fleet.receive(relays.getFirst(), relays.getLast(), new DisseminationMessage.Update(drafting(2)));
         fleet.watchEvent(relays.getLast(), drafting(2));
@@ -156,9 +155,8 @@
         assertTrue(fleet.allHold(DRAFTING, 2));
     }
 
-    // Half of the neighbours have just been killed and the view does not show it yet. Waiting a whole period for each
-    // of
-    // them would keep an old document in force beyond the bound.
+    // Half of the neighbours have just been killed and are still in the view. Waiting a whole period for each of them
+    // would keep an old document in force beyond the bound.
     @Test
     public void should_compare_with_the_next_neighbour_when_one_does_not_answer() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 1);
@@ -170,9 +168,8 @@
         assertEquals(compared.stream().distinct().count(), 3);
     }
 
-    // A relay is killed in the moment a change is accepted, before it has passed it on. The entries below it would
-    // never
-    // hear of the change from it.
+    // A relay is killed when a change is accepted, before it pushes the change. The entries below it must receive the
+    // change from another process.
     @Test
     public void should_reach_every_entry_when_a_relay_is_killed_before_it_pushes_a_change() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 12);
@@ -188,8 +185,9 @@
         assertFalse(fleet.relays(ALMATY).contains(relays.getFirst()));
     }
 
-    // The store was restored from a backup and an operator's change got a revision number that was in force before. Two
-    // relays then hold different contents of one revision, and half of the entries would serve otherwise than the rest.
+    // The store was restored from an older copy, and a change was given a revision number that had been in force
+    // before. Two relays then hold different contents of one revision, and entries would serve by different
+    // documents.
     @Test
     public void should_converge_on_one_content_and_count_the_conflict_when_two_contents_have_one_revision() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 12);
@@ -210,8 +208,8 @@
                 .anyMatch(process -> fleet.exchangeOf(process).table().contentConflicts() > 0));
     }
 
-    // An entry is cut off from all other entries but still reaches agents. Only the data path can tell it that its
-    // document is old.
+    // An entry has lost its links to all other entries but still reaches agents. It can only learn on the data path
+    // that its document is outdated.
     @Test
     public void should_fetch_from_the_hinting_process_only_when_it_has_a_newer_revision() {
         ExchangeFleet fleet = new ExchangeFleet(ALMATY, 3);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/ExchangeFleet.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/ExchangeFleet.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.aspenmoor.internal.time.ManualTimeSource;
 
-/** Exchanges of several processes joined by queues in memory; asserts that no process ever goes back a revision. */
+/** The exchanges of several processes connected by in-memory queues; asserts that no process reverts to an old revision. */
 final class ExchangeFleet {
     private static final Duration TICK = Duration.ofMillis(250);
     private static final int RELAYS = 2;
@@ -43,14 +43,14 @@
         updateNeighbours();
     }
 
-    /** Replaces a process by a fresh one that knows nothing. */
+    /** Replaces a process by a new one without documents. */
     void restart(String process) {
         inForce.remove(process);
         exchanges.put(process, start(process));
         updateNeighbours();
     }
 
-    /** Ends a process; the others notice in their view. */
+    /** Terminates a process and removes it from the view of the others. */
     void kill(String process) {
         members.removeIf(member -> member.process().equals(process));
         exchanges.remove(process);
@@ -98,7 +98,7 @@
         deliverAll();
     }
 
-    /** Moves the clock and lets every process do what is due. */
+    /** Advances the clock and lets every process run its due work. */
     void run(Duration span) {
         for (long ticks = span.dividedBy(TICK); ticks > 0; ticks--) {
             time.advance(TICK);
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Returns whom a process compares with while nobody answers it. */
+    /** Returns the peers that a process sends messages to while it receives no answers. */
     List<String> peersCompared(String process, Duration span) {
         List<String> peers = new ArrayList<>();
         for (long ticks = span.dividedBy(TICK); ticks > 0; ticks--) {
@@ -140,7 +140,7 @@
     private void recordInForce(String process, DocumentRevision document) {
         Long before =
                 inForce.computeIfAbsent(process, name -> new HashMap<>()).put(document.key(), document.revision());
-        assertTrue(before == null || before <= document.revision(), process + " went back to " + document);
+        assertTrue(before == null || before <= document.revision(), process + " reverted to " + document);
     }
 
     private void updateNeighbours() {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/FreshnessPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/FreshnessPolicyTest.java
@@ -20,18 +20,16 @@
         assertEquals(policy.decide(FRESH, true, false, true), new FreshnessDecision.Serve());
     }
 
-    // The store is away for minutes and nothing confirms the documents any more. Drafts must go on, or every outage of
-    // the
-    // store would be one of every team.
+    // The store is unavailable for minutes, so the documents are no longer confirmed. Idempotent requests must still
+    // be served, or every outage of the store would be an outage for all teams.
     @Test
     public void should_keep_serving_idempotent_requests_when_the_document_is_unconfirmed() {
         assertEquals(
                 policy.decide(OLD, true, true, false), new FreshnessDecision.ServeUnconfirmed(Duration.ofMinutes(5)));
     }
 
-    // An entry that is cut off may hold a document that still calls a booking repeatable. Run by it, a narrator would
-    // be
-    // paid twice.
+    // An entry without a connection may hold an old document that still declares a booking idempotent. If the entry
+    // served by it, the booking could run twice.
     @Test
     public void should_read_the_store_first_when_a_request_is_not_idempotent() {
         assertEquals(policy.decide(OLD, true, false, false), new FreshnessDecision.ReadStoreFirst());
@@ -45,9 +43,8 @@
                 new FreshnessDecision.Refuse(RefusalReason.DOCUMENT_UNCERTAIN, RETRY_AFTER));
     }
 
-    // A process that has just started has no documents yet. Telling a team that its service does not exist would be a
-    // lie
-    // that clients do not retry.
+    // A process that has just started has no documents yet. Reporting that a service does not exist would be wrong,
+    // and clients would not retry.
     @Test
     public void should_not_report_a_missing_service_when_the_documents_are_not_loaded_yet() {
         assertEquals(
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/SubsetSelectorTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/dissemination/SubsetSelectorTest.java
@@ -28,7 +28,7 @@
         List<String> entryNames = names("entry", entries);
         List<String> agentNames = names("agent", agents);
 
-        SubsetAssignment assignment = selector.choose(entryNames, agentNames);
+        SubsetAssignment assignment = selector.select(entryNames, agentNames);
 
         int entriesPerAgent = Math.min(entries, Math.max(MIN_ENTRIES, Math.ceilDiv(entries * MIN_AGENTS, agents)));
         int maxAgents = Math.max(MIN_AGENTS, (int) Math.ceil(1.25 * agents * entriesPerAgent / entries));
@@ -51,8 +51,8 @@
         assertEquals(links(entries, agents), links(shuffled, agents));
     }
 
-    // An entry host fails, as one does every hour. Each link that moves besides its own costs a connection and the load
-    // view behind it, and callers meet entries that know little of the engines.
+    // The host of an entry fails, which happens about once an hour. Every additional link that changes costs a new
+    // connection and the load data collected on the old one, so that entries know less about the load of the engines.
     @Test
     public void should_create_few_new_links_when_one_entry_leaves() {
         List<String> entries = names("entry", 44);
@@ -63,20 +63,20 @@
         for (String leaving : entries) {
             List<String> remaining = new ArrayList<>(entries);
             remaining.remove(leaving);
-            Set<String> fresh = links(remaining, agents);
-            fresh.removeAll(before);
-            created += fresh.size();
+            Set<String> newLinks = links(remaining, agents);
+            newLinks.removeAll(before);
+            created += newLinks.size();
         }
 
-        int leavingLinks = before.size();
-        assertTrue(created < 2 * leavingLinks, created + " new links for " + leavingLinks + " lost ones");
+        int lostLinks = before.size();
+        assertTrue(created < 2 * lostLinks, created + " new links for " + lostLinks + " lost ones");
     }
 
     @Test
     public void should_give_each_agent_exactly_one_primary_entry() {
         List<String> entries = names("entry", 10);
         List<String> agents = names("agent", 30);
-        SubsetAssignment assignment = selector.choose(entries, agents);
+        SubsetAssignment assignment = selector.select(entries, agents);
 
         List<String> primaryAgents = new ArrayList<>();
         entries.forEach(entry -> primaryAgents.addAll(assignment.primaryAgentsOf(entry)));
@@ -87,7 +87,7 @@
     }
 
     private Set<String> links(List<String> entries, List<String> agents) {
-        SubsetAssignment assignment = selector.choose(entries, agents);
+        SubsetAssignment assignment = selector.select(entries, agents);
         Set<String> links = new HashSet<>();
         agents.forEach(agent -> assignment.entriesOf(agent).forEach(entry -> links.add(entry + " " + agent)));
         return links;
