--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketCache.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketCache.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** The objects that this process wrote last, so that an uncontended commit needs no read; bounded. */
+/** A bounded cache of the claim buckets that this process wrote most recently, so that an uncontended commit needs no read. */
 final class BucketCache {
     private static final int MAX_OBJECTS = 64;
     private static final int MAX_CHARACTERS_PER_OBJECT = 100_000;
@@ -37,6 +37,6 @@
         objects.remove(key);
     }
 
-    /** An object and what it holds; no object where there is none yet. */
+    /** A stored object and the bucket it contains; the object is empty if it does not exist yet. */
     record CachedBucket(Optional<StoredObject> stored, ClaimBucket bucket) {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketUpdate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketUpdate.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The next content of one object, worked out from the content that was read and the work that waits. */
+/** Computes the next content of a claim bucket from the stored content and the pending claims and outcomes. */
 final class BucketUpdate {
     private final ClaimBucket bucket;
     private final ClaimSettings settings;
@@ -22,7 +22,7 @@
         bucket.removeClaimedBefore(now.minus(settings.retention()));
     }
 
-    /** Applies the work: outcomes first, so that a key that never started is free for a claim of the same batch. */
+    /** Applies outcomes before claims, so that the key of a call that never started can be claimed in the same batch. */
     void apply(BucketWork work) {
         work.outcomes().forEach(this::applyOutcome);
         work.claims().forEach(this::applyClaim);
@@ -40,7 +40,7 @@
         return changed;
     }
 
-    /** Says whether a verdict rests on a claim that was there before; it must then not be an old reading. */
+    /** Returns whether a decision depends on an earlier claim; it must then be based on a current read of the store. */
     boolean foundEarlierClaim() {
         return foundEarlierClaim;
     }
@@ -77,7 +77,8 @@
         if (!bucket.trimTo(settings.maxBucketCharacters())) {
             bucket.remove(claim.keyHash());
             Duration retryAfter = settings.minRetryAfter();
-            decisions.add(new ClaimDecision.NotClaimed(claim.request(), retryAfter, "The team's claims are full."));
+            decisions.add(new ClaimDecision.NotClaimed(
+                    claim.request(), retryAfter, "The team's claims have reached their maximum size."));
             return;
         }
         changed = true;
@@ -86,7 +87,7 @@
 
     private ClaimDecision decideOnEarlier(PendingClaim claim, ClaimEntry earlier) {
         if (earlier.nonce().equals(claim.nonce())) {
-            // The write whose answer was lost did take effect.
+            // This is our own claim: an earlier write whose answer was lost took effect.
             return new ClaimDecision.Granted(claim.request(), claim.ticket());
         }
         foundEarlierClaim = true;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/BucketWork.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What waits for one object. */
+/** The claims and outcomes waiting to be written to one bucket. */
 final class BucketWork {
     private final List<PendingClaim> claims = new ArrayList<>();
     private final List<PendingOutcome> outcomes = new ArrayList<>();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimBucket.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The claims of one object, while a committer works on them. */
+/** The claims stored in one object of the store, by key hash. */
 final class ClaimBucket {
     private final Map<String, ClaimEntry> entries = new LinkedHashMap<>();
 
@@ -36,12 +36,12 @@
         return new ClaimBucket(entries.values());
     }
 
-    /** Drops claims whose life is over. */
+    /** Removes claims older than the given time. */
     void removeClaimedBefore(Instant oldest) {
         entries.values().removeIf(entry -> entry.claimedAtSeconds() < oldest.getEpochSecond());
     }
 
-    /** Gives up recorded bodies, oldest first, until the bucket fits; says whether it does. */
+    /** Drops recorded bodies, oldest first, until the bucket is within the limit; returns whether it is. */
     boolean trimTo(int maxCharacters) {
         int size = entries.values().stream()
                 .mapToInt(ClaimEntry::estimatedCharacters)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCodec.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCodec.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.store.StoredFields;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Buckets of claims as JSON. */
+/** Converts claim buckets to and from JSON. */
 final class ClaimCodec {
     private ClaimCodec() {}
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimCommitter.java
@@ -17,11 +17,12 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Claims calls that may run once, many with one write.
+ * Claims the idempotency keys of at-most-once calls in the store, many claims with one write.
  *
- * <p>A booking that is dispatched first and recorded after runs twice when its entry dies in between and the caller asks
- * another entry. So the claim is in the store before the dispatch; a claim without a recorded outcome means that the
- * call may have run, and is never granted again. A claim of its own whose answer was lost is recognised by its nonce.
+ * <p>If a call were recorded only after its dispatch, it would run twice when the entry terminates in between and the
+ * caller retries at another entry. Therefore the claim is stored before the dispatch. A claim without a recorded outcome
+ * means that the call may have run; its key is not granted again. If the answer of the store to a write is lost, the
+ * committer recognises its own claim by the nonce.
  *
  * <p>Used by one thread only.
  */
@@ -46,38 +47,38 @@
         this.random = random;
     }
 
-    /** Queues a claim for the next batch; false where too many wait already, and the call is refused as not run. */
+    /** Queues a claim for the next batch; returns false if too many are waiting and the call must be refused as not run. */
     public boolean submit(ClaimRequest request) {
         if (waitingClaims >= settings.maxWaiting()) {
             return false;
         }
         String nonce = String.format("%016x%016x", random.nextLong(), random.nextLong());
-        workOf(request.key()).claims().add(new PendingClaim(request, nonce));
+        workFor(request.key()).claims().add(new PendingClaim(request, nonce));
         waitingClaims++;
         return true;
     }
 
-    /** Reports what a granted call was answered. */
+    /** Queues the answer of a granted call to be recorded. */
     public void recordAnswer(ClaimTicket ticket, RecordedAnswer answer) {
         queueOutcome(new PendingOutcome(ticket, Optional.of(answer)));
     }
 
-    /** Reports that a granted call certainly never started; its key becomes free. */
+    /** Queues the release of the key of a granted call that certainly never started. */
     public void recordNeverStarted(ClaimTicket ticket) {
         queueOutcome(new PendingOutcome(ticket, Optional.empty()));
     }
 
-    /** Says whether a commit would have something to do now. */
+    /** Returns whether a batch is due to be committed. */
     public boolean hasDueWork() {
         return nextDue().isPresent();
     }
 
-    /** Returns how many outcomes were given up because too many waited; their calls stay unknown. */
+    /** Returns how many outcomes were dropped because too many were waiting; the outcomes of these calls stay unknown. */
     public long droppedOutcomes() {
         return droppedOutcomes;
     }
 
-    /** Writes what waits for one object, and returns the verdicts on its claims. */
+    /** Writes the pending claims and outcomes of one bucket and returns the decisions on its claims. */
     public List<ClaimDecision> commitBatch() {
         Optional<ObjectKey> due = nextDue();
         if (due.isEmpty()) {
@@ -98,7 +99,7 @@
                 return rejectBatch(work, mayHaveTakenEffect, failure.problem());
             }
         }
-        return rejectBatch(work, mayHaveTakenEffect, "Too many others write the same claims.");
+        return rejectBatch(work, mayHaveTakenEffect, "Too many concurrent writes to the team's claims.");
     }
 
     private List<ClaimDecision> commit(ObjectKey key, BucketWork work) throws StoreException {
@@ -106,7 +107,7 @@
         BucketCache.CachedBucket known = cached.isPresent() ? cached.get() : read(key);
         BucketUpdate update = applyTo(known, work);
         if (update.foundEarlierClaim() && cached.isPresent()) {
-            // The outcome of an earlier claim may have been recorded elsewhere since.
+            // Another entry may have recorded the outcome of the earlier claim since the cached read.
             known = read(key);
             update = applyTo(known, work);
         }
@@ -138,7 +139,7 @@
         List<ClaimDecision> decisions = new ArrayList<>();
         for (PendingClaim claim : work.claims()) {
             if (mayHaveTakenEffect) {
-                // Nothing was dispatched under it, so the key must not stay taken.
+                // The call was not dispatched, so its key must not stay claimed.
                 recordNeverStarted(claim.ticket());
             }
             decisions.add(new ClaimDecision.NotClaimed(claim.request(), randomRetryAfter(), detail));
@@ -156,11 +157,11 @@
             droppedOutcomes++;
             return;
         }
-        workOf(outcome.ticket().key()).outcomes().add(outcome);
+        workFor(outcome.ticket().key()).outcomes().add(outcome);
         waitingOutcomes++;
     }
 
-    private BucketWork workOf(ClaimKey key) {
+    private BucketWork workFor(ClaimKey key) {
         int bucket = Math.floorMod(key.hash().hashCode(), settings.bucketsPerTeam());
         ObjectKey object = new ObjectKey(ObjectKind.CLAIM_BUCKET, key.team(), "bucket-" + bucket);
         return waiting.computeIfAbsent(object, unused -> new BucketWork(time.monotonicNanoseconds()));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimDecision.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** What the store says about a claim. */
+/** The decision on a claim, by the content of the store. */
 public sealed interface ClaimDecision {
-    /** Returns the call that asked. */
+    /** Returns the call whose key was to be claimed. */
     ClaimRequest request();
 
     /**
      * The call may be dispatched, once.
      *
      * @param request the call
-     * @param ticket under which its outcome is reported
+     * @param ticket the ticket with which its outcome is recorded
      */
     record Granted(ClaimRequest request, ClaimTicket ticket) implements ClaimDecision {}
 
@@ -19,12 +19,12 @@
      * The call has run before.
      *
      * @param request the call
-     * @param answer what it was answered then
+     * @param answer the recorded answer
      */
     record AlreadyAnswered(ClaimRequest request, RecordedAnswer answer) implements ClaimDecision {}
 
     /**
-     * The key was claimed before and no outcome is known; the call may or may not have run.
+     * The key was claimed before and no outcome is recorded; the call may or may not have run.
      *
      * @param request the call
      */
@@ -38,11 +38,11 @@
     record KeyReused(ClaimRequest request) implements ClaimDecision {}
 
     /**
-     * The claim could not be made; the call did not run.
+     * The key could not be claimed; the call did not run.
      *
      * @param request the call
-     * @param comeBackAfter when to ask again
-     * @param detail what stood in the way
+     * @param retryAfter how long the caller should wait before a retry
+     * @param detail why the key could not be claimed
      */
     record NotClaimed(ClaimRequest request, Duration retryAfter, String detail) implements ClaimDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimEntry.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimEntry.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 
 /**
- * One claim as the store keeps it.
+ * One claim as stored.
  *
- * @param keyHash the claimed key
- * @param bodyDigest what the call was
- * @param nonce whose claim it is
- * @param claimedAtSeconds when, by the claimer's time of day
- * @param answer what the call was answered, once that is known
+ * @param keyHash the hash of the claimed key
+ * @param bodyDigest the digest of method, path and body of the call
+ * @param nonce identifies the attempt that made the claim
+ * @param claimedAtSeconds the time of the claim by the clock of the claiming entry, in seconds since the epoch
+ * @param answer the answer of the call, once it is recorded
  */
 record ClaimEntry(
         String keyHash, String bodyDigest, String nonce, long claimedAtSeconds, Optional<RecordedAnswer> answer) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimKey.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimKey.java
@@ -6,7 +6,7 @@
 import java.util.HexFormat;
 
 /**
- * What a caller names a call that may run once.
+ * The idempotency key of an at-most-once call.
  *
  * @param team the team that owns the service
  * @param service the plain service
@@ -15,7 +15,7 @@
 public record ClaimKey(String team, String service, String key) {
     private static final int HASH_BYTES = 16;
 
-    /** Returns the name under which the store keeps the claim: 32 hexadecimal digits. */
+    /** Returns the hash under which the claim is stored: 32 hexadecimal digits. */
     public String hash() {
         byte[] digest = sha256().digest((service + "\0" + key).getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(digest, 0, HASH_BYTES);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimRequest.java
@@ -3,10 +3,10 @@
 import org.aspenmoor.RequestId;
 
 /**
- * A call that wants to run under its key.
+ * A call whose idempotency key is to be claimed.
  *
- * @param id the caller's request
- * @param key what it is claimed under
- * @param bodyDigest a digest of method, path and body, by which another call under the same key is seen
+ * @param id the id of the caller's request
+ * @param key the key to claim
+ * @param bodyDigest a digest of method, path and body, which reveals a different call with the same key
  */
 public record ClaimRequest(RequestId id, ClaimKey key, String bodyDigest) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimSettings.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * How claims are kept.
+ * Limits and times for storing claims.
  *
- * @param bucketsPerTeam over how many objects the claims of a team are spread
+ * @param bucketsPerTeam the number of objects over which the claims of a team are distributed
  * @param retention how long a claim is kept
- * @param outcomeDelay how long a recorded outcome may wait for a claim to share its write
- * @param minRetryAfter the shortest time after which a refused caller should ask again
- * @param maxBucketCharacters how large an object may grow
- * @param maxBodyCharacters how long a recorded body may be
- * @param maxWaiting how many claims, and how many outcomes, may wait for the store
+ * @param outcomeDelay how long an outcome may wait to be written together with a claim
+ * @param minRetryAfter the shortest time after which a refused caller should retry
+ * @param maxBucketCharacters the maximum size of an object, in characters
+ * @param maxBodyCharacters the maximum length of a recorded body, in characters of its base64 form
+ * @param maxWaiting the maximum number of waiting claims, and of waiting outcomes
  */
 public record ClaimSettings(
         int bucketsPerTeam,
@@ -21,7 +21,7 @@
         int maxBucketCharacters,
         int maxBodyCharacters,
         int maxWaiting) {
-    /** Four objects a team, kept for a day, 900,000 characters at most. */
+    /** The default: four objects per team with at most 900,000 characters each; claims are kept for a day. */
     public static final ClaimSettings DEFAULT = new ClaimSettings(
             4, Duration.ofHours(24), Duration.ofMillis(100), Duration.ofSeconds(2), 900_000, 2048, 10_000);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimTicket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/ClaimTicket.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.claim;
 
 /**
- * The right to run one call once.
+ * Permission to run a call once, under the claimed key.
  *
- * @param key what was claimed
- * @param nonce by which the committer recognises its own claim in the store
+ * @param key the claimed key
+ * @param nonce the value by which the committer recognises its own claim in the store
  */
 public record ClaimTicket(ClaimKey key, String nonce) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/PendingClaim.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/PendingClaim.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.claim;
 
 /**
- * A claim that waits for the store.
+ * A claim that is waiting to be written.
  *
  * @param request the call
- * @param nonce drawn once, so that the claim is recognised however often its write is tried
+ * @param nonce drawn once per claim, so that the claim is recognised in the store after any number of write attempts
  */
 record PendingClaim(ClaimRequest request, String nonce) {
     String keyHash() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/PendingOutcome.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/PendingOutcome.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * An outcome that waits for the store.
+ * An outcome that is waiting to be written.
  *
- * @param ticket whose
- * @param answer what the call was answered; empty if it never started and its key is free again
+ * @param ticket the ticket of the call
+ * @param answer the answer of the call; empty if the call never started and its key is to be released
  */
 record PendingOutcome(ClaimTicket ticket, Optional<RecordedAnswer> answer) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/claim/package-info.java
@@ -1,2 +1,2 @@
-/** At-most-once calls: idempotency keys are claimed in the store before dispatch, and their outcomes recorded. */
+/** At-most-once calls: idempotency keys are claimed in the store before dispatch, and their outcomes are recorded. */
 package org.aspenmoor.internal.claim;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCommitterTest.java
@@ -54,8 +54,8 @@
         assertEquals(((ClaimDecision.AlreadyAnswered) retry).answer(), BOOKED);
     }
 
-    // A caller's library reuses a key for another booking. Answered with the first booking's outcome, the second would
-    // seem to be booked and is not.
+    // A caller's library reuses a key for a different booking. If it were answered with the outcome of the first
+    // booking, the second would appear to be made although it was not.
     @Test
     public void should_refuse_when_a_key_is_reused_with_another_body() {
         claim(committer, "booth-4", "body");
@@ -63,7 +63,7 @@
         assertTrue(claim(committerOfOtherEntry, "booth-4", "other body") instanceof ClaimDecision.KeyReused);
     }
 
-    // A caller in a hurry sends its booking to two entries at the same moment. Both write; exactly one may dispatch.
+    // A caller sends its booking to two entries concurrently. Both write; exactly one may dispatch.
     @Test
     public void should_grant_a_key_once_when_two_entries_claim_it_concurrently() {
         List<ClaimDecision> decisionsOfOther = new ArrayList<>();
@@ -75,8 +75,9 @@
         assertTrue(decision instanceof ClaimDecision.OutcomeUnknown);
     }
 
-    // The store takes the claim and loses the answer. Taken for somebody else's, the call would be unknown for ever
-    // although it never ran; taken for a failure, it would be claimed twice.
+    // The store writes the claim, but its answer is lost. If the claim were treated as that of another entry, the
+    // outcome of the call would stay unknown although it never ran; if the write were treated as failed, the call
+    // would be claimed twice.
     @Test
     public void should_recognise_its_own_claim_when_the_store_answer_was_lost() {
         faults.nextWrite(StoreFault.ANSWER_LOST);
@@ -85,9 +86,8 @@
         assertTrue(claim(committerOfOtherEntry, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
     }
 
-    // A claim's write is held up and lands while it is tried again. One of the two takes effect, and the call is
-    // granted
-    // once.
+    // The write of a claim is delayed and takes effect while it is being retried. Only one of the two writes takes
+    // effect, and the call is granted once.
     @Test
     public void should_grant_once_when_a_delayed_write_takes_effect_during_the_next_attempt() {
         faults.nextWrite(StoreFault.LANDS_LATE);
@@ -97,7 +97,7 @@
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.OutcomeUnknown);
     }
 
-    // The store is out. A booking cannot be claimed, so it is refused at once and has certainly not run.
+    // The store is unavailable. A booking cannot be claimed, so it is refused immediately and has certainly not run.
     @Test
     public void should_refuse_as_not_run_when_the_store_is_unavailable() {
         faults.nextRead(StoreFault.UNAVAILABLE);
@@ -110,8 +110,9 @@
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
-    // The store goes out between a claim that took effect and the read that would have shown it. The caller is told
-    // "not run"; when the store is back, the key must not be taken by a call that never ran.
+    // The store becomes unavailable between a claim that took effect and the read that would have shown it. The
+    // caller is told "not run"; when the store is available again, the key must not stay claimed by a call that never
+    // ran.
     @Test
     public void should_release_the_key_when_an_unconfirmed_claim_was_refused() {
         claim(committer, "first", "body");
@@ -122,8 +123,8 @@
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
-    // The entry is killed after the claim, before or after the dispatch or before the outcome is recorded. Nobody knows
-    // whether the booking ran; every repeat is told so until the claim's life ends, and none runs it.
+    // The entry is killed after the claim, before or after the dispatch or before the outcome is recorded. Whether
+    // the booking ran is unknown; every retry is told so until the claim expires, and none runs the booking.
     @Test
     public void should_answer_unknown_until_expiry_when_the_claiming_entry_terminated() {
         claim(committer, "booth-4", "body");
@@ -145,7 +146,7 @@
         assertEquals(bucket().entries().size(), 1);
     }
 
-    // An agent states that a claimed call never started. The caller is told "not run" and may repeat it under its key.
+    // An agent reports that a claimed call never started. The caller is told "not run" and may retry it with its key.
     @Test
     public void should_release_the_key_when_the_call_never_started() {
         ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "booth-4", "body");
@@ -155,8 +156,8 @@
         assertTrue(claim(committer, "booth-4", "body") instanceof ClaimDecision.Granted);
     }
 
-    // The store is out when the outcome is to be recorded. It waits and is recorded later; a repeat meanwhile is told
-    // that nobody knows.
+    // The store is unavailable when the outcome is to be recorded. The outcome waits and is recorded later; a retry
+    // in the meantime is told that the outcome is unknown.
     @Test
     public void should_record_an_outcome_when_the_store_is_available_again() {
         ClaimDecision.Granted granted = (ClaimDecision.Granted) claim(committer, "booth-4", "body");
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCostTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/claim/ClaimCostTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** How many store writes a claimed call costs as load grows; the figures stand in docs/PROMISES.md. */
+/** Checks the number of store writes per claimed call as the load grows; the figures are published in docs/PROMISES.md. */
 public class ClaimCostTest {
     private static final int ROUNDS = 200;
     private static final Duration ROUND = Duration.ofMillis(50);
@@ -25,7 +25,7 @@
         return new Object[][] {{1, 291}, {4, 546}, {16, 791}, {64, 800}};
     }
 
-    @Test(dataProvider = "callsOfRoundAndWrites")
+    @Test(dataProvider = "callsPerRoundAndWrites")
     public void should_share_writes_when_load_grows(int callsPerRound, int expectedWrites) {
         ManualTimeSource time = new ManualTimeSource();
         FakeStore store = new FakeStore();
