--- a/aspenmoor-core/src/main/java/org/aspenmoor/Aspenmoor.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/Aspenmoor.java
@@ -1,50 +1,51 @@
 package org.aspenmoor;
 
 /**
- * Serves models and small applications of many teams on a fixed fleet of engines.
+ * Serves the models and small applications of many teams on a fixed fleet of engines.
  *
  * <p>Contents of this page:
  *
  * <ol>
- *   <li>What a request can end in
- *   <li>How a caller asks a model
- *   <li>How a caller reaches a plain service
- *   <li>How a team changes its service
+ *   <li>Outcomes of a request
+ *   <li>Sending a request to a model
+ *   <li>Calling a plain service
+ *   <li>Changing a service
  * </ol>
  *
- * <h2>1. What a request can end in</h2>
+ * <h2>1. Outcomes of a request</h2>
  *
- * Every request ends in exactly one {@link Outcome}: it was answered, it did not run, or nobody knows.
+ * Every request has exactly one {@link Outcome}: it was answered, it did not run, or whether it ran is unknown.
  *
  * <pre>{@code
  * switch (outcome) {
  *     case Outcome.Answered answered -> use(answered);
- *     case Outcome.NotRun refusal -> comeBackAfter(refusal.comeBackAfter());
- *     case Outcome.Unknown unknown -> askTheRecord(unknown.detail());
+ *     case Outcome.NotRun refusal -> retryAfter(refusal.comeBackAfter());
+ *     case Outcome.Unknown unknown -> report(unknown.detail());
  * }
  * }</pre>
  *
- * <h2>2. How a caller asks a model</h2>
+ * <h2>2. Sending a request to a model</h2>
  *
- * Any client of the completions protocol works; the team's token goes into the {@code Authorization} header.
+ * Any client of the completions protocol works; it sends the team's token in the {@code Authorization} header.
  *
  * <pre>{@code
  * POST /v1/completions
  * {"model": "scene-drafter", "prompt": "Rain on a tin roof.", "max_tokens": 40, "stream": true}
  * }</pre>
  *
- * <h2>3. How a caller reaches a plain service</h2>
+ * <h2>3. Calling a plain service</h2>
  *
- * Calls below {@code /services/SERVICE/} are passed through. A call that must not run twice carries a key.
+ * Calls below {@code /services/SERVICE/} are passed through to the service. A call that must not run twice needs an
+ * idempotency key.
  *
  * <pre>{@code
  * POST /services/studio-desk/bookings
  * Idempotency-Key: 2b6c9d
  * }</pre>
  *
- * <h2>4. How a team changes its service</h2>
+ * <h2>4. Changing a service</h2>
  *
- * The team edits its one document; nothing else moves an engine.
+ * The team edits the document of the service; there is no other way to configure it.
  *
  * <pre>{@code
  * aspenmoor document check examples/seitkali.json
@@ -52,7 +53,7 @@
  * }</pre>
  */
 public final class Aspenmoor {
-    /** The version of this build, as the programs print it. */
+    /** The version of this build, as printed by the programs. */
     public static final String VERSION = "0.1.0";
 
     private Aspenmoor() {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/AspenmoorException.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/AspenmoorException.java
@@ -1,6 +1,6 @@
 package org.aspenmoor;
 
-/** The checked root of all errors: says what happened, where, and what to do next. */
+/** The base class of all checked exceptions: states what happened, where, and what to do next. */
 public class AspenmoorException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -19,17 +19,17 @@
         this.remedy = remedy;
     }
 
-    /** Returns what happened, in one sentence. */
+    /** Returns a description of the problem, in one sentence. */
     public String problem() {
         return problem;
     }
 
-    /** Returns where it happened: a file, an object, a process or a field. */
+    /** Returns where the problem occurred: a file, an object, a process or a field. */
     public String place() {
         return place;
     }
 
-    /** Returns what the reader can do about it. */
+    /** Returns what the user can do about the problem. */
     public String remedy() {
         return remedy;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/Outcome.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/Outcome.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 
-/** What a request ended in; there is no fourth way. */
+/** The outcome of a request; every request has exactly one of these three. */
 public sealed interface Outcome {
     /**
-     * The whole answer reached the caller.
+     * The complete answer was sent to the caller.
      *
      * @param status the HTTP status of the answer
      */
@@ -14,16 +14,16 @@
     /**
      * The request did not run anywhere.
      *
-     * @param reason why it was refused
-     * @param comeBackAfter how long the caller should wait before it asks again
-     * @param detail one sentence for the caller
+     * @param reason why the request was refused
+     * @param comeBackAfter how long the caller should wait before a retry
+     * @param detail an explanation for the caller, in one sentence
      */
     record NotRun(RefusalReason reason, Duration comeBackAfter, String detail) implements Outcome {}
 
     /**
-     * The request was dispatched and its answer was lost; it may or may not have run.
+     * The request was dispatched but its answer was lost; it may or may not have run.
      *
-     * @param detail one sentence for the caller
+     * @param detail an explanation for the caller, in one sentence
      */
     record Unknown(String detail) implements Outcome {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/RequestId.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/RequestId.java
@@ -3,18 +3,18 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** The 128-bit identity of one caller's request; it stays the same over all its attempts. */
+/** The 128-bit id of a caller's request; it is the same for all attempts of the request. */
 public record RequestId(long high, long low) {
     private static final int HEX_DIGITS = 32;
     private static final int HEX_DIGITS_OF_HALF = 16;
     private static final int HEX_RADIX = 16;
 
-    /** Draws a new identity from the given random source. */
+    /** Creates a new id from the given random source. */
     public static RequestId draw(RandomGenerator random) {
         return new RequestId(random.nextLong(), random.nextLong());
     }
 
-    /** Reads the 32 hexadecimal digits that {@link #toString} writes; empty where the text is anything else. */
+    /** Parses the 32 hexadecimal digits that {@link #toString} returns; empty if the text is anything else. */
     public static Optional<RequestId> parse(String text) {
         if (text.length() != HEX_DIGITS) {
             return Optional.empty();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/package-info.java
@@ -1,2 +1,2 @@
-/** The public surface of aspenmoor: the outcome of a request, its identity, and the errors a caller can meet. */
+/** The public API of aspenmoor: the outcome of a request, its id, and the base class of errors. */
 package org.aspenmoor;
