--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/NameCheck.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/document/NameCheck.java
@@ -15,7 +15,7 @@
     @Override
     public void check(LocatedDocument located, Findings findings) {
         ServiceDocument document = located.document();
-        Names names = new Names(located.locations(), findings);
+        NameRules names = new NameRules(located.locations(), findings);
         names.plain("team", document.team());
         names.plain("service", document.service());
         checkModels(document.models(), names);
@@ -34,7 +34,7 @@
         }
     }
 
-    private static void checkModels(List<ModelDeclaration> models, Names names) {
+    private static void checkModels(List<ModelDeclaration> models, NameRules names) {
         for (int index = 0; index < models.size(); index++) {
             ModelDeclaration model = models.get(index);
             String path = "models[" + index + "]";
@@ -55,7 +55,7 @@
      * @param locations the locations of the names in the text
      * @param findings collects the mistakes
      */
-    private record Names(LocationIndex locations, Findings findings) {
+    private record NameRules(LocationIndex locations, Findings findings) {
         void plain(String path, String name) {
             match(
                     PLAIN_NAME,
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/DocumentAcceptanceTest.java
@@ -190,7 +190,7 @@
     }
 
     @Test(dataProvider = "kills")
-    public void should_leave_no_gap_in_the_history_when_the_process_is_killed(List<Fault> faults, long revisionLeft)
+    public void should_leave_no_gap_in_the_history_when_the_process_is_killed(List<Fault> faults, long expectedRevision)
             throws AspenmoorException {
         // The entry is killed before or after any of the three writes of an acceptance. The failures to prevent are a
         // change in force without a record of who accepted it, and a record of a change that never came into force.
@@ -199,7 +199,7 @@
         assertThrows(ScriptedObjectStore.KilledException.class, () -> accept(SECOND, 1, "aigul"));
 
         long current = acceptance.read(NAME).orElseThrow().document().revision();
-        assertEquals(current, revisionLeft);
+        assertEquals(current, expectedRevision);
         assertEquals(acceptance.history(NAME, 10).size(), (int) current);
 
         accept(THIRD, current, "bolat");
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/ScriptedObjectStore.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/ScriptedObjectStore.java
@@ -112,11 +112,11 @@
         return switch (fault) {
             case NONE -> write.run();
             case UNAVAILABLE -> throw new StoreUnavailableException("The store is down.", "store", "Wait.");
-            case REQUEST_LOST -> throw new StoreOutcomeUnknownException("No answer came.", "store", "Read.");
+            case REQUEST_LOST -> throw new StoreOutcomeUnknownException("No answer was received.", "store", "Read.");
             case KILLED_BEFORE -> throw new KilledException();
             case ANSWER_LOST -> {
                 runWithoutAnswer(write);
-                throw new StoreOutcomeUnknownException("No answer came.", "store", "Read.");
+                throw new StoreOutcomeUnknownException("No answer was received.", "store", "Read.");
             }
             case KILLED_AFTER -> {
                 runWithoutAnswer(write);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/UnreachableKindCheckTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/document/UnreachableKindCheckTest.java
@@ -45,7 +45,7 @@
 
     @Test
     public void should_report_a_kind_when_an_earlier_kind_matches_everything() {
-        RequestKind everything = kind("k0", nothing());
+        RequestKind everything = kind("k0", anyRequest());
         RequestKind bookings = kind(
                 "k1",
                 new KindMatch(
@@ -68,14 +68,24 @@
         for (int index = 0; index < 3; index++) {
             boolean plain = random.nextBoolean();
             KindMatch match = plain
-                    ? new KindMatch(Optional.empty(), Optional.empty(), any(METHODS), any(PATHS), any(LENGTHS))
-                    : new KindMatch(any(MODELS), any(List.of("x")), Optional.empty(), Optional.empty(), any(LENGTHS));
+                    ? new KindMatch(
+                            Optional.empty(),
+                            Optional.empty(),
+                            anyOrNone(METHODS),
+                            anyOrNone(PATHS),
+                            anyOrNone(LENGTHS))
+                    : new KindMatch(
+                            anyOrNone(MODELS),
+                            anyOrNone(List.of("x")),
+                            Optional.empty(),
+                            Optional.empty(),
+                            anyOrNone(LENGTHS));
             kinds.add(kind("k" + index, match));
         }
         return document(kinds);
     }
 
-    private <T> Optional<T> any(List<T> values) {
+    private <T> Optional<T> anyOrNone(List<T> values) {
         int index = random.nextInt(values.size() + 1);
         return index == values.size() ? Optional.empty() : Optional.of(values.get(index));
     }
@@ -96,7 +106,7 @@
         return requests;
     }
 
-    private static KindMatch nothing() {
+    private static KindMatch anyRequest() {
         return new KindMatch(Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
     }
 
