--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayMain.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayMain.java
@@ -18,7 +18,7 @@
 
 /** The command line of the replay. */
 public final class ReplayMain {
-    private static final int MOST_THREADS = 3;
+    private static final int MAX_THREADS = 3;
 
     private final ReplayOptions options;
     private final ReplayTable table = new ReplayTable(System.out);
@@ -31,60 +31,61 @@
     public static void main(String[] arguments) {
         try {
             new ReplayMain(ReplayOptions.parse(arguments)).run();
-        } catch (AspenmoorException wrong) {
-            System.err.println(wrong.getMessage());
+        } catch (AspenmoorException exception) {
+            System.err.println(exception.getMessage());
             System.exit(2);
         }
     }
 
     private void run() throws AspenmoorException {
         table.heading();
-        for (Path file : options.customers()) {
-            Customer read = new CustomerReader().read(file);
-            for (double speed : options.engineSpeeds()) {
-                Customer customer = read.changed(options.entries().orElse(read.entries()), speed);
-                for (double load : options.loads()) {
-                    play(customer, speed, load);
+        for (Path file : options.customerFiles()) {
+            Customer fromFile = new CustomerReader().read(file);
+            for (double speed : options.engineSpeedFactors()) {
+                Customer customer =
+                        fromFile.withEntriesAndEngineSpeed(options.entries().orElse(fromFile.entries()), speed);
+                for (double load : options.loadFactors()) {
+                    replay(customer, speed, load);
                 }
             }
         }
     }
 
-    private void play(Customer customer, double speed, double load) throws AspenmoorException {
+    private void replay(Customer customer, double speed, double load) throws AspenmoorException {
         for (LoadDay day : customer.days()) {
-            if (!options.days().isEmpty() && !options.days().contains(day.name())) {
+            if (!options.dayNames().isEmpty() && !options.dayNames().contains(day.name())) {
                 continue;
             }
-            List<DayResult> results = play(customer, day.times(load));
+            List<DayResult> results = replay(customer, day.scaledBy(load));
             String label = String.format("%s %s load %.2f speed %.2f", customer.name(), day.name(), load, speed);
             table.print(label, results);
-            if (options.kinds()) {
+            if (options.printKinds()) {
                 table.printKinds(results);
             }
-            if (options.plot().isPresent()) {
-                ReplayPlot.write(options.plot().get(), results.getFirst());
+            if (options.plotFile().isPresent()) {
+                ReplayPlot.write(options.plotFile().get(), results.getFirst());
             }
         }
     }
 
-    private List<DayResult> play(Customer customer, LoadDay day) throws AspenmoorException {
-        List<Future<DayResult>> running = new ArrayList<>();
-        try (ExecutorService threads = Executors.newFixedThreadPool(MOST_THREADS)) {
-            for (long seed = options.seed(); seed < options.seed() + options.seeds(); seed++) {
-                ReplayRun run = new ReplayRun(customer, day, seed, options.off());
-                running.add(threads.submit(run::play));
+    private List<DayResult> replay(Customer customer, LoadDay day) throws AspenmoorException {
+        List<Future<DayResult>> futures = new ArrayList<>();
+        try (ExecutorService threads = Executors.newFixedThreadPool(MAX_THREADS)) {
+            for (long seed = options.firstSeed(); seed < options.firstSeed() + options.seedCount(); seed++) {
+                ReplayRun run = new ReplayRun(customer, day, seed, options.disabled());
+                futures.add(threads.submit(run::run));
             }
             List<DayResult> results = new ArrayList<>();
-            for (Future<DayResult> each : running) {
-                results.add(each.get());
+            for (Future<DayResult> future : futures) {
+                results.add(future.get());
             }
             return results;
-        } catch (InterruptedException | ExecutionException failed) {
+        } catch (InterruptedException | ExecutionException exception) {
             throw new AspenmoorException(
-                    "A replayed day failed: " + failed.getMessage() + ".",
+                    "A replayed day failed: " + exception.getMessage() + ".",
                     customer.name(),
                     "This is a fault of the replay; report it with the arguments used.",
-                    failed);
+                    exception);
         }
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayOptions.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayOptions.java
@@ -15,28 +15,28 @@
 /**
  * The arguments of the replay.
  *
- * @param customers the customers' files
- * @param days the days to play; empty for all
- * @param seed the first seed
- * @param seeds how many seeds, counted up from the first
- * @param loads how many times the load, each played by itself
- * @param engineSpeeds how many times as fast engines are, each played by itself
+ * @param customerFiles the customers' files
+ * @param dayNames the days to play; empty for all
+ * @param firstSeed the first seed
+ * @param seedCount how many seeds, counted up from the first
+ * @param loadFactors how many times the load, each played by itself
+ * @param engineSpeedFactors how many times as fast engines are, each played by itself
  * @param entries how many entries; empty for the customer's own number
- * @param off what is switched off
- * @param kinds whether to print a line for each kind
- * @param plot where to draw the first day
+ * @param disabled what is switched off
+ * @param printKinds whether to print a line for each kind
+ * @param plotFile where to draw the first day
  */
 record ReplayOptions(
-        List<Path> customers,
-        List<String> days,
-        long seed,
-        int seeds,
-        List<Double> loads,
-        List<Double> engineSpeeds,
+        List<Path> customerFiles,
+        List<String> dayNames,
+        long firstSeed,
+        int seedCount,
+        List<Double> loadFactors,
+        List<Double> engineSpeedFactors,
         Optional<Integer> entries,
-        Set<Mechanism> off,
-        boolean kinds,
-        Optional<Path> plot) {
+        Set<Mechanism> disabled,
+        boolean printKinds,
+        Optional<Path> plotFile) {
 
     static ReplayOptions parse(String[] arguments) throws AspenmoorException {
         OptionParser parser = new OptionParser();
@@ -60,20 +60,20 @@
         parser.accepts("plot").withRequiredArg();
         try {
             return read(parser.parse(arguments));
-        } catch (OptionException wrong) {
+        } catch (OptionException exception) {
             throw new AspenmoorException(
-                    "The arguments are wrong: " + wrong.getMessage() + ".",
+                    "The arguments are wrong: " + exception.getMessage() + ".",
                     "command line",
                     "Use --customer FILE with --day, --seed, --seeds, --load, --engine-speed, --entries, --off, --kinds"
                             + " or --plot.",
-                    wrong);
+                    exception);
         }
     }
 
     private static ReplayOptions read(OptionSet options) throws AspenmoorException {
         return new ReplayOptions(
                 options.valuesOf("customer").stream()
-                        .map(each -> Path.of((String) each))
+                        .map(file -> Path.of((String) file))
                         .toList(),
                 options.valuesOf("day").stream().map(String.class::cast).toList(),
                 (Long) options.valueOf("seed"),
@@ -83,15 +83,15 @@
                         .map(Double.class::cast)
                         .toList(),
                 Optional.ofNullable((Integer) options.valueOf("entries")),
-                mechanisms(options),
+                disabledMechanisms(options),
                 options.has("kinds"),
                 Optional.ofNullable((String) options.valueOf("plot")).map(Path::of));
     }
 
-    private static Set<Mechanism> mechanisms(OptionSet options) throws AspenmoorException {
-        List<Mechanism> off = new ArrayList<>();
+    private static Set<Mechanism> disabledMechanisms(OptionSet options) throws AspenmoorException {
+        List<Mechanism> mechanisms = new ArrayList<>();
         for (Object label : options.valuesOf("off")) {
-            off.add(Mechanism.find((String) label)
+            mechanisms.add(Mechanism.find((String) label)
                     .orElseThrow(() -> new AspenmoorException(
                             "There is no mechanism \"" + label + "\".",
                             "--off",
@@ -100,6 +100,6 @@
                                             .map(Mechanism::label)
                                             .toList() + ".")));
         }
-        return off.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(off);
+        return mechanisms.isEmpty() ? EnumSet.noneOf(Mechanism.class) : EnumSet.copyOf(mechanisms);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/Customer.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/Customer.java
@@ -13,14 +13,19 @@
  * @param days the loads to replay
  */
 public record Customer(
-        String name, int entries, int dataCentres, EngineFigures engines, List<ServedKind> kinds, List<LoadDay> days) {
+        String name,
+        int entries,
+        int dataCentres,
+        EngineProfile engines,
+        List<RequestProfile> kinds,
+        List<LoadDay> days) {
     /** Returns the same customer with another number of entries and engines that work so many times as fast. */
-    public Customer changed(int otherEntries, double engineSpeed) {
-        return new Customer(name, otherEntries, dataCentres, engines.faster(engineSpeed), kinds, days);
+    public Customer withEntriesAndEngineSpeed(int newEntries, double engineSpeedFactor) {
+        return new Customer(name, newEntries, dataCentres, engines.withSpeedFactor(engineSpeedFactor), kinds, days);
     }
 
     /** Returns the same customer with engines that differ in speed: by engine in turn, how many times longer one takes. */
-    public Customer withSlownesses(List<Double> slownesses) {
-        return new Customer(name, entries, dataCentres, engines.withSlownesses(slownesses), kinds, days);
+    public Customer withEngineSlowdowns(List<Double> slowdowns) {
+        return new Customer(name, entries, dataCentres, engines.withSlowdowns(slowdowns), kinds, days);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
@@ -14,38 +14,38 @@
 
 /** Reads a customer's file: JSON with comments. */
 public final class CustomerReader {
-    private static final double MOST = 1e9;
-    private static final int MOST_COUNT = 1_000_000_000;
-    private static final double MOST_SECONDS = 3600;
+    private static final double MAX_VALUE = 1e9;
+    private static final int MAX_COUNT = 1_000_000_000;
+    private static final double MAX_SECONDS = 3600;
 
     private final Findings findings = new Findings();
 
     /** Reads a file; all mistakes are reported together. */
     public Customer read(Path file) throws AspenmoorException {
         Optional<Customer> customer = new LocatedJsonParser(file.toString(), findings)
-                .parseObject(text(file))
+                .parseObject(readText(file))
                 .map(object -> readCustomer(new FieldReader(object, findings)));
         findings.throwIfAny(file.toString());
         return customer.orElseThrow();
     }
 
-    private static String text(Path file) throws AspenmoorException {
+    private static String readText(Path file) throws AspenmoorException {
         try {
             return Files.readString(file);
-        } catch (IOException unreadable) {
+        } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The customer could not be read: " + unreadable.getMessage() + ".",
+                    "The customer could not be read: " + exception.getMessage() + ".",
                     file.toString(),
                     "Check the path; files of customers lie in aspenmoor-bench/customers.",
-                    unreadable);
+                    exception);
         }
     }
 
     private Customer readCustomer(FieldReader reader) {
         Customer customer = new Customer(
                 reader.requiredText("customer"),
-                reader.integer("entries", 1, MOST_COUNT, 1),
-                reader.integer("dataCentres", 1, MOST_COUNT, 1),
+                reader.integer("entries", 1, MAX_COUNT, 1),
+                reader.integer("dataCentres", 1, MAX_COUNT, 1),
                 reader.object("engines").map(CustomerReader::readEngines).orElseThrow(),
                 readKinds(reader),
                 readDays(reader));
@@ -53,71 +53,71 @@
         return customer;
     }
 
-    private static EngineFigures readEngines(FieldReader reader) {
-        EngineFigures figures = new EngineFigures(
-                reader.integer("count", 1, MOST_COUNT, 1),
-                reader.integer("slots", 1, MOST_COUNT, 1),
-                reader.integer("queue", 0, MOST_COUNT, 0),
-                reader.integer("cacheTokens", 1, MOST_COUNT, 1),
-                reader.decimal("stepSeconds", 0, MOST, 0),
-                reader.decimal("stepSecondsPerSequence", 0, MOST, 0),
-                reader.decimal("stepSecondsPerThousandTokens", 0, MOST, 0),
-                reader.decimal("promptTokensPerSecond", 1, MOST, 1),
-                reader.decimal("secondsPerMegapair", 0, MOST, 0),
-                reader.decimal("firstSeconds", 0, MOST, 0),
-                reader.decimal("tokensPerEvent", 1, MOST, 1),
-                reader.integer("chunkTokens", 1, MOST_COUNT, 1),
-                reader.decimal("transferSeconds", 0, MOST, 0),
-                reader.decimal("transferTokensPerSecond", 1, MOST, 1),
-                reader.decimal("roleChangeSeconds", 0, MOST, 0),
+    private static EngineProfile readEngines(FieldReader reader) {
+        EngineProfile profile = new EngineProfile(
+                reader.integer("count", 1, MAX_COUNT, 1),
+                reader.integer("slots", 1, MAX_COUNT, 1),
+                reader.integer("queue", 0, MAX_COUNT, 0),
+                reader.integer("cacheTokens", 1, MAX_COUNT, 1),
+                reader.decimal("stepSeconds", 0, MAX_VALUE, 0),
+                reader.decimal("stepSecondsPerSequence", 0, MAX_VALUE, 0),
+                reader.decimal("stepSecondsPerThousandTokens", 0, MAX_VALUE, 0),
+                reader.decimal("promptTokensPerSecond", 1, MAX_VALUE, 1),
+                reader.decimal("secondsPerMegapair", 0, MAX_VALUE, 0),
+                reader.decimal("firstSeconds", 0, MAX_VALUE, 0),
+                reader.decimal("tokensPerEvent", 1, MAX_VALUE, 1),
+                reader.integer("chunkTokens", 1, MAX_COUNT, 1),
+                reader.decimal("transferSeconds", 0, MAX_VALUE, 0),
+                reader.decimal("transferTokensPerSecond", 1, MAX_VALUE, 1),
+                reader.decimal("roleChangeSeconds", 0, MAX_VALUE, 0),
                 reader.texts("slownesses").stream().map(Double::valueOf).toList());
         reader.refuseUnknownFields();
-        return figures;
+        return profile;
     }
 
-    private static List<ServedKind> readKinds(FieldReader reader) {
-        List<ServedKind> kinds = new ArrayList<>();
+    private static List<RequestProfile> readKinds(FieldReader reader) {
+        List<RequestProfile> kinds = new ArrayList<>();
         for (FieldReader kind : reader.objects("kinds")) {
-            kinds.add(new ServedKind(
+            kinds.add(new RequestProfile(
                     kind.requiredText("name"),
-                    kind.decimal("perSecond", 0, MOST, 0),
+                    kind.decimal("perSecond", 0, MAX_VALUE, 0),
                     seconds(kind, "objectiveSeconds"),
                     seconds(kind, "deadlineSeconds"),
                     seconds(kind, "longestPauseSeconds"),
-                    kind.decimal("worth", 0, MOST, 1),
-                    kind.decimal("lateWorth", 0, MOST, 0),
-                    kind.integer("priority", 0, MOST_COUNT, 0),
+                    kind.decimal("worth", 0, MAX_VALUE, 1),
+                    kind.decimal("lateWorth", 0, MAX_VALUE, 0),
+                    kind.integer("priority", 0, MAX_COUNT, 0),
                     kind.truth("resumable", false),
-                    number(kind, "events"),
-                    number(kind, "ownTokens"),
-                    readShared(kind)));
+                    readDistribution(kind, "events"),
+                    readDistribution(kind, "ownTokens"),
+                    readSharedParts(kind)));
             kind.refuseUnknownFields();
         }
         return kinds;
     }
 
     private static Duration seconds(FieldReader reader, String name) {
-        return reader.seconds(name, 0, MOST_SECONDS, Duration.ZERO);
+        return reader.seconds(name, 0, MAX_SECONDS, Duration.ZERO);
     }
 
-    private static DrawnNumber number(FieldReader reader, String name) {
+    private static LogNormalDistribution readDistribution(FieldReader reader, String name) {
         FieldReader field = reader.object(name).orElseThrow();
-        DrawnNumber number = drawn(field);
+        LogNormalDistribution distribution = distribution(field);
         field.refuseUnknownFields();
-        return number;
+        return distribution;
     }
 
-    private static DrawnNumber drawn(FieldReader field) {
-        return new DrawnNumber(
-                field.decimal("mean", 0, MOST, 1),
-                field.decimal("spread", 0, MOST, 0),
-                field.decimal("most", 0, MOST, MOST));
+    private static LogNormalDistribution distribution(FieldReader field) {
+        return new LogNormalDistribution(
+                field.decimal("mean", 0, MAX_VALUE, 1),
+                field.decimal("spread", 0, MAX_VALUE, 0),
+                field.decimal("most", 0, MAX_VALUE, MAX_VALUE));
     }
 
-    private static List<SharedPart> readShared(FieldReader kind) {
-        List<SharedPart> parts = new ArrayList<>();
+    private static List<SharedPromptPart> readSharedParts(FieldReader kind) {
+        List<SharedPromptPart> parts = new ArrayList<>();
         for (FieldReader part : kind.objects("shared")) {
-            parts.add(new SharedPart(drawn(part), part.integer("identities", 1, MOST_COUNT, 1)));
+            parts.add(new SharedPromptPart(distribution(part), part.integer("identities", 1, MAX_COUNT, 1)));
             part.refuseUnknownFields();
         }
         return parts;
@@ -129,56 +129,56 @@
             List<LoadChange> changes = new ArrayList<>();
             day.objects("changes").forEach(change -> changes.add(readChange(change)));
             day.objects("swings").forEach(swing -> changes.addAll(readSwings(swing)));
-            List<EngineLoss> losses = new ArrayList<>();
-            day.objects("losses").forEach(loss -> losses.add(readLoss(loss)));
+            List<EngineOutage> outages = new ArrayList<>();
+            day.objects("losses").forEach(outage -> outages.add(readOutage(outage)));
             days.add(new LoadDay(
                     day.requiredText("name"),
-                    day.decimal("seconds", 1, MOST_SECONDS, 34),
-                    day.decimal("load", 0, MOST, 1),
+                    day.decimal("seconds", 1, MAX_SECONDS, 34),
+                    day.decimal("load", 0, MAX_VALUE, 1),
                     changes,
-                    losses));
+                    outages));
             day.refuseUnknownFields();
         }
         return days;
     }
 
-    private static LoadChange readChange(FieldReader change) {
-        LoadChange read = new LoadChange(
-                change.requiredText("kind"),
-                change.decimal("fromSeconds", 0, MOST, 0),
-                change.decimal("seconds", 0, MOST, 0),
-                change.decimal("times", 0, MOST, 1));
-        change.refuseUnknownFields();
-        return read;
+    private static LoadChange readChange(FieldReader reader) {
+        LoadChange change = new LoadChange(
+                reader.requiredText("kind"),
+                reader.decimal("fromSeconds", 0, MAX_VALUE, 0),
+                reader.decimal("seconds", 0, MAX_VALUE, 0),
+                reader.decimal("times", 0, MAX_VALUE, 1));
+        reader.refuseUnknownFields();
+        return change;
     }
 
     /** One kind has its high time while the other has its low one, in turn. */
-    private static List<LoadChange> readSwings(FieldReader swing) {
-        String first = swing.requiredText("first");
-        String second = swing.requiredText("second");
-        double from = swing.decimal("fromSeconds", 0, MOST, 0);
-        double until = swing.decimal("untilSeconds", 0, MOST, 0);
-        double each = swing.decimal("eachSeconds", 0.1, MOST, 1);
-        double high = swing.decimal("high", 0, MOST, 1);
-        double low = swing.decimal("low", 0, MOST, 1);
-        swing.refuseUnknownFields();
+    private static List<LoadChange> readSwings(FieldReader reader) {
+        String firstKind = reader.requiredText("first");
+        String secondKind = reader.requiredText("second");
+        double startSeconds = reader.decimal("fromSeconds", 0, MAX_VALUE, 0);
+        double endSeconds = reader.decimal("untilSeconds", 0, MAX_VALUE, 0);
+        double phaseSeconds = reader.decimal("eachSeconds", 0.1, MAX_VALUE, 1);
+        double highFactor = reader.decimal("high", 0, MAX_VALUE, 1);
+        double lowFactor = reader.decimal("low", 0, MAX_VALUE, 1);
+        reader.refuseUnknownFields();
         List<LoadChange> changes = new ArrayList<>();
         boolean firstIsHigh = true;
-        for (double start = from; start < until; start += each) {
-            double length = Math.min(each, until - start);
-            changes.add(new LoadChange(first, start, length, firstIsHigh ? high : low));
-            changes.add(new LoadChange(second, start, length, firstIsHigh ? low : high));
+        for (double phaseStart = startSeconds; phaseStart < endSeconds; phaseStart += phaseSeconds) {
+            double phaseLength = Math.min(phaseSeconds, endSeconds - phaseStart);
+            changes.add(new LoadChange(firstKind, phaseStart, phaseLength, firstIsHigh ? highFactor : lowFactor));
+            changes.add(new LoadChange(secondKind, phaseStart, phaseLength, firstIsHigh ? lowFactor : highFactor));
             firstIsHigh = !firstIsHigh;
         }
         return changes;
     }
 
-    private static EngineLoss readLoss(FieldReader loss) {
-        EngineLoss read = new EngineLoss(
-                loss.integer("engine", 0, MOST_COUNT, 0),
-                loss.decimal("fromSeconds", 0, MOST, 0),
-                loss.decimal("seconds", 0, MOST, MOST_SECONDS));
-        loss.refuseUnknownFields();
-        return read;
+    private static EngineOutage readOutage(FieldReader reader) {
+        EngineOutage outage = new EngineOutage(
+                reader.integer("engine", 0, MAX_COUNT, 0),
+                reader.decimal("fromSeconds", 0, MAX_VALUE, 0),
+                reader.decimal("seconds", 0, MAX_VALUE, MAX_SECONDS));
+        reader.refuseUnknownFields();
+        return outage;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/SharedPart.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/SharedPromptPart.java
@@ -4,6 +4,6 @@
  * A part of prompts that requests share.
  *
  * @param tokens its length
- * @param identities how many different ones there are
+ * @param variants how many different ones there are
  */
-public record SharedPart(DrawnNumber tokens, int identities) {}
+public record SharedPromptPart(LogNormalDistribution tokens, int variants) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJob.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJob.java
@@ -8,82 +8,82 @@
 /** One attempt at an engine. Compared by identity. */
 public final class EngineJob {
     /** More urgent ones first, then the earlier ones. */
-    static final Comparator<EngineJob> BY_RANK =
-            Comparator.comparingInt(EngineJob::rank).thenComparingLong(job -> job.number);
+    static final Comparator<EngineJob> BY_PRIORITY =
+            Comparator.comparingInt(EngineJob::priority).thenComparingLong(job -> job.sequence);
 
     private final Prompt prompt;
-    private final WorkKind kind;
-    private final int rank;
-    private final Optional<ModelEngine> holder;
-    private final EngineAnswers answers;
-    private final long number;
-    private int eventsLeft;
-    private double tokens;
-    private double steps;
-    private double promptTokensLeft;
+    private final WorkKind workKind;
+    private final int priority;
+    private final Optional<SimulatedEngine> cacheHolder;
+    private final EngineJobListener listener;
+    private final long sequence;
+    private int remainingEvents;
+    private double cacheTokens;
+    private double stepsSinceEvent;
+    private double remainingPromptTokens;
     private boolean transferred;
 
     /**
      * Makes a job.
      *
      * @param events how many events its answer has
-     * @param rank its rank; 0 goes first
-     * @param holder an engine to fetch computed parts of the prompt from
-     * @param number later jobs have higher ones
+     * @param priority its rank; 0 goes first
+     * @param cacheHolder an engine to fetch computed parts of the prompt from
+     * @param sequence later jobs have higher ones
      */
     public EngineJob(
             Prompt prompt,
-            WorkKind kind,
+            WorkKind workKind,
             int events,
-            int rank,
-            Optional<ModelEngine> holder,
-            long number,
-            EngineAnswers answers) {
+            int priority,
+            Optional<SimulatedEngine> cacheHolder,
+            long sequence,
+            EngineJobListener listener) {
         this.prompt = prompt;
-        this.kind = kind;
-        this.eventsLeft = events;
-        this.rank = rank;
-        this.holder = holder;
-        this.number = number;
-        this.answers = answers;
+        this.workKind = workKind;
+        this.remainingEvents = events;
+        this.priority = priority;
+        this.cacheHolder = cacheHolder;
+        this.sequence = sequence;
+        this.listener = listener;
     }
 
     Prompt prompt() {
         return prompt;
     }
 
-    WorkKind kind() {
-        return kind;
+    WorkKind workKind() {
+        return workKind;
     }
 
-    int rank() {
-        return rank;
+    int priority() {
+        return priority;
     }
 
-    Optional<ModelEngine> holder() {
-        return holder;
+    Optional<SimulatedEngine> cacheHolder() {
+        return cacheHolder;
     }
 
-    EngineAnswers answers() {
-        return answers;
+    EngineJobListener listener() {
+        return listener;
     }
 
     /** Returns how many tokens it has in the memory of the engine that generates its answer. */
-    double tokens() {
-        return tokens;
+    double cacheTokens() {
+        return cacheTokens;
     }
 
     /** Returns how many tokens have to be in memory before its answer begins or goes on. */
-    double tokensNeeded() {
-        return Math.max(tokens, prompt.promptTokens());
+    double requiredCacheTokens() {
+        return Math.max(cacheTokens, prompt.promptTokens());
     }
 
     /** Returns whether its answer had begun and had to yield. */
-    boolean yielded() {
-        return tokens > 0;
+    boolean preempted() {
+        return cacheTokens > 0;
     }
 
-    void noteTransferred() {
+    void markTransferred() {
         transferred = true;
     }
 
@@ -92,40 +92,40 @@
     }
 
     /** Begins to compute what is missing of its prompt. */
-    void compute(double missing) {
-        promptTokensLeft = missing;
+    void startPrefill(double missingTokens) {
+        remainingPromptTokens = missingTokens;
     }
 
-    void computed(double computedTokens) {
-        promptTokensLeft -= computedTokens;
+    void prefilled(double tokens) {
+        remainingPromptTokens -= tokens;
     }
 
-    boolean promptComplete() {
-        return promptTokensLeft <= 0;
+    boolean prefillComplete() {
+        return remainingPromptTokens <= 0;
     }
 
     /** Begins to generate its answer. */
-    void beginAnswer() {
-        tokens = tokensNeeded();
-        steps = 0;
+    void startDecode() {
+        cacheTokens = requiredCacheTokens();
+        stepsSinceEvent = 0;
     }
 
     /** Takes some steps; returns whether they complete an event. */
-    boolean step(double taken, double stepsPerEvent) {
-        steps += taken;
-        tokens += taken;
-        if (steps < stepsPerEvent) {
+    boolean decode(double steps, double stepsPerEvent) {
+        stepsSinceEvent += steps;
+        cacheTokens += steps;
+        if (stepsSinceEvent < stepsPerEvent) {
             return false;
         }
-        steps -= stepsPerEvent;
+        stepsSinceEvent -= stepsPerEvent;
         return true;
     }
 
-    boolean answered() {
-        return eventsLeft <= 0;
+    boolean allEventsSent() {
+        return remainingEvents <= 0;
     }
 
-    void eventMade() {
-        eventsLeft--;
+    void countSentEvent() {
+        remainingEvents--;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/JobQueue.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/JobQueue.java
@@ -6,7 +6,7 @@
 
 /** Jobs that wait at an engine, by rank and then by their order. */
 final class JobQueue {
-    private final PriorityQueue<EngineJob> jobs = new PriorityQueue<>(EngineJob.BY_RANK);
+    private final PriorityQueue<EngineJob> jobs = new PriorityQueue<>(EngineJob.BY_PRIORITY);
 
     void add(EngineJob job) {
         jobs.add(job);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayPlot.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayPlot.java
@@ -14,14 +14,14 @@
     public static void write(Path file, DayResult day) throws AspenmoorException {
         new TimeCharts<DayPoint>(DayPoint::second)
                 .chart(day.day() + ": callers a second")
-                .line("asked", day.points(), DayPoint::asked)
+                .line("asked", day.points(), DayPoint::callers)
                 .chart("requests that wait at entries")
-                .line("waiting", day.points(), DayPoint::waiting)
+                .line("waiting", day.points(), DayPoint::queuedRequests)
                 .chart("engines")
-                .line("prompts", day.points(), DayPoint::promptEngines)
-                .line("answers", day.points(), DayPoint::answerEngines)
+                .line("prompts", day.points(), DayPoint::prefillEngines)
+                .line("answers", day.points(), DayPoint::decodeEngines)
                 .chart("part of the worth that was earned")
-                .line("earned", day.points(), DayPoint::earned)
+                .line("earned", day.points(), DayPoint::earnedFraction)
                 .write(file);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayTable.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayTable.java
@@ -26,12 +26,12 @@
                 Locale.ROOT,
                 "%-34s %6.3f %6.3f %6.3f %6.3f %6.3f %7.2fs%n",
                 label,
-                mean(results, DayResult::earned),
-                mean(results, DayResult::served),
-                mean(results, DayResult::nines),
-                mean(results, DayResult::worstWindows),
-                mean(results, DayResult::worstKind),
-                mean(results, DayResult::refusedAfter));
+                mean(results, DayResult::earnedFraction),
+                mean(results, DayResult::servedFraction),
+                mean(results, DayResult::availabilityScore),
+                mean(results, DayResult::worstWindowsFraction),
+                mean(results, DayResult::worstKindFraction),
+                mean(results, DayResult::medianRefusalSeconds));
     }
 
     /** Prints the kinds of one day's results. */
@@ -42,13 +42,13 @@
                     Locale.ROOT,
                     "    %-22s asked %6.0f earned %.3f on time %.3f served %.3f refused %.3f failed %.3f largest %.3f%n",
                     results.getFirst().kinds().get(kind).kind(),
-                    mean(results, result -> result.kinds().get(kind).asked()),
-                    kindMean(results, kind, KindResult::earned),
-                    kindMean(results, kind, KindResult::onTime),
-                    kindMean(results, kind, KindResult::served),
-                    kindMean(results, kind, KindResult::refused),
-                    kindMean(results, kind, KindResult::failed),
-                    kindMean(results, kind, KindResult::largestServed));
+                    mean(results, result -> result.kinds().get(kind).callers()),
+                    kindMean(results, kind, KindResult::earnedFraction),
+                    kindMean(results, kind, KindResult::onTimeFraction),
+                    kindMean(results, kind, KindResult::servedFraction),
+                    kindMean(results, kind, KindResult::refusedFraction),
+                    kindMean(results, kind, KindResult::failedFraction),
+                    kindMean(results, kind, KindResult::largestServedFraction));
         }
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/Callers.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerListener.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /** Hears how one try of a caller ended. */
-interface Callers {
+interface CallerListener {
     /** The first event came. */
-    void event(CallerAsk ask);
+    void eventReceived(CallerRequest request);
 
     /** The answer is complete. */
-    void complete(CallerAsk ask);
+    void completed(CallerRequest request);
 
     /** It was refused without having run. */
-    void refused(CallerAsk ask, Duration comeBackAfter);
+    void refused(CallerRequest request, Duration retryAfter);
 
     /** It may have run and got nothing whole. */
-    void failed(CallerAsk ask);
+    void failed(CallerRequest request);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/AskEnd.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerResult.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.bench.replay.run;
 
 /** How a caller fared in the end. */
-public enum AskEnd {
+public enum CallerResult {
     /** The day ended before. */
     OPEN,
     /** It got its whole answer. */
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/KindResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/KindResult.java
@@ -4,20 +4,20 @@
  * How one kind of request fared.
  *
  * @param kind its name
- * @param asked how many callers asked
- * @param earned part of what they were worth that was earned
- * @param onTime part that got an answer on time
- * @param served part that got an answer
- * @param refused part that was refused
- * @param failed part that got nothing whole
- * @param largestServed part of the largest tenth that got an answer
+ * @param callers how many callers asked
+ * @param earnedFraction part of what they were worth that was earned
+ * @param onTimeFraction part that got an answer on time
+ * @param servedFraction part that got an answer
+ * @param refusedFraction part that was refused
+ * @param failedFraction part that got nothing whole
+ * @param largestServedFraction part of the largest tenth that got an answer
  */
 public record KindResult(
         String kind,
-        int asked,
-        double earned,
-        double onTime,
-        double served,
-        double refused,
-        double failed,
-        double largestServed) {}
+        int callers,
+        double earnedFraction,
+        double onTimeFraction,
+        double servedFraction,
+        double refusedFraction,
+        double failedFraction,
+        double largestServedFraction) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.bench.policy.engine.EventLoop;
 import org.aspenmoor.internal.bench.replay.engine.EngineJob;
-import org.aspenmoor.internal.bench.replay.engine.ModelEngine;
+import org.aspenmoor.internal.bench.replay.engine.SimulatedEngine;
 import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.LearnedSpeed;
@@ -23,86 +23,86 @@
 /** One entry: the decisions that serve, without input and output. */
 final class ReplayEntry {
     /** How often the line is looked at while nothing ends. */
-    private static final double LOOK_SECONDS = 0.01;
+    private static final double QUEUE_CHECK_SECONDS = 0.01;
 
     private final String name;
     private final EventLoop loop;
-    private final Map<String, ModelEngine> engines;
-    private final Set<Mechanism> off;
-    private final Callers callers;
+    private final Map<String, SimulatedEngine> engines;
+    private final Set<Mechanism> disabled;
+    private final CallerListener callerListener;
     private final RandomGenerator random;
-    private final PeerLoads peers = new PeerLoads();
-    private final PlacementPolicy placer;
-    private final WaitQueue<EntryRequest> line = new WaitQueue<>();
-    private long reports;
-    private long jobs;
-    private boolean looking;
-    private boolean moving;
+    private final PeerLoads peerLoads = new PeerLoads();
+    private final PlacementPolicy placementPolicy;
+    private final WaitQueue<ReplayRequest> queue = new WaitQueue<>();
+    private long reportCount;
+    private long jobCount;
+    private boolean checkScheduled;
+    private boolean dispatching;
 
     ReplayEntry(
             String name,
             EventLoop loop,
-            Map<String, ModelEngine> engines,
+            Map<String, SimulatedEngine> engines,
             PlacementSettings settings,
-            Set<Mechanism> off,
-            Callers callers,
+            Set<Mechanism> disabled,
+            CallerListener callerListener,
             RandomGenerator random) {
         this.name = name;
         this.loop = loop;
         this.engines = engines;
-        this.off = off;
-        this.callers = callers;
+        this.disabled = disabled;
+        this.callerListener = callerListener;
         this.random = random;
-        this.placer = new PlacementPolicy(settings, peers, random);
+        this.placementPolicy = new PlacementPolicy(settings, peerLoads, random);
     }
 
     /** Takes a request of a caller. */
-    void serve(CallerAsk ask) {
-        new EntryRequest(this, ask).start();
+    void serve(CallerRequest request) {
+        new ReplayRequest(this, request).start();
     }
 
     /** Learns of a server, or of its changed role. */
-    void know(BackendServer server, int cacheTokens) {
-        placer.serverChanged(server, cacheTokens);
+    void serverChanged(BackendServer server, int cacheTokens) {
+        placementPolicy.serverChanged(server, cacheTokens);
     }
 
     /** Learns that an engine has been told to change its role. */
-    void changing(RoleChange change) {
-        placer.roleChangeOrdered(change, loop.now());
+    void roleChangeOrdered(RoleChange change) {
+        placementPolicy.roleChangeOrdered(change, loop.now());
     }
 
-    void forget(String server) {
-        placer.serverRemoved(server);
+    void serverRemoved(String serverId) {
+        placementPolicy.serverRemoved(serverId);
     }
 
-    PeerReport report() {
-        reports++;
-        List<AssignedPrompt> prompts = placer.takeUnreportedPrompts();
-        List<LearnedSpeed> speeds = placer.learnedSpeeds();
-        placer.samplePromptLoad(ReplayRun.SERVICE, line.size() > 0, loop.now());
+    PeerReport nextReport() {
+        reportCount++;
+        List<AssignedPrompt> prompts = placementPolicy.takeUnreportedPrompts();
+        List<LearnedSpeed> speeds = placementPolicy.learnedSpeeds();
+        placementPolicy.samplePromptLoad(ReplayRun.SERVICE, queue.size() > 0, loop.now());
         return new PeerReport(
                 name,
                 0,
-                reports,
-                without(Mechanism.PEER_LOADS) ? Map.of() : placer.ownLoads(loop.now()),
-                without(Mechanism.PEER_PROMPTS) ? List.of() : prompts,
-                without(Mechanism.PEER_SPEEDS) ? List.of() : speeds,
-                placer.eventSizes(),
+                reportCount,
+                isDisabled(Mechanism.PEER_LOADS) ? Map.of() : placementPolicy.ownLoads(loop.now()),
+                isDisabled(Mechanism.PEER_PROMPTS) ? List.of() : prompts,
+                isDisabled(Mechanism.PEER_SPEEDS) ? List.of() : speeds,
+                placementPolicy.eventSizes(),
                 List.of(),
                 List.of(),
                 false);
     }
 
-    void hear(PeerReport report) {
-        peers.receive(report, loop.now());
-        report.prompts().forEach(prompt -> placer.promptAssignedByPeer(prompt, loop.now()));
-        report.speeds().forEach(placer::speedReceived);
-        report.eventSizes().forEach(placer::eventSizeReceived);
+    void receive(PeerReport report) {
+        peerLoads.receive(report, loop.now());
+        report.prompts().forEach(prompt -> placementPolicy.promptAssignedByPeer(prompt, loop.now()));
+        report.speeds().forEach(placementPolicy::speedReceived);
+        report.eventSizes().forEach(placementPolicy::eventSizeReceived);
     }
 
     /** Returns how many requests wait here. */
-    int waiting() {
-        return line.size();
+    int queuedRequests() {
+        return queue.size();
     }
 
     EventLoop loop() {
@@ -110,75 +110,75 @@
     }
 
     ServiceLoad serviceLoad() {
-        return placer.serviceLoad(ReplayRun.SERVICE, loop.now());
+        return placementPolicy.serviceLoad(ReplayRun.SERVICE, loop.now());
     }
 
-    PlacementPolicy placer() {
-        return placer;
+    PlacementPolicy placementPolicy() {
+        return placementPolicy;
     }
 
-    Callers callers() {
-        return callers;
+    CallerListener callerListener() {
+        return callerListener;
     }
 
-    WaitQueue<EntryRequest> line() {
-        return line;
+    WaitQueue<ReplayRequest> queue() {
+        return queue;
     }
 
-    boolean without(Mechanism mechanism) {
-        return off.contains(mechanism);
+    boolean isDisabled(Mechanism mechanism) {
+        return disabled.contains(mechanism);
     }
 
     /** Returns a pause with up to half of it added, so that refused callers do not return in one wave. */
-    Duration spread(Duration pause) {
+    Duration withJitter(Duration pause) {
         return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
     }
 
-    ModelEngine engine(BackendServer server) {
+    SimulatedEngine engine(BackendServer server) {
         return engines.get(server.id());
     }
 
-    Optional<ModelEngine> engine(Optional<BackendServer> server) {
-        return without(Mechanism.FETCHES) ? Optional.empty() : server.map(this::engine);
+    Optional<SimulatedEngine> engine(Optional<BackendServer> server) {
+        return isDisabled(Mechanism.FETCHES) ? Optional.empty() : server.map(this::engine);
     }
 
-    long nextJob() {
-        jobs++;
-        return loop.now() + jobs;
+    long nextJobSequence() {
+        jobCount++;
+        return loop.now() + jobCount;
     }
 
     /** Sends a job on its way to an engine. */
-    void send(ModelEngine engine, EngineJob job) {
-        loop.after(ReplayRun.WAY_SECONDS, () -> engine.take(job));
+    void send(SimulatedEngine engine, EngineJob job) {
+        loop.after(ReplayRun.NETWORK_DELAY_SECONDS, () -> engine.submit(job));
     }
 
-    void wait(WaitQueue.QueuedRequest<EntryRequest> waiting) {
-        line.add(waiting);
-        look();
-        roomMayBe();
+    void enqueue(WaitQueue.QueuedRequest<ReplayRequest> request) {
+        queue.add(request);
+        scheduleQueueCheck();
+        dispatchQueued();
     }
 
-    private void look() {
-        if (looking) {
+    private void scheduleQueueCheck() {
+        if (checkScheduled) {
             return;
         }
-        looking = true;
-        loop.after(LOOK_SECONDS, () -> {
-            looking = false;
-            roomMayBe();
-            if (line.size() > 0) {
-                look();
+        checkScheduled = true;
+        loop.after(QUEUE_CHECK_SECONDS, () -> {
+            checkScheduled = false;
+            dispatchQueued();
+            if (queue.size() > 0) {
+                scheduleQueueCheck();
             }
         });
     }
 
     /** Sends on who is next, as long as there is room. */
-    void roomMayBe() {
-        if (moving || line.size() == 0) {
+    void dispatchQueued() {
+        if (dispatching || queue.size() == 0) {
             return;
         }
-        moving = true;
-        line.dispatchAndRefuse(loop::now, EntryRequest::giveUp, EntryRequest::goOn);
-        moving = false;
+        dispatching = true;
+        queue.dispatchAndRefuse(loop::now, ReplayRequest::refuseFromQueue, ReplayRequest::dispatchFromQueue);
+        dispatching = false;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
@@ -11,10 +11,10 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.bench.policy.engine.EventLoop;
 import org.aspenmoor.internal.bench.replay.customer.Customer;
-import org.aspenmoor.internal.bench.replay.customer.EngineLoss;
+import org.aspenmoor.internal.bench.replay.customer.EngineOutage;
 import org.aspenmoor.internal.bench.replay.customer.LoadDay;
-import org.aspenmoor.internal.bench.replay.customer.ServedKind;
-import org.aspenmoor.internal.bench.replay.engine.ModelEngine;
+import org.aspenmoor.internal.bench.replay.customer.RequestProfile;
+import org.aspenmoor.internal.bench.replay.engine.SimulatedEngine;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.routing.EngineSpeed;
 import org.aspenmoor.internal.serving.BackendServer;
@@ -27,75 +27,81 @@
 import org.aspenmoor.internal.serving.roles.RoleMove;
 
 /** One day of one customer, replayed. */
-public final class ReplayRun implements Callers {
+public final class ReplayRun implements CallerListener {
     static final String SERVICE = "models";
 
     /** One way between an entry and an engine, with what the entry's processor takes. */
-    static final double WAY_SECONDS = 0.0015;
+    static final double NETWORK_DELAY_SECONDS = 0.0015;
 
     private static final double NANOSECONDS = 1e9;
 
     /** The day begins a moment after time zero, which stands for "never" in some places. */
-    private static final double FIRST_SECOND = 0.001;
+    private static final double START_SECONDS = 0.001;
 
-    private static final int TRIES = 2;
-    private static final int PATIENCE_SHARE = 3;
-    private static final double REPORT_SECONDS = 0.1;
-    private static final double REPORT_SECONDS_FOR_EACH_PEER = 0.01;
+    private static final int MAX_CALLER_ATTEMPTS = 2;
+    private static final int REMAINING_WAIT_DIVISOR = 3;
+    private static final double REPORT_INTERVAL_SECONDS = 0.1;
+    private static final double REPORT_INTERVAL_SECONDS_PER_PEER = 0.01;
     private static final double REPORT_LAG_SECONDS = 0.002;
 
     /** From a change of an engine to the moment at which entries know of it. */
     private static final double MEMBERSHIP_LAG_SECONDS = 1.2;
 
-    private static final double ROLE_LOOK_SECONDS = 2;
-    private static final double AFTER_SECONDS = 20;
+    private static final double ROLE_CHECK_SECONDS = 2;
+    private static final double DRAIN_SECONDS = 20;
 
     /** Part of its usual rate at which a kind that is not asked for is looked at again. */
-    private static final double LEAST_RATE_SHARE = 0.05;
+    private static final double MIN_RATE_FRACTION = 0.05;
 
     /** Entries get uneven shares of the callers; the last has this many times the first one's. */
-    private static final double ENTRY_SHARE_SPREAD = 1.6;
+    private static final double ENTRY_SKEW_EXPONENT = 1.6;
 
     private final Customer customer;
     private final LoadDay day;
     private final long seed;
-    private final Set<Mechanism> off;
+    private final Set<Mechanism> disabled;
     private final EventLoop loop = new EventLoop();
     private final RandomGenerator random;
-    private final AskGenerator generator;
-    private final Map<String, ModelEngine> engines = new LinkedHashMap<>();
+    private final CallerRequestGenerator generator;
+    private final Map<String, SimulatedEngine> engines = new LinkedHashMap<>();
     private final List<ReplayEntry> entries = new ArrayList<>();
-    private final IdentityHashMap<CallerAsk, AskOutcome> outcomes = new IdentityHashMap<>();
-    private final List<AskOutcome> ordered = new ArrayList<>();
+    private final IdentityHashMap<CallerRequest, CallerTracker> trackers = new IdentityHashMap<>();
+    private final List<CallerTracker> trackersByArrival = new ArrayList<>();
     private final List<DayPoint> points = new ArrayList<>();
-    private final RoleBalance balance = new RoleBalance();
-    private final LoadFollower follower = new LoadFollower();
+    private final RoleBalance roleBalance = new RoleBalance();
+    private final LoadFollower loadFollower = new LoadFollower();
 
-    public ReplayRun(Customer customer, LoadDay day, long seed, Set<Mechanism> off) {
+    public ReplayRun(Customer customer, LoadDay day, long seed, Set<Mechanism> disabled) {
         this.customer = customer;
         this.day = day;
         this.seed = seed;
-        this.off = off;
+        this.disabled = disabled;
         SplittableRandom root = new SplittableRandom(seed);
         this.random = root.split();
-        this.generator = new AskGenerator(root.split());
+        this.generator = new CallerRequestGenerator(root.split());
     }
 
     /** Plays the day to its end. */
-    public DayResult play() {
-        makeEngines();
+    public DayResult run() {
+        createEngines();
         for (int index = 0; index < customer.entries(); index++) {
             entries.add(new ReplayEntry(
-                    "entry-" + index, loop, engines, settings(index), off, this, new SplittableRandom(seed + index)));
+                    "entry-" + index,
+                    loop,
+                    engines,
+                    settings(index),
+                    disabled,
+                    this,
+                    new SplittableRandom(seed + index)));
         }
-        tellAll();
-        customer.kinds().forEach(kind -> loop.after(FIRST_SECOND, () -> nextAsk(kind)));
-        entries.forEach(entry -> loop.after(random.nextDouble() * REPORT_SECONDS, () -> report(entry)));
-        day.losses().forEach(loss -> loop.after(loss.fromSeconds(), () -> lose(loss)));
-        loop.after(ROLE_LOOK_SECONDS, this::lookAtRoles);
-        loop.after(1, this::note);
-        loop.runUntil(day.seconds() + AFTER_SECONDS);
-        return new DayTally(ordered).result(day.name(), seed, points);
+        updateEntries();
+        customer.kinds().forEach(kind -> loop.after(START_SECONDS, () -> scheduleNextRequest(kind)));
+        entries.forEach(entry -> loop.after(random.nextDouble() * REPORT_INTERVAL_SECONDS, () -> report(entry)));
+        day.outages().forEach(outage -> loop.after(outage.startSeconds(), () -> startOutage(outage)));
+        loop.after(ROLE_CHECK_SECONDS, this::checkRoles);
+        loop.after(1, this::recordPoint);
+        loop.runUntil(day.lengthSeconds() + DRAIN_SECONDS);
+        return new DayResultCalculator(trackersByArrival).result(day.name(), seed, points);
     }
 
     /** Returns the settings that every entry starts with; speeds are only where learning begins. */
@@ -108,20 +114,20 @@
         return "data-centre-" + index % customer.dataCentres();
     }
 
-    private void makeEngines() {
+    private void createEngines() {
         List<BackendServer> servers = new ArrayList<>();
         for (int index = 0; index < customer.engines().count(); index++) {
             servers.add(server(index, EngineRole.PREFILL));
         }
         // The engines had their roles before the traffic came.
-        for (RoleMove move : balance.moves(servers, true)) {
+        for (RoleMove move : roleBalance.moves(servers, true)) {
             int index = servers.indexOf(move.server());
             servers.set(index, server(index, move.role()));
         }
         for (int index = 0; index < servers.size(); index++) {
-            double slowness = customer.engines().slowness(index);
+            double slowdown = customer.engines().slowdown(index);
             BackendServer server = servers.get(index);
-            engines.put(server.id(), new ModelEngine(loop, customer.engines(), slowness, server));
+            engines.put(server.id(), new SimulatedEngine(loop, customer.engines(), slowdown, server));
         }
     }
 
@@ -138,121 +144,125 @@
                 role);
     }
 
-    private void tellAll() {
-        for (ModelEngine engine : engines.values()) {
+    private void updateEntries() {
+        for (SimulatedEngine engine : engines.values()) {
             for (ReplayEntry entry : entries) {
-                if (engine.present()) {
-                    entry.know(engine.server(), customer.engines().cacheTokens());
+                if (engine.isUp()) {
+                    entry.serverChanged(engine.server(), customer.engines().cacheTokens());
                 } else {
-                    entry.forget(engine.server().id());
+                    entry.serverRemoved(engine.server().id());
                 }
             }
         }
     }
 
-    private void nextAsk(ServedKind kind) {
-        if (loop.nowSeconds() >= day.seconds()) {
+    private void scheduleNextRequest(RequestProfile kind) {
+        if (loop.nowSeconds() >= day.lengthSeconds()) {
             return;
         }
-        double rate = day.perSecond(kind, loop.nowSeconds());
-        double pause = -Math.log(1 - random.nextDouble()) / Math.max(rate, kind.perSecond() * LEAST_RATE_SHARE);
-        loop.after(pause, () -> {
-            if (loop.nowSeconds() < day.seconds() && rate > 0) {
-                CallerAsk ask = generator.draw(kind, loop.now());
-                AskOutcome outcome = new AskOutcome(ask);
-                outcomes.put(ask, outcome);
-                ordered.add(outcome);
-                entry().serve(ask);
+        double rate = day.requestsPerSecond(kind, loop.nowSeconds());
+        double arrivalSeconds =
+                -Math.log(1 - random.nextDouble()) / Math.max(rate, kind.requestsPerSecond() * MIN_RATE_FRACTION);
+        loop.after(arrivalSeconds, () -> {
+            if (loop.nowSeconds() < day.lengthSeconds() && rate > 0) {
+                CallerRequest request = generator.generate(kind, loop.now());
+                CallerTracker tracker = new CallerTracker(request);
+                trackers.put(request, tracker);
+                trackersByArrival.add(tracker);
+                randomEntry().serve(request);
             }
-            nextAsk(kind);
+            scheduleNextRequest(kind);
         });
     }
 
-    private ReplayEntry entry() {
-        double drawn = Math.pow(random.nextDouble(), 1 / ENTRY_SHARE_SPREAD);
-        return entries.get((int) (drawn * entries.size()));
+    private ReplayEntry randomEntry() {
+        double position = Math.pow(random.nextDouble(), 1 / ENTRY_SKEW_EXPONENT);
+        return entries.get((int) (position * entries.size()));
     }
 
     private void report(ReplayEntry entry) {
-        PeerReport report = entry.report();
+        PeerReport report = entry.nextReport();
         entries.stream()
                 .filter(other -> other != entry)
-                .forEach(other -> loop.after(REPORT_LAG_SECONDS, () -> other.hear(report)));
-        double pause = Math.max(REPORT_SECONDS, REPORT_SECONDS_FOR_EACH_PEER * (entries.size() - 1));
-        loop.after(pause, () -> report(entry));
+                .forEach(other -> loop.after(REPORT_LAG_SECONDS, () -> other.receive(report)));
+        double intervalSeconds =
+                Math.max(REPORT_INTERVAL_SECONDS, REPORT_INTERVAL_SECONDS_PER_PEER * (entries.size() - 1));
+        loop.after(intervalSeconds, () -> report(entry));
     }
 
-    private void lose(EngineLoss loss) {
-        List.copyOf(engines.values()).get(loss.engine()).lose(loss.seconds());
-        loop.after(MEMBERSHIP_LAG_SECONDS, this::tellAll);
-        loop.after(loss.seconds() + MEMBERSHIP_LAG_SECONDS, this::tellAll);
+    private void startOutage(EngineOutage outage) {
+        List.copyOf(engines.values()).get(outage.engine()).fail(outage.durationSeconds());
+        loop.after(MEMBERSHIP_LAG_SECONDS, this::updateEntries);
+        loop.after(outage.durationSeconds() + MEMBERSHIP_LAG_SECONDS, this::updateEntries);
     }
 
-    private void lookAtRoles() {
-        List<BackendServer> present = engines.values().stream()
-                .filter(ModelEngine::present)
-                .map(ModelEngine::server)
+    private void checkRoles() {
+        List<BackendServer> upServers = engines.values().stream()
+                .filter(SimulatedEngine::isUp)
+                .map(SimulatedEngine::server)
                 .toList();
-        if (!off.contains(Mechanism.ROLE_MOVES)) {
-            List<RoleMove> moves = balance.moves(present, false);
-            moves.forEach(this::order);
-            if (moves.isEmpty() && !off.contains(Mechanism.LOAD_FOLLOWING)) {
-                follower.move(entries.getFirst().serviceLoad()).ifPresent(move -> {
-                    order(move);
-                    follower.changed();
+        if (!disabled.contains(Mechanism.ROLE_MOVES)) {
+            List<RoleMove> moves = roleBalance.moves(upServers, false);
+            moves.forEach(this::orderRoleChange);
+            if (moves.isEmpty() && !disabled.contains(Mechanism.LOAD_FOLLOWING)) {
+                loadFollower.move(entries.getFirst().serviceLoad()).ifPresent(move -> {
+                    orderRoleChange(move);
+                    loadFollower.changed();
                 });
             }
         }
-        tellAll();
-        loop.after(ROLE_LOOK_SECONDS, this::lookAtRoles);
+        updateEntries();
+        loop.after(ROLE_CHECK_SECONDS, this::checkRoles);
     }
 
-    private void order(RoleMove move) {
+    private void orderRoleChange(RoleMove move) {
         RoleChange change = new RoleChange(move.server().id(), move.role());
-        engines.get(change.server()).order(change.role());
-        entries.forEach(entry -> loop.after(REPORT_SECONDS, () -> entry.changing(change)));
+        engines.get(change.server()).changeRole(change.role());
+        entries.forEach(entry -> loop.after(REPORT_INTERVAL_SECONDS, () -> entry.roleChangeOrdered(change)));
     }
 
-    private void note() {
-        int waiting = entries.stream().mapToInt(ReplayEntry::waiting).sum();
+    private void recordPoint() {
+        int queuedRequests =
+                entries.stream().mapToInt(ReplayEntry::queuedRequests).sum();
         int second = points.size();
-        points.add(new DayPoint(second, 0, 0, waiting, with(EngineRole.PREFILL), with(EngineRole.DECODE)));
-        if (second + 1 < day.seconds()) {
-            loop.after(1, this::note);
+        points.add(new DayPoint(
+                second, 0, 0, queuedRequests, enginesWithRole(EngineRole.PREFILL), enginesWithRole(EngineRole.DECODE)));
+        if (second + 1 < day.lengthSeconds()) {
+            loop.after(1, this::recordPoint);
         }
     }
 
-    private int with(EngineRole role) {
+    private int enginesWithRole(EngineRole role) {
         return (int) engines.values().stream()
-                .filter(engine -> engine.present() && engine.server().role() == role)
+                .filter(engine -> engine.isUp() && engine.server().role() == role)
                 .count();
     }
 
     @Override
-    public void event(CallerAsk ask) {
-        outcomes.get(ask).event(loop.now());
+    public void eventReceived(CallerRequest request) {
+        trackers.get(request).eventReceived(loop.now());
     }
 
     @Override
-    public void complete(CallerAsk ask) {
-        outcomes.get(ask).ended(AskEnd.COMPLETE, loop.now());
+    public void completed(CallerRequest request) {
+        trackers.get(request).ended(CallerResult.COMPLETE, loop.now());
     }
 
     @Override
-    public void refused(CallerAsk ask, Duration comeBackAfter) {
-        AskOutcome outcome = outcomes.get(ask);
-        long left = ask.deadlineAt() - loop.now();
-        if (outcome.tries() >= TRIES || left <= 0) {
-            outcome.ended(AskEnd.REFUSED, loop.now());
+    public void refused(CallerRequest request, Duration retryAfter) {
+        CallerTracker tracker = trackers.get(request);
+        long remainingNanos = request.deadlineAt() - loop.now();
+        if (tracker.attempts() >= MAX_CALLER_ATTEMPTS || remainingNanos <= 0) {
+            tracker.ended(CallerResult.REFUSED, loop.now());
             return;
         }
-        outcome.triedAgain();
-        double pause = Math.min(comeBackAfter.toNanos(), left / PATIENCE_SHARE) / NANOSECONDS;
-        loop.after(pause, () -> entry().serve(ask));
+        tracker.retried();
+        double retrySeconds = Math.min(retryAfter.toNanos(), remainingNanos / REMAINING_WAIT_DIVISOR) / NANOSECONDS;
+        loop.after(retrySeconds, () -> randomEntry().serve(request));
     }
 
     @Override
-    public void failed(CallerAsk ask) {
-        outcomes.get(ask).ended(AskEnd.FAILED, loop.now());
+    public void failed(CallerRequest request) {
+        trackers.get(request).ended(CallerResult.FAILED, loop.now());
     }
 }
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/LongAnswersReplayTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/LongAnswersReplayTest.java
@@ -19,36 +19,41 @@
 
 public final class LongAnswersReplayTest {
     /** The users ask that the largest tenth of a kind is served half as often as the whole kind at least. */
-    private static final double LEAST_PART_OF_ALL = 0.5;
+    private static final double MIN_FRACTION_OF_ALL = 0.5;
 
     private static final long SEEDS = 6;
 
     @DataProvider
-    public Object[][] loads() {
+    public Object[][] days() {
         return new Object[][] {{"calm"}, {"drafts-first"}, {"swinging"}};
     }
 
     // Guards against long answers cut at their deadline because few engines answer and one of those is slow.
     @Test(dataProvider = "loads")
-    public void should_serve_the_longest_answers_half_as_often_as_all_where_one_engine_is_slow(String day)
+    public void should_serve_longest_answers_at_least_half_as_often_as_all_when_one_engine_is_slow(String day)
             throws AspenmoorException {
         List<KindResult> drafts = LongStream.rangeClosed(1, SEEDS)
-                .mapToObj(seed -> drafts(day, seed))
+                .mapToObj(seed -> replayDrafts(day, seed))
                 .toList();
-        double largest =
-                drafts.stream().mapToDouble(KindResult::largestServed).average().orElseThrow();
-        double all = drafts.stream().mapToDouble(KindResult::served).average().orElseThrow();
+        double largest = drafts.stream()
+                .mapToDouble(KindResult::largestServedFraction)
+                .average()
+                .orElseThrow();
+        double all = drafts.stream()
+                .mapToDouble(KindResult::servedFraction)
+                .average()
+                .orElseThrow();
 
-        assertTrue(largest >= LEAST_PART_OF_ALL * all, "of the largest tenth " + largest + ", of all " + all);
+        assertTrue(largest >= MIN_FRACTION_OF_ALL * all, "of the largest tenth " + largest + ", of all " + all);
     }
 
-    private static KindResult drafts(String dayName, long seed) {
-        Customer customer = customer();
+    private static KindResult replayDrafts(String dayName, long seed) {
+        Customer customer = customerWithSlowEngine();
         LoadDay day = customer.days().stream()
                 .filter(each -> each.name().equals(dayName))
                 .findFirst()
                 .orElseThrow();
-        DayResult result = new ReplayRun(customer, day, seed, EnumSet.noneOf(Mechanism.class)).play();
+        DayResult result = new ReplayRun(customer, day, seed, EnumSet.noneOf(Mechanism.class)).run();
         return result.kinds().stream()
                 .filter(kind -> kind.kind().equals("draft"))
                 .findFirst()
@@ -56,11 +61,11 @@
     }
 
     /** Returns a customer whose engines answer slowly by turns; the second is one of those that begin with answers. */
-    private static Customer customer() {
+    private static Customer customerWithSlowEngine() {
         try {
             return new CustomerReader()
                     .read(Path.of("customers", "norrvik.json"))
-                    .withSlownesses(List.of(1.0, 1.3, 1.0));
+                    .withEngineSlowdowns(List.of(1.0, 1.3, 1.0));
         } catch (AspenmoorException unreadable) {
             throw new IllegalStateException(unreadable);
         }
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/ReplayRunTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/ReplayRunTest.java
@@ -21,7 +21,7 @@
     private static final Path CUSTOMERS = Path.of("customers");
 
     @Test
-    public void should_read_every_customer() throws Exception {
+    public void should_read_every_customer_file() throws Exception {
         try (Stream<Path> files = Files.list(CUSTOMERS)) {
             for (Path file : files.toList()) {
                 Customer customer = new CustomerReader().read(file);
@@ -31,35 +31,37 @@
     }
 
     @Test
-    public void should_give_the_same_day_for_the_same_seed() throws AspenmoorException {
-        assertEquals(play("seitkali.json", 1, 7), play("seitkali.json", 1, 7));
+    public void should_return_same_result_when_seed_is_same() throws AspenmoorException {
+        assertEquals(replayFirstDay("seitkali.json", 1, 7), replayFirstDay("seitkali.json", 1, 7));
     }
 
     @Test
-    public void should_account_for_every_caller() throws AspenmoorException {
-        DayResult result = play("seitkali.json", 1, 7);
+    public void should_count_every_caller_as_served_refused_or_failed() throws AspenmoorException {
+        DayResult result = replayFirstDay("seitkali.json", 1, 7);
 
         result.kinds()
-                .forEach(kind -> assertEquals(kind.served() + kind.refused() + kind.failed(), 1, 1e-9, kind.kind()));
+                .forEach(kind -> assertEquals(
+                        kind.servedFraction() + kind.refusedFraction() + kind.failedFraction(), 1, 1e-9, kind.kind()));
     }
 
     @Test
-    public void should_serve_nearly_all_where_there_is_little_load() throws AspenmoorException {
+    public void should_serve_nearly_all_requests_when_load_is_low() throws AspenmoorException {
         for (String file : List.of("norrvik.json", "seitkali.json", "hojas.json")) {
-            DayResult result = play(file, 0.2, 3);
+            DayResult result = replayFirstDay(file, 0.2, 3);
 
-            assertTrue(result.served() > 0.99, file + ": " + result.served());
+            assertTrue(result.servedFraction() > 0.99, file + ": " + result.servedFraction());
         }
     }
 
     @Test
-    public void should_earn_less_under_twice_the_load() throws AspenmoorException {
-        assertTrue(play("hojas.json", 2, 3).earned() < play("hojas.json", 1, 3).earned());
+    public void should_earn_smaller_fraction_when_load_is_doubled() throws AspenmoorException {
+        assertTrue(replayFirstDay("hojas.json", 2, 3).earnedFraction()
+                < replayFirstDay("hojas.json", 1, 3).earnedFraction());
     }
 
-    private static DayResult play(String file, double load, long seed) throws AspenmoorException {
+    private static DayResult replayFirstDay(String file, double load, long seed) throws AspenmoorException {
         Customer customer = new CustomerReader().read(CUSTOMERS.resolve(file));
-        LoadDay day = customer.days().getFirst().times(load);
-        return new ReplayRun(customer, day, seed, EnumSet.noneOf(Mechanism.class)).play();
+        LoadDay day = customer.days().getFirst().scaledBy(load);
+        return new ReplayRun(customer, day, seed, EnumSet.noneOf(Mechanism.class)).run();
     }
 }
