--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/TimeCharts.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/TimeCharts.java
@@ -56,12 +56,12 @@
     public void write(Path file) throws AspenmoorException {
         try {
             BitmapEncoder.saveBitmap(charts, charts.size(), 1, file.toString(), BitmapFormat.PNG);
-        } catch (IOException unwritable) {
+        } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The plot could not be written: " + unwritable.getMessage() + ".",
+                    "The plot could not be written: " + exception.getMessage() + ".",
                     file.toString(),
                     "Name a file in a folder that exists and can be written.",
-                    unwritable);
+                    exception);
         }
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchMain.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchMain.java
@@ -15,8 +15,8 @@
 import org.aspenmoor.internal.bench.policy.fleet.BuiltInFleets;
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
 import org.aspenmoor.internal.bench.policy.fleet.FleetReader;
-import org.aspenmoor.internal.bench.policy.fleet.ParameterMove;
-import org.aspenmoor.internal.bench.policy.report.AimReport;
+import org.aspenmoor.internal.bench.policy.fleet.ParameterVariation;
+import org.aspenmoor.internal.bench.policy.report.ComparisonReport;
 import org.aspenmoor.internal.bench.policy.report.JsonReport;
 import org.aspenmoor.internal.bench.policy.report.NamedResult;
 import org.aspenmoor.internal.bench.policy.report.TextReport;
@@ -28,12 +28,12 @@
 
 /** The command line of the policy bench. */
 public final class PolicyBenchMain {
-    private static final int MOST_THREADS = 3;
+    private static final int MAX_THREADS = 3;
 
-    private final BenchOptions options;
+    private final PolicyBenchOptions options;
     private final PrintStream out;
 
-    private PolicyBenchMain(BenchOptions options, PrintStream out) {
+    private PolicyBenchMain(PolicyBenchOptions options, PrintStream out) {
         this.options = options;
         this.out = out;
     }
@@ -41,9 +41,9 @@
     /** Runs the bench; the exit code is 2 where an argument or a file is wrong. */
     public static void main(String[] arguments) {
         try {
-            new PolicyBenchMain(BenchOptions.parse(arguments), System.out).run();
-        } catch (AspenmoorException wrong) {
-            System.err.println(wrong.getMessage());
+            new PolicyBenchMain(PolicyBenchOptions.parse(arguments), System.out).run();
+        } catch (AspenmoorException exception) {
+            System.err.println(exception.getMessage());
             System.exit(2);
         }
     }
@@ -54,50 +54,50 @@
             results.addAll(runFleet(fleet));
         }
         new TextReport(out).print(results);
-        new AimReport(out).print(results);
-        if (options.json().isPresent()) {
-            JsonReport.write(options.json().get(), results);
+        new ComparisonReport(out).print(results);
+        if (options.jsonFile().isPresent()) {
+            JsonReport.write(options.jsonFile().get(), results);
         }
-        if (options.plot().isPresent()) {
-            TimelinePlot.write(options.plot().get(), firstRunOf(results));
+        if (options.plotFile().isPresent()) {
+            TimelinePlot.write(options.plotFile().get(), resultsOfFirstTrace(results));
         }
     }
 
     private List<Fleet> fleets() throws AspenmoorException {
         List<Fleet> fleets = new ArrayList<>();
-        for (String house : options.houses()) {
-            Fleet fleet = switch (house) {
+        for (String name : options.fleets()) {
+            Fleet fleet = switch (name) {
                 case "seitkali" -> BuiltInFleets.seitkali();
                 case "hojas" -> BuiltInFleets.hojas();
-                default -> new FleetReader().read(Path.of(house));
+                default -> new FleetReader().read(Path.of(name));
             };
-            ParameterMove move = options.move();
-            fleets.add(fleet.withParameters(fleet.parameters().moved(move)));
+            ParameterVariation variation = options.variation();
+            fleets.add(fleet.withParameters(fleet.parameters().with(variation)));
         }
         return fleets;
     }
 
     private List<NamedResult> runFleet(Fleet fleet) throws AspenmoorException {
-        List<Future<List<NamedResult>>> running = new ArrayList<>();
-        try (ExecutorService threads = Executors.newFixedThreadPool(MOST_THREADS)) {
+        List<Future<List<NamedResult>>> futures = new ArrayList<>();
+        try (ExecutorService threads = Executors.newFixedThreadPool(MAX_THREADS)) {
             for (String name : options.traces()) {
-                for (long seed = options.seed(); seed < options.seed() + options.seeds(); seed++) {
+                for (long seed = options.firstSeed(); seed < options.firstSeed() + options.seedCount(); seed++) {
                     Trace trace = trace(fleet, name, seed);
                     long runSeed = seed;
-                    running.add(threads.submit(() -> runTrace(fleet, trace, runSeed)));
+                    futures.add(threads.submit(() -> runTrace(fleet, trace, runSeed)));
                 }
             }
             List<NamedResult> results = new ArrayList<>();
-            for (Future<List<NamedResult>> run : running) {
-                results.addAll(run.get());
+            for (Future<List<NamedResult>> future : futures) {
+                results.addAll(future.get());
             }
             return results;
-        } catch (InterruptedException | ExecutionException failed) {
+        } catch (InterruptedException | ExecutionException exception) {
             throw new AspenmoorException(
-                    "A run of the bench failed: " + failed.getMessage() + ".",
-                    fleet.house(),
+                    "A run of the bench failed: " + exception.getMessage() + ".",
+                    fleet.name(),
                     "This is a fault of the bench; report it with the arguments used.",
-                    failed);
+                    exception);
         }
     }
 
@@ -105,7 +105,7 @@
         PolicyRunner runner = new PolicyRunner(fleet, trace, seed);
         List<NamedResult> results = new ArrayList<>();
         for (PolicyName policy : options.policies()) {
-            results.add(new NamedResult(fleet.house(), trace.name(), seed, runner.run(policy)));
+            results.add(new NamedResult(fleet.name(), trace.name(), seed, runner.run(policy)));
         }
         return results;
     }
@@ -128,10 +128,10 @@
                         + ".");
     }
 
-    private static List<NamedResult> firstRunOf(List<NamedResult> results) {
+    private static List<NamedResult> resultsOfFirstTrace(List<NamedResult> results) {
         NamedResult first = results.getFirst();
         return results.stream()
-                .filter(result -> result.house().equals(first.house())
+                .filter(result -> result.fleet().equals(first.fleet())
                         && result.trace().equals(first.trace())
                         && result.seed() == first.seed())
                 .toList();
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/BenchOptions.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchOptions.java
@@ -10,33 +10,33 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 import org.aspenmoor.AspenmoorException;
-import org.aspenmoor.internal.bench.policy.fleet.ParameterMove;
+import org.aspenmoor.internal.bench.policy.fleet.ParameterVariation;
 import org.aspenmoor.internal.bench.policy.trace.BuiltInTrace;
 
 /**
  * The arguments of the policy bench.
  *
- * @param houses built-in fleets or fleet files
+ * @param fleets built-in fleets or fleet files
  * @param traces built-in traces or trace files
  * @param policies the policies to run
- * @param seed the first seed
- * @param seeds how many seeds, counted up from the first
- * @param move how the fakes' parameters are moved
- * @param json where to write results
- * @param plot where to draw the first trace
+ * @param firstSeed the first seed
+ * @param seedCount how many seeds, counted up from the first
+ * @param variation how the fakes' parameters are moved
+ * @param jsonFile where to write results
+ * @param plotFile where to draw the first trace
  */
-record BenchOptions(
-        List<String> houses,
+record PolicyBenchOptions(
+        List<String> fleets,
         List<String> traces,
         List<PolicyName> policies,
-        long seed,
-        int seeds,
-        ParameterMove move,
-        Optional<Path> json,
-        Optional<Path> plot) {
+        long firstSeed,
+        int seedCount,
+        ParameterVariation variation,
+        Optional<Path> jsonFile,
+        Optional<Path> plotFile) {
     private static final String ALL = "all";
 
-    static BenchOptions parse(String[] arguments) throws AspenmoorException {
+    static PolicyBenchOptions parse(String[] arguments) throws AspenmoorException {
         OptionParser parser = new OptionParser();
         parser.accepts("house").withRequiredArg().defaultsTo("seitkali");
         parser.accepts("trace").withRequiredArg().defaultsTo("sudden-swings");
@@ -48,28 +48,28 @@
         parser.accepts("plot").withRequiredArg();
         try {
             return read(parser.parse(arguments));
-        } catch (OptionException wrong) {
+        } catch (OptionException exception) {
             throw new AspenmoorException(
-                    "The arguments are wrong: " + wrong.getMessage() + ".",
+                    "The arguments are wrong: " + exception.getMessage() + ".",
                     "command line",
                     "Use --house, --trace, --policy, --seed, --seeds, --parameters, --json or --plot with a value.",
-                    wrong);
+                    exception);
         }
     }
 
-    private static BenchOptions read(OptionSet options) throws AspenmoorException {
-        return new BenchOptions(
-                houses((String) options.valueOf("house")),
+    private static PolicyBenchOptions read(OptionSet options) throws AspenmoorException {
+        return new PolicyBenchOptions(
+                fleets((String) options.valueOf("house")),
                 traces((String) options.valueOf("trace")),
                 policies((String) options.valueOf("policy")),
                 (Long) options.valueOf("seed"),
                 (Integer) options.valueOf("seeds"),
-                move((String) options.valueOf("parameters")),
+                variation((String) options.valueOf("parameters")),
                 Optional.ofNullable((String) options.valueOf("json")).map(Path::of),
                 Optional.ofNullable((String) options.valueOf("plot")).map(Path::of));
     }
 
-    private static List<String> houses(String text) {
+    private static List<String> fleets(String text) {
         return text.equals(ALL) ? List.of("seitkali", "hojas") : List.of(text.split(","));
     }
 
@@ -87,7 +87,7 @@
         List<PolicyName> policies = new ArrayList<>();
         for (String name : text.split(",")) {
             policies.add(PolicyName.find(name)
-                    .orElseThrow(() -> unknown(
+                    .orElseThrow(() -> unknownValue(
                             "--policy",
                             name,
                             Arrays.stream(PolicyName.values())
@@ -97,18 +97,20 @@
         return policies;
     }
 
-    private static ParameterMove move(String label) throws AspenmoorException {
+    private static ParameterVariation variation(String label) throws AspenmoorException {
         if (label.equals("none")) {
-            return ParameterMove.none();
+            return ParameterVariation.none();
         }
-        return ParameterMove.find(label)
-                .orElseThrow(() -> unknown(
+        return ParameterVariation.find(label)
+                .orElseThrow(() -> unknownValue(
                         "--parameters",
                         label,
-                        ParameterMove.all().stream().map(ParameterMove::label).collect(Collectors.joining(", "))));
+                        ParameterVariation.all().stream()
+                                .map(ParameterVariation::label)
+                                .collect(Collectors.joining(", "))));
     }
 
-    private static AspenmoorException unknown(String option, String value, String known) {
+    private static AspenmoorException unknownValue(String option, String value, String known) {
         return new AspenmoorException("\"" + value + "\" is not known.", option, "Use one of " + known + ".");
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
@@ -7,8 +7,8 @@
 import java.util.function.IntFunction;
 import org.aspenmoor.internal.bench.policy.fleet.EngineParameters;
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
-import org.aspenmoor.internal.bench.policy.run.BenchRun;
 import org.aspenmoor.internal.bench.policy.run.Policy;
+import org.aspenmoor.internal.bench.policy.run.PolicyRun;
 import org.aspenmoor.internal.bench.policy.run.RunResult;
 import org.aspenmoor.internal.bench.policy.strategy.BaselineRouting;
 import org.aspenmoor.internal.bench.policy.strategy.ClairvoyantStrategy;
@@ -33,57 +33,57 @@
     private final Fleet fleet;
     private final Trace trace;
     private final long seed;
-    private final RoleSplit start;
-    private List<RunResult> fixed = List.of();
+    private final RoleSplit initialSplit;
+    private List<RunResult> fixedSplitResults = List.of();
 
     public PolicyRunner(Fleet fleet, Trace trace, long seed) {
         this.fleet = fleet;
         this.trace = trace;
         this.seed = seed;
         int prefill = fleet.engines().size() / 2;
-        this.start = new RoleSplit(prefill, fleet.engines().size() - prefill, 0);
+        this.initialSplit = new RoleSplit(prefill, fleet.engines().size() - prefill, 0);
     }
 
     /** Runs one policy. */
     public RunResult run(PolicyName name) {
         RunResult result = switch (name) {
             case ASPENMOOR -> run(planner(), this::router);
-            case BEST_FIXED_PAIR -> bestFixed(false);
-            case BEST_FIXED -> bestFixed(true);
-            case THRESHOLD -> run(new ThresholdRule(start), this::router);
+            case BEST_FIXED_PAIR -> bestFixedSplit(false);
+            case BEST_FIXED -> bestFixedSplit(true);
+            case THRESHOLD -> run(new ThresholdRule(initialSplit), this::router);
             case ROUND_ROBIN -> run(planner(), entry -> baseline(false));
             case LEAST_REPORTED_LOAD -> run(planner(), entry -> baseline(true));
-            case CLAIRVOYANT -> clairvoyant();
+            case CLAIRVOYANT -> bestClairvoyant();
         };
-        return result.named(name.label());
+        return result.withPolicyName(name.label());
     }
 
     private RunResult run(PlanningStrategy planning, IntFunction<RoutingStrategy> routing) {
-        return new BenchRun(fleet, trace, new Policy("", planning, routing), new SplittableRandom(seed)).run();
+        return new PolicyRun(fleet, trace, new Policy("", planning, routing), new SplittableRandom(seed)).run();
     }
 
     private PlanningStrategy planner() {
         return new PlannerStrategy(
-                new RolePlanner(plannerSettings(PlannerSettings.usual().utilisation())), start);
+                new RolePlanner(plannerSettings(PlannerSettings.usual().utilisation())), initialSplit);
     }
 
     private RoutingStrategy router(int entry) {
         return new RouterStrategy(new Router(routerSettings(), new SplittableRandom(seed * 31 + entry)));
     }
 
-    private RoutingStrategy baseline(boolean leastLoad) {
-        return new BaselineRouting(leastLoad, fleet.parameters().speed());
+    private RoutingStrategy baseline(boolean byLeastLoad) {
+        return new BaselineRouting(byLeastLoad, fleet.parameters().speed());
     }
 
-    private RunResult bestFixed(boolean withWhole) {
-        return fixedRuns().stream()
-                .filter(run -> withWhole || run.timeline().stream().allMatch(point -> point.wholeEngines() == 0))
+    private RunResult bestFixedSplit(boolean allowWhole) {
+        return runFixedSplits().stream()
+                .filter(run -> allowWhole || run.timeline().stream().allMatch(point -> point.wholeEngines() == 0))
                 .max(Comparator.comparingDouble(RunResult::weightedGoodput))
                 .orElseThrow();
     }
 
-    private List<RunResult> fixedRuns() {
-        if (fixed.isEmpty()) {
+    private List<RunResult> runFixedSplits() {
+        if (fixedSplitResults.isEmpty()) {
             List<RunResult> runs = new ArrayList<>();
             int engines = fleet.engines().size();
             for (int whole : new int[] {0, engines / 4, engines}) {
@@ -95,44 +95,45 @@
                     }
                 }
             }
-            fixed = runs;
+            fixedSplitResults = runs;
         }
-        return fixed;
+        return fixedSplitResults;
     }
 
-    private RunResult clairvoyant() {
-        List<RunResult> runs = new ArrayList<>(fixedRuns());
+    private RunResult bestClairvoyant() {
+        List<RunResult> runs = new ArrayList<>(runFixedSplits());
         for (double utilisation : CLAIRVOYANT_UTILISATIONS) {
             PlanningStrategy planning =
-                    new ClairvoyantStrategy(fleet, trace, plannerSettings(utilisation), SMOOTHING_STEPS, start);
+                    new ClairvoyantStrategy(fleet, trace, plannerSettings(utilisation), SMOOTHING_STEPS, initialSplit);
             runs.add(run(planning, this::router));
         }
         return runs.stream()
-                .max(Comparator.comparingDouble(run -> run.worth(fleet.roleChangePrice())))
+                .max(Comparator.comparingDouble(run -> run.goodputLessRoleChanges(fleet.roleChangePrice())))
                 .orElseThrow();
     }
 
     private PlannerSettings plannerSettings(double utilisation) {
-        PlannerSettings usual = PlannerSettings.usual();
+        PlannerSettings defaults = PlannerSettings.usual();
         EngineParameters parameters = fleet.parameters();
         return new PlannerSettings(
                 parameters.speed(),
-                parameters.mostSequences(),
+                parameters.maxSequences(),
                 utilisation,
-                usual.horizonSeconds(),
-                usual.mostAwayShare(),
-                usual.staleSeconds());
+                defaults.horizonSeconds(),
+                defaults.mostAwayShare(),
+                defaults.staleSeconds());
     }
 
     private RouterSettings routerSettings() {
-        RouterSettings usual = RouterSettings.usual(fleet.engines().getFirst().dataCentre());
+        RouterSettings defaults =
+                RouterSettings.usual(fleet.engines().getFirst().dataCentre());
         return new RouterSettings(
                 fleet.parameters().speed(),
-                usual.dataCentre(),
-                usual.remoteSeconds(),
-                usual.sampledCandidates(),
-                usual.adapterLoadSeconds(),
-                usual.mostIndexedPieces(),
+                defaults.dataCentre(),
+                defaults.remoteSeconds(),
+                defaults.sampledCandidates(),
+                defaults.adapterLoadSeconds(),
+                defaults.mostIndexedPieces(),
                 fleet.parameters().pieceTokens());
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineJob.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineJob.java
@@ -11,11 +11,11 @@
     private final int promptTokens;
     private final int outputTokens;
     private final PrefixChain prefix;
-    private final Optional<FakeEngine> answerEngine;
+    private final Optional<FakeEngine> decodeEngine;
     private final double latestStartSeconds;
     private boolean started;
-    private double prefillLeft;
-    private int generated;
+    private double remainingPrefillTokens;
+    private int generatedTokens;
 
     /** Makes a job; with an answer engine it is computed here and generated there. Late, it is not started at all. */
     public EngineJob(
@@ -24,16 +24,16 @@
             int promptTokens,
             int outputTokens,
             PrefixChain prefix,
-            Optional<FakeEngine> answerEngine,
+            Optional<FakeEngine> decodeEngine,
             double latestStartSeconds) {
         this.id = id;
         this.weight = weight;
         this.promptTokens = promptTokens;
         this.outputTokens = outputTokens;
         this.prefix = prefix;
-        this.answerEngine = answerEngine;
+        this.decodeEngine = decodeEngine;
         this.latestStartSeconds = latestStartSeconds;
-        this.prefillLeft = promptTokens;
+        this.remainingPrefillTokens = promptTokens;
     }
 
     /** Returns the request. */
@@ -42,8 +42,8 @@
     }
 
     /** Returns the engine that generates the answer, where it is another one. */
-    public Optional<FakeEngine> answerEngine() {
-        return answerEngine;
+    public Optional<FakeEngine> decodeEngine() {
+        return decodeEngine;
     }
 
     double weight() {
@@ -68,30 +68,30 @@
 
     void start(int cachedTokens) {
         started = true;
-        prefillLeft = Math.max(1, promptTokens - cachedTokens);
+        remainingPrefillTokens = Math.max(1, promptTokens - cachedTokens);
     }
 
-    double prefillLeft() {
-        return prefillLeft;
+    double remainingPrefillTokens() {
+        return remainingPrefillTokens;
     }
 
-    void computed(double tokens) {
-        prefillLeft -= tokens;
+    void prefilled(double tokens) {
+        remainingPrefillTokens -= tokens;
     }
 
-    boolean isComputed() {
-        return prefillLeft <= 0;
+    boolean isPrefilled() {
+        return remainingPrefillTokens <= 0;
     }
 
-    void generatedOne() {
-        generated++;
+    void tokenGenerated() {
+        generatedTokens++;
     }
 
-    boolean isGenerated() {
-        return generated >= outputTokens;
+    boolean isAnswerComplete() {
+        return generatedTokens >= outputTokens;
     }
 
     double contextTokens() {
-        return promptTokens + generated;
+        return promptTokens + generatedTokens;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineListener.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineListener.java
@@ -9,13 +9,13 @@
     void firstToken(EngineJob job);
 
     /** The whole answer is out. */
-    void finished(EngineJob job, FakeEngine engine);
+    void answerCompleted(EngineJob job, FakeEngine engine);
 
     /** The engine never started the job and will not. */
-    void notStarted(EngineJob job, FakeEngine engine);
+    void jobRejected(EngineJob job, FakeEngine engine);
 
     /** The engine was withdrawn while it worked on the job. */
-    void lost(EngineJob job, FakeEngine engine);
+    void jobLost(EngineJob job, FakeEngine engine);
 
     /** The engine's role or readiness is another. */
     void stateChanged(FakeEngine engine);
@@ -24,5 +24,5 @@
     void cacheChanged(FakeEngine engine, CacheEvent event);
 
     /** Finds an engine that can take over answers of one that changes its role. */
-    Optional<FakeEngine> takeOver(FakeEngine leaving);
+    Optional<FakeEngine> chooseHandoffTarget(FakeEngine leaving);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
@@ -10,8 +10,8 @@
 
     private final ManualTimeSource clock = new ManualTimeSource();
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::atNanoseconds).thenComparingLong(Event::number));
-    private long added;
+            new PriorityQueue<>(Comparator.comparingLong(Event::atNanoseconds).thenComparingLong(Event::sequence));
+    private long addedEvents;
 
     /** Returns the present moment in nanoseconds. */
     public long now() {
@@ -26,7 +26,7 @@
     /** Adds an event so many seconds from now. */
     public void after(double seconds, Runnable action) {
         long at = now() + Math.max(0, (long) (seconds * NANOSECONDS));
-        events.add(new Event(at, added++, action));
+        events.add(new Event(at, addedEvents++, action));
     }
 
     /** Runs every event until a moment, later ones stay. */
@@ -39,5 +39,5 @@
         }
     }
 
-    private record Event(long atNanoseconds, long number, Runnable action) {}
+    private record Event(long atNanoseconds, long sequence, Runnable action) {}
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
@@ -19,36 +19,36 @@
  * where both happen. Running answers reserve cache pieces; prefixes are cached in what is left.
  */
 public final class FakeEngine {
-    private static final int CHUNKS_WHEN_ALONE = 4;
-    private static final double TAKE_OVER_TOKENS = 8;
+    private static final int CHUNKS_WHEN_NOT_DECODING = 4;
+    private static final double EXTRA_HANDOFF_TOKENS = 8;
 
     private final String name;
     private final String dataCentre;
     private final EngineParameters parameters;
     private final EventLoop loop;
     private final EngineListener listener;
-    private final PrefixMemory prefixes = new PrefixMemory();
-    private final PriorityQueue<QueuedJob> prompts = new PriorityQueue<>(
+    private final PrefixCache prefixCache = new PrefixCache();
+    private final PriorityQueue<QueuedJob> prefillQueue = new PriorityQueue<>(
             Comparator.comparing((QueuedJob prompt) -> !prompt.job().started())
                     .thenComparing(Comparator.comparingDouble(
                                     (QueuedJob prompt) -> prompt.job().weight())
                             .reversed())
-                    .thenComparingLong(QueuedJob::number));
-    private final PriorityQueue<QueuedJob> handedOver = new PriorityQueue<>(
+                    .thenComparingLong(QueuedJob::sequence));
+    private final PriorityQueue<QueuedJob> handoffQueue = new PriorityQueue<>(
             Comparator.comparingDouble((QueuedJob answer) -> answer.job().weight())
                     .reversed()
-                    .thenComparingLong(QueuedJob::number));
-    private final Set<EngineJob> expected = new HashSet<>();
+                    .thenComparingLong(QueuedJob::sequence));
+    private final Set<EngineJob> expectedHandoffs = new HashSet<>();
     private final List<EngineJob> running = new ArrayList<>();
     private EngineRole role;
     private EngineRole nextRole;
     private EngineState state = EngineState.READY;
     private boolean iterating;
-    private long epoch;
-    private long queued;
-    private long reports;
-    private int piecesInUse;
-    private double awaySince;
+    private long incarnation;
+    private long nextSequence;
+    private long reportCount;
+    private int reservedPieces;
+    private double roleChangeStartedAt;
     private double awaySeconds;
 
     public FakeEngine(
@@ -70,39 +70,39 @@
     /** Takes a request whose prompt is to be computed here. */
     public void submit(EngineJob job) {
         if (state != EngineState.READY) {
-            listener.notStarted(job, this);
+            listener.jobRejected(job, this);
             return;
         }
-        prompts.add(new QueuedJob(job, queued++));
-        iterate();
+        prefillQueue.add(new QueuedJob(job, nextSequence++));
+        startIteration();
     }
 
     /** Notes that the answer of a prompt that is computed elsewhere will be generated here. */
-    public void expect(EngineJob job) {
-        expected.add(job);
+    public void expectHandoff(EngineJob job) {
+        expectedHandoffs.add(job);
     }
 
     /** Notes that an expected answer will not come. */
-    public void forget(EngineJob job) {
-        expected.remove(job);
+    public void cancelExpectedHandoff(EngineJob job) {
+        expectedHandoffs.remove(job);
     }
 
     /** Takes over the cache of a computed prompt, or of an answer that was begun elsewhere. */
-    public void handOver(EngineJob job) {
-        expected.remove(job);
+    public void receiveHandoff(EngineJob job) {
+        expectedHandoffs.remove(job);
         if (state == EngineState.WITHDRAWN) {
-            listener.lost(job, this);
+            listener.jobLost(job, this);
             return;
         }
         if (state == EngineState.READY && role != EngineRole.PREFILL) {
-            handedOver.add(new QueuedJob(job, queued++));
-            iterate();
+            handoffQueue.add(new QueuedJob(job, nextSequence++));
+            startIteration();
             return;
         }
         double seconds = parameters.speed().handOverSeconds(job.contextTokens());
-        FakeEngine other = listener.takeOver(this).orElse(this);
-        other.expect(job);
-        loop.after(seconds, () -> other.handOver(job));
+        FakeEngine target = listener.chooseHandoffTarget(this).orElse(this);
+        target.expectHandoff(job);
+        loop.after(seconds, () -> target.receiveHandoff(job));
     }
 
     /** Orders a role change: what waits is given back, what runs is handed over or ended, then the engine is away. */
@@ -112,38 +112,38 @@
         }
         nextRole = newRole;
         state = EngineState.DRAINING;
-        awaySince = loop.nowSeconds();
+        roleChangeStartedAt = loop.nowSeconds();
         listener.stateChanged(this);
         List<QueuedJob> waiting =
-                prompts.stream().filter(prompt -> !prompt.job().started()).toList();
-        prompts.removeAll(waiting);
-        waiting.forEach(prompt -> listener.notStarted(prompt.job(), this));
-        handAnswersOver();
-        leaveIfEmpty();
+                prefillQueue.stream().filter(prompt -> !prompt.job().started()).toList();
+        prefillQueue.removeAll(waiting);
+        waiting.forEach(prompt -> listener.jobRejected(prompt.job(), this));
+        handOffAnswers();
+        switchRoleIfEmpty();
     }
 
     /** Takes the engine away at once; everything on it is lost. */
     public void withdraw() {
-        epoch++;
+        incarnation++;
         iterating = false;
         if (state == EngineState.DRAINING || state == EngineState.AWAY) {
-            awaySeconds += loop.nowSeconds() - awaySince;
+            awaySeconds += loop.nowSeconds() - roleChangeStartedAt;
         }
         state = EngineState.WITHDRAWN;
         List<EngineJob> lost = new ArrayList<>(running);
-        handedOver.forEach(answer -> lost.add(answer.job()));
-        prompts.forEach(prompt -> lost.add(prompt.job()));
+        handoffQueue.forEach(answer -> lost.add(answer.job()));
+        prefillQueue.forEach(prompt -> lost.add(prompt.job()));
         running.clear();
-        handedOver.clear();
-        prompts.clear();
-        piecesInUse = 0;
-        prefixes.clear();
+        handoffQueue.clear();
+        prefillQueue.clear();
+        reservedPieces = 0;
+        prefixCache.clear();
         listener.stateChanged(this);
-        lost.forEach(job -> listener.lost(job, this));
+        lost.forEach(job -> listener.jobLost(job, this));
     }
 
     /** Brings a withdrawn engine back with the role it was last given. */
-    public void comeBack() {
+    public void restore() {
         if (state == EngineState.WITHDRAWN) {
             role = nextRole;
             state = EngineState.READY;
@@ -155,17 +155,17 @@
     /** Returns a load report of this moment. */
     public EngineLoad load() {
         double prefillTokens = 0;
-        int prompting = 0;
-        for (QueuedJob prompt : prompts) {
-            prefillTokens += prompt.job().prefillLeft();
-            prompting += prompt.job().answerEngine().isEmpty() ? 1 : 0;
+        int answersToFollow = 0;
+        for (QueuedJob prompt : prefillQueue) {
+            prefillTokens += prompt.job().remainingPrefillTokens();
+            answersToFollow += prompt.job().decodeEngine().isEmpty() ? 1 : 0;
         }
         return new EngineLoad(
-                reports++,
+                reportCount++,
                 (long) prefillTokens,
-                runningSequences() + prompting,
-                parameters.mostSequences(),
-                Math.max(0, parameters.cachePieces() - piecesInUse),
+                runningSequences() + answersToFollow,
+                parameters.maxSequences(),
+                Math.max(0, parameters.cachePieces() - reservedPieces),
                 parameters.cachePieces());
     }
 
@@ -196,191 +196,194 @@
 
     /** Returns how many answers it generates or will, as far as its agent knows. */
     public int runningSequences() {
-        return running.size() + handedOver.size() + expected.size();
+        return running.size() + handoffQueue.size() + expectedHandoffs.size();
     }
 
     /** Returns since when it has been changing its role, in seconds. */
-    public double changingSince() {
-        return awaySince;
+    public double roleChangeStartedAt() {
+        return roleChangeStartedAt;
     }
 
     /** Returns the seconds it was away for role changes so far, draining included. */
     public double awaySeconds() {
         boolean changing = state == EngineState.DRAINING || state == EngineState.AWAY;
-        return awaySeconds + (changing ? loop.nowSeconds() - awaySince : 0);
+        return awaySeconds + (changing ? loop.nowSeconds() - roleChangeStartedAt : 0);
     }
 
-    private void iterate() {
+    private void startIteration() {
         if (iterating || state == EngineState.WITHDRAWN || state == EngineState.AWAY) {
             return;
         }
-        startAnswers();
-        giveBackLate();
-        double chunk = 0;
+        startHandoffs();
+        rejectLateJobs();
+        double chunkTokens = 0;
         List<PromptChunk> chunks = new ArrayList<>();
-        double most = running.isEmpty()
-                ? CHUNKS_WHEN_ALONE * parameters.speed().chunkTokens()
+        double maxTokens = running.isEmpty()
+                ? CHUNKS_WHEN_NOT_DECODING * parameters.speed().chunkTokens()
                 : parameters.speed().chunkTokens();
         List<QueuedJob> taken = new ArrayList<>();
-        while (chunk < most && !prompts.isEmpty() && canStart(prompts.peek().job())) {
-            QueuedJob prompt = prompts.poll();
-            start(prompt.job());
-            double tokens = Math.min(prompt.job().prefillLeft(), most - chunk);
+        while (chunkTokens < maxTokens
+                && !prefillQueue.isEmpty()
+                && canStart(prefillQueue.peek().job())) {
+            QueuedJob prompt = prefillQueue.poll();
+            startPrefill(prompt.job());
+            double tokens = Math.min(prompt.job().remainingPrefillTokens(), maxTokens - chunkTokens);
             chunks.add(new PromptChunk(prompt.job(), tokens));
-            chunk += tokens;
+            chunkTokens += tokens;
             taken.add(prompt);
         }
-        prompts.addAll(taken);
+        prefillQueue.addAll(taken);
         if (chunks.isEmpty() && running.isEmpty()) {
             return;
         }
         iterating = true;
-        long startedIn = epoch;
-        loop.after(iterationSeconds(chunk), () -> endIteration(startedIn, chunks));
+        long startIncarnation = incarnation;
+        loop.after(iterationSeconds(chunkTokens), () -> endIteration(startIncarnation, chunks));
     }
 
     /** The agent beside the engine looks at the deadline a last time before a request starts. */
-    private void giveBackLate() {
-        List<QueuedJob> late = prompts.stream()
+    private void rejectLateJobs() {
+        List<QueuedJob> late = prefillQueue.stream()
                 .filter(prompt -> prompt.job().isTooLate(loop.nowSeconds()))
                 .toList();
-        prompts.removeAll(late);
-        late.forEach(prompt -> listener.notStarted(prompt.job(), this));
+        prefillQueue.removeAll(late);
+        late.forEach(prompt -> listener.jobRejected(prompt.job(), this));
     }
 
-    private double iterationSeconds(double chunk) {
-        double prefill = parameters.speed().prefillSeconds(chunk);
+    private double iterationSeconds(double chunkTokens) {
+        double prefillSeconds = parameters.speed().prefillSeconds(chunkTokens);
         if (running.isEmpty()) {
-            return prefill;
+            return prefillSeconds;
         }
         return parameters.speed().stepSeconds(running.size())
-                + prefill * (1 + parameters.speed().mixingSlowdown());
+                + prefillSeconds * (1 + parameters.speed().mixingSlowdown());
     }
 
-    private void endIteration(long startedIn, List<PromptChunk> chunks) {
-        if (startedIn != epoch) {
+    private void endIteration(long startIncarnation, List<PromptChunk> chunks) {
+        if (startIncarnation != incarnation) {
             return;
         }
         iterating = false;
-        List<EngineJob> ended = new ArrayList<>();
+        List<EngineJob> completed = new ArrayList<>();
         for (EngineJob job : running) {
-            job.generatedOne();
-            if (job.isGenerated()) {
-                ended.add(job);
+            job.tokenGenerated();
+            if (job.isAnswerComplete()) {
+                completed.add(job);
             }
         }
-        running.removeAll(ended);
-        ended.forEach(this::release);
+        running.removeAll(completed);
+        completed.forEach(this::releasePieces);
         for (PromptChunk chunk : chunks) {
-            chunk.job().computed(chunk.tokens());
-            if (chunk.job().isComputed()) {
-                computed(chunk.job());
+            chunk.job().prefilled(chunk.tokens());
+            if (chunk.job().isPrefilled()) {
+                prefillCompleted(chunk.job());
             }
         }
-        ended.forEach(job -> listener.finished(job, this));
+        completed.forEach(job -> listener.answerCompleted(job, this));
         if (state == EngineState.DRAINING) {
-            handAnswersOver();
-            leaveIfEmpty();
+            handOffAnswers();
+            switchRoleIfEmpty();
         }
-        iterate();
+        startIteration();
     }
 
-    private void computed(EngineJob job) {
-        prompts.removeIf(prompt -> prompt.job() == job);
-        List<Long> stored = prefixes.store(job.prefix());
+    private void prefillCompleted(EngineJob job) {
+        prefillQueue.removeIf(prompt -> prompt.job() == job);
+        List<Long> stored = prefixCache.store(job.prefix());
         if (!stored.isEmpty()) {
             listener.cacheChanged(this, new CacheEvent.Stored(stored));
         }
-        shrinkPrefixes();
+        shrinkPrefixCache();
         listener.firstToken(job);
-        if (job.answerEngine().isEmpty()) {
+        if (job.decodeEngine().isEmpty()) {
             running.add(job);
             return;
         }
-        release(job);
+        releasePieces(job);
         double seconds = parameters.speed().handOverSeconds(job.contextTokens());
-        loop.after(seconds, () -> job.answerEngine().get().handOver(job));
+        loop.after(seconds, () -> job.decodeEngine().get().receiveHandoff(job));
     }
 
     private boolean canStart(EngineJob job) {
         if (job.started()) {
             return true;
         }
-        boolean place = job.answerEngine().isPresent() || running.size() + computing() < parameters.mostSequences();
-        return place && fits(job);
+        boolean slotFree =
+                job.decodeEngine().isPresent() || running.size() + startedPrompts() < parameters.maxSequences();
+        return slotFree && fitsInCache(job);
     }
 
-    private long computing() {
-        return prompts.stream().filter(prompt -> prompt.job().started()).count();
+    private long startedPrompts() {
+        return prefillQueue.stream().filter(prompt -> prompt.job().started()).count();
     }
 
-    private boolean fits(EngineJob job) {
-        return piecesInUse == 0 || piecesInUse + job.pieces(parameters.pieceTokens()) <= parameters.cachePieces();
+    private boolean fitsInCache(EngineJob job) {
+        return reservedPieces == 0 || reservedPieces + job.pieces(parameters.pieceTokens()) <= parameters.cachePieces();
     }
 
-    private void start(EngineJob job) {
+    private void startPrefill(EngineJob job) {
         if (!job.started()) {
-            job.start(prefixes.use(job.prefix(), parameters.pieceTokens()));
-            reserve(job);
+            job.start(prefixCache.lookUp(job.prefix(), parameters.pieceTokens()));
+            reservePieces(job);
         }
     }
 
-    private void startAnswers() {
-        while (!handedOver.isEmpty()
-                && running.size() < parameters.mostSequences()
-                && fits(handedOver.peek().job())) {
-            EngineJob job = handedOver.poll().job();
-            reserve(job);
+    private void startHandoffs() {
+        while (!handoffQueue.isEmpty()
+                && running.size() < parameters.maxSequences()
+                && fitsInCache(handoffQueue.peek().job())) {
+            EngineJob job = handoffQueue.poll().job();
+            reservePieces(job);
             running.add(job);
         }
     }
 
-    private void reserve(EngineJob job) {
-        piecesInUse += job.pieces(parameters.pieceTokens());
-        shrinkPrefixes();
+    private void reservePieces(EngineJob job) {
+        reservedPieces += job.pieces(parameters.pieceTokens());
+        shrinkPrefixCache();
     }
 
-    private void release(EngineJob job) {
-        piecesInUse -= job.pieces(parameters.pieceTokens());
+    private void releasePieces(EngineJob job) {
+        reservedPieces -= job.pieces(parameters.pieceTokens());
     }
 
-    private void shrinkPrefixes() {
-        List<Long> dropped = prefixes.shrinkTo(parameters.cachePieces() - piecesInUse);
-        if (!dropped.isEmpty()) {
-            listener.cacheChanged(this, new CacheEvent.Removed(dropped));
+    private void shrinkPrefixCache() {
+        List<Long> evicted = prefixCache.shrinkTo(parameters.cachePieces() - reservedPieces);
+        if (!evicted.isEmpty()) {
+            listener.cacheChanged(this, new CacheEvent.Removed(evicted));
         }
     }
 
     /** Exports the running answers to an engine that can take them; without one they end here. */
-    private void handAnswersOver() {
+    private void handOffAnswers() {
         if (iterating) {
             return;
         }
-        List<EngineJob> leaving = new ArrayList<>(running);
-        handedOver.forEach(answer -> leaving.add(answer.job()));
-        for (EngineJob job : leaving) {
-            listener.takeOver(this).ifPresent(other -> {
+        List<EngineJob> answers = new ArrayList<>(running);
+        handoffQueue.forEach(answer -> answers.add(answer.job()));
+        for (EngineJob job : answers) {
+            listener.chooseHandoffTarget(this).ifPresent(target -> {
                 if (running.remove(job)) {
-                    release(job);
+                    releasePieces(job);
                 }
-                handedOver.removeIf(answer -> answer.job() == job);
-                other.expect(job);
-                double tokens = job.contextTokens() + TAKE_OVER_TOKENS;
-                loop.after(parameters.speed().handOverSeconds(tokens), () -> other.handOver(job));
+                handoffQueue.removeIf(answer -> answer.job() == job);
+                target.expectHandoff(job);
+                double tokens = job.contextTokens() + EXTRA_HANDOFF_TOKENS;
+                loop.after(parameters.speed().handOverSeconds(tokens), () -> target.receiveHandoff(job));
             });
         }
     }
 
-    private void leaveIfEmpty() {
-        if (iterating || !running.isEmpty() || !handedOver.isEmpty() || !prompts.isEmpty()) {
+    private void switchRoleIfEmpty() {
+        if (iterating || !running.isEmpty() || !handoffQueue.isEmpty() || !prefillQueue.isEmpty()) {
             return;
         }
         state = EngineState.AWAY;
-        long startedIn = epoch;
-        prefixes.clear();
+        long startIncarnation = incarnation;
+        prefixCache.clear();
         loop.after(parameters.roleChangeSeconds(), () -> {
-            if (startedIn == epoch) {
-                awaySeconds += loop.nowSeconds() - awaySince;
+            if (startIncarnation == incarnation) {
+                awaySeconds += loop.nowSeconds() - roleChangeStartedAt;
                 role = nextRole;
                 state = EngineState.READY;
                 listener.cacheChanged(this, new CacheEvent.Cleared());
@@ -389,7 +392,7 @@
         });
     }
 
-    private record QueuedJob(EngineJob job, long number) {}
+    private record QueuedJob(EngineJob job, long sequence) {}
 
     private record PromptChunk(EngineJob job, double tokens) {}
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/PrefixMemory.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/PrefixCache.java
@@ -6,16 +6,16 @@
 import org.aspenmoor.internal.routing.PrefixChain;
 
 /** The cached prefixes of one engine, in pieces, the least recently used dropped first. */
-final class PrefixMemory {
+final class PrefixCache {
     private final LinkedHashMap<Long, Boolean> pieces = new LinkedHashMap<>(16, 0.75F, true);
 
     /** Returns how many tokens of the prefix are held, and marks them as used. */
-    int use(PrefixChain prefix, int pieceTokens) {
-        int held = 0;
-        while (held < prefix.length() && pieces.get(prefix.hash(held)) != null) {
-            held++;
+    int lookUp(PrefixChain prefix, int pieceTokens) {
+        int cachedPieces = 0;
+        while (cachedPieces < prefix.length() && pieces.get(prefix.hash(cachedPieces)) != null) {
+            cachedPieces++;
         }
-        return held == 0 ? 0 : prefix.tokensCovered(held, pieceTokens);
+        return cachedPieces == 0 ? 0 : prefix.tokensCovered(cachedPieces, pieceTokens);
     }
 
     /** Stores a prefix; returns the hashes that were not held before. */
@@ -30,12 +30,12 @@
     }
 
     /** Drops the least recently used pieces until no more than so many are left; returns what was dropped. */
-    List<Long> shrinkTo(int most) {
-        List<Long> dropped = new ArrayList<>();
-        while (pieces.size() > Math.max(0, most)) {
-            dropped.add(pieces.pollFirstEntry().getKey());
+    List<Long> shrinkTo(int maxPieces) {
+        List<Long> evicted = new ArrayList<>();
+        while (pieces.size() > Math.max(0, maxPieces)) {
+            evicted.add(pieces.pollFirstEntry().getKey());
         }
-        return dropped;
+        return evicted;
     }
 
     int size() {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/BuiltInFleets.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/BuiltInFleets.java
@@ -25,7 +25,7 @@
                 60,
                 engines("almaty", 4),
                 3,
-                EngineParameters.usual());
+                EngineParameters.defaults());
     }
 
     /** Returns Hojas Andinas's 8 drafting engines in 3 data centres; a role change is cheap. */
@@ -39,14 +39,14 @@
                 2,
                 engines("lima", 3),
                 3,
-                EngineParameters.usual());
+                EngineParameters.defaults());
     }
 
-    private static BenchKind kind(
+    private static TraceKind kind(
             String name, double weight, int deadlineSeconds, int longestOutput, int prompt, int output) {
         RequestKind declaration =
                 new RequestKind(name, ANY, weight, Duration.ofSeconds(deadlineSeconds), true, longestOutput);
-        return new BenchKind(declaration, prompt, output);
+        return new TraceKind(declaration, prompt, output);
     }
 
     private static List<FleetEngine> engines(String region, int dataCentres) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/Fleet.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/Fleet.java
@@ -6,7 +6,7 @@
 /**
  * A fleet and the team's document, as far as the bench needs it.
  *
- * @param house its name
+ * @param name its name
  * @param kinds the kinds: the one with long prompts, the one with long answers, then others
  * @param roleChangePrice the team's price of one change
  * @param engines the engines
@@ -14,8 +14,8 @@
  * @param parameters how the engines behave
  */
 public record Fleet(
-        String house,
-        List<BenchKind> kinds,
+        String name,
+        List<TraceKind> kinds,
         double roleChangePrice,
         List<FleetEngine> engines,
         int entries,
@@ -26,16 +26,16 @@
     }
 
     /** Returns how many requests of one kind a second the fleet could serve if every engine had the ideal role. */
-    public double mostRequestsPerSecond(BenchKind kind) {
+    public double maxRequestsPerSecond(TraceKind kind) {
         EngineSpeed speed = parameters.speed();
         double prefill = speed.prefillSeconds(kind.typicalPromptTokens());
         double decode =
-                kind.typicalOutputTokens() * speed.stepSeconds(parameters.mostSequences()) / parameters.mostSequences();
+                kind.typicalOutputTokens() * speed.stepSeconds(parameters.maxSequences()) / parameters.maxSequences();
         return engines.size() / (prefill + decode);
     }
 
     /** Returns the fleet with other parameters; traces keep pressing it alike, since load is relative to them. */
-    public Fleet withParameters(EngineParameters changed) {
-        return new Fleet(house, kinds, roleChangePrice, engines, entries, changed);
+    public Fleet withParameters(EngineParameters newParameters) {
+        return new Fleet(name, kinds, roleChangePrice, engines, entries, newParameters);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
@@ -17,29 +17,29 @@
 
 /** Reads a fleet file: JSON with comments. */
 public final class FleetReader {
-    private static final double MOST = 1_000_000_000;
-    private static final int MOST_COUNT = 1_000_000;
+    private static final double MAX_VALUE = 1_000_000_000;
+    private static final int MAX_COUNT = 1_000_000;
 
     private final Findings findings = new Findings();
 
     /** Reads a file; all mistakes are reported together. */
     public Fleet read(Path file) throws AspenmoorException {
         Optional<Fleet> fleet = new LocatedJsonParser(file.toString(), findings)
-                .parseObject(text(file))
+                .parseObject(readText(file))
                 .map(object -> readFleet(new FieldReader(object, findings)));
         findings.throwIfAny(file.toString());
         return fleet.orElseThrow();
     }
 
-    private static String text(Path file) throws AspenmoorException {
+    private static String readText(Path file) throws AspenmoorException {
         try {
             return Files.readString(file);
-        } catch (IOException unreadable) {
+        } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The fleet could not be read: " + unreadable.getMessage() + ".",
+                    "The fleet could not be read: " + exception.getMessage() + ".",
                     file.toString(),
                     "Check the path, or name a house: seitkali or hojas.",
-                    unreadable);
+                    exception);
         }
     }
 
@@ -47,10 +47,10 @@
         Fleet fleet = new Fleet(
                 reader.requiredText("house"),
                 readKinds(reader),
-                reader.decimal("roleChangePrice", 0, MOST, 0),
+                reader.decimal("roleChangePrice", 0, MAX_VALUE, 0),
                 readEngines(reader),
-                reader.integer("entries", 1, MOST_COUNT, 1),
-                reader.object("parameters").map(this::readParameters).orElseGet(EngineParameters::usual));
+                reader.integer("entries", 1, MAX_COUNT, 1),
+                reader.object("parameters").map(this::readParameters).orElseGet(EngineParameters::defaults));
         reader.refuseUnknownFields();
         if (fleet.kinds().isEmpty() || fleet.engines().isEmpty()) {
             findings.add(reader.place(), "The fleet has no kinds or no engines.", "Add at least one of each.");
@@ -58,21 +58,21 @@
         return fleet;
     }
 
-    private static List<BenchKind> readKinds(FieldReader reader) {
-        List<BenchKind> kinds = new ArrayList<>();
+    private static List<TraceKind> readKinds(FieldReader reader) {
+        List<TraceKind> kinds = new ArrayList<>();
         for (FieldReader kind : reader.objects("kinds")) {
             RequestKind declaration = new RequestKind(
                     kind.requiredText("name"),
                     new KindMatch(
                             Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty()),
-                    kind.decimal("weight", 0, MOST, 1),
+                    kind.decimal("weight", 0, MAX_VALUE, 1),
                     kind.seconds("deadlineSeconds", 0.05, 3600, Duration.ofSeconds(30)),
                     true,
-                    kind.integer("longestOutputTokens", 1, MOST_COUNT, 1024));
-            kinds.add(new BenchKind(
+                    kind.integer("longestOutputTokens", 1, MAX_COUNT, 1024));
+            kinds.add(new TraceKind(
                     declaration,
-                    kind.integer("typicalPromptTokens", 1, MOST_COUNT, 500),
-                    kind.integer("typicalOutputTokens", 1, MOST_COUNT, 200)));
+                    kind.integer("typicalPromptTokens", 1, MAX_COUNT, 500),
+                    kind.integer("typicalOutputTokens", 1, MAX_COUNT, 200)));
             kind.refuseUnknownFields();
         }
         return kinds;
@@ -88,24 +88,25 @@
     }
 
     private EngineParameters readParameters(FieldReader reader) {
-        EngineParameters usual = EngineParameters.usual();
-        EngineSpeed speed = usual.speed();
+        EngineParameters defaults = EngineParameters.defaults();
+        EngineSpeed speed = defaults.speed();
         EngineParameters parameters = new EngineParameters(
                 new EngineSpeed(
-                        reader.decimal("prefillTokensPerSecond", 1, MOST, speed.prefillTokensPerSecond()),
-                        reader.decimal("decodeStepSeconds", 0, MOST, speed.decodeStepSeconds()),
-                        reader.decimal("decodeStepSecondsPerSequence", 0, MOST, speed.decodeStepSecondsPerSequence()),
-                        reader.decimal("mixingSlowdown", 0, MOST, speed.mixingSlowdown()),
-                        reader.integer("chunkTokens", 1, MOST_COUNT, speed.chunkTokens()),
-                        reader.decimal("transferSeconds", 0, MOST, speed.transferSeconds()),
-                        reader.decimal("transferTokensPerSecond", 1, MOST, speed.transferTokensPerSecond())),
-                reader.integer("mostSequences", 1, MOST_COUNT, usual.mostSequences()),
-                reader.integer("cachePieces", 1, MOST_COUNT, usual.cachePieces()),
-                reader.integer("pieceTokens", 1, MOST_COUNT, usual.pieceTokens()),
-                reader.decimal("roleChangeSeconds", 0, MOST, usual.roleChangeSeconds()),
-                reader.decimal("reportIntervalSeconds", 0.01, MOST, usual.reportIntervalSeconds()),
-                reader.decimal("reportLagSeconds", 0, MOST, usual.reportLagSeconds()),
-                reader.decimal("cacheEventLossShare", 0, 1, usual.cacheEventLossShare()));
+                        reader.decimal("prefillTokensPerSecond", 1, MAX_VALUE, speed.prefillTokensPerSecond()),
+                        reader.decimal("decodeStepSeconds", 0, MAX_VALUE, speed.decodeStepSeconds()),
+                        reader.decimal(
+                                "decodeStepSecondsPerSequence", 0, MAX_VALUE, speed.decodeStepSecondsPerSequence()),
+                        reader.decimal("mixingSlowdown", 0, MAX_VALUE, speed.mixingSlowdown()),
+                        reader.integer("chunkTokens", 1, MAX_COUNT, speed.chunkTokens()),
+                        reader.decimal("transferSeconds", 0, MAX_VALUE, speed.transferSeconds()),
+                        reader.decimal("transferTokensPerSecond", 1, MAX_VALUE, speed.transferTokensPerSecond())),
+                reader.integer("mostSequences", 1, MAX_COUNT, defaults.maxSequences()),
+                reader.integer("cachePieces", 1, MAX_COUNT, defaults.cachePieces()),
+                reader.integer("pieceTokens", 1, MAX_COUNT, defaults.pieceTokens()),
+                reader.decimal("roleChangeSeconds", 0, MAX_VALUE, defaults.roleChangeSeconds()),
+                reader.decimal("reportIntervalSeconds", 0.01, MAX_VALUE, defaults.reportIntervalSeconds()),
+                reader.decimal("reportLagSeconds", 0, MAX_VALUE, defaults.reportLagSeconds()),
+                reader.decimal("cacheEventLossShare", 0, 1, defaults.cacheEventLossFraction()));
         reader.refuseUnknownFields();
         return parameters;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/BenchKind.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/TraceKind.java
@@ -9,4 +9,4 @@
  * @param typicalPromptTokens a typical prompt
  * @param typicalOutputTokens a typical answer
  */
-public record BenchKind(RequestKind declaration, int typicalPromptTokens, int typicalOutputTokens) {}
+public record TraceKind(RequestKind declaration, int typicalPromptTokens, int typicalOutputTokens) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
@@ -34,7 +34,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class PlanningBenchmark {
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOSECONDS_PER_SECOND = 1_000_000_000L;
     private static final int COUNTED_SECONDS = 180;
     private static final int SWING_SECONDS = 30;
     private static final int KINDS = 10;
@@ -49,7 +49,7 @@
 
     /** Counts three minutes, planning each second. */
     @Setup
-    public void fill() {
+    public void setUp() {
         planner = new RolePlanner(PlannerSettings.usual());
         List<PlannedEngine> planned = new ArrayList<>();
         for (int number = 0; number < engines; number++) {
@@ -63,7 +63,7 @@
         input = new PlanningInput(planned, kinds, new RoleChangeCosts(3, 0.3, 5));
         for (int second = 0; second < COUNTED_SECONDS; second++) {
             planner.observe(counts(second));
-            now = (second + 1) * SECOND + SECOND / 2;
+            now = (second + 1) * NANOSECONDS_PER_SECOND + NANOSECONDS_PER_SECOND / 2;
             planner.plan(input, now);
         }
     }
@@ -75,14 +75,15 @@
     }
 
     private WorkCounts counts(int second) {
-        boolean prompts = second / SWING_SECONDS % 2 == 0;
+        boolean promptPhase = second / SWING_SECONDS % 2 == 0;
         List<KindCount> counts = new ArrayList<>();
         for (int kind = 0; kind < KINDS; kind++) {
             boolean promptHeavy = kind % 2 == 0;
-            int requests = engines / 4 * (promptHeavy == prompts ? 4 : 1) / KINDS + 1;
+            int requests = engines / 4 * (promptHeavy == promptPhase ? 4 : 1) / KINDS + 1;
             counts.add(new KindCount(
                     "kind-" + kind, requests, requests * (promptHeavy ? 3_000L : 500L), requests * 200L, 0));
         }
-        return new WorkCounts("entry", second, second * SECOND, (second + 1) * SECOND, counts);
+        return new WorkCounts(
+                "entry", second, second * NANOSECONDS_PER_SECOND, (second + 1) * NANOSECONDS_PER_SECOND, counts);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
@@ -49,7 +49,7 @@
 
     /** Reports every engine and stores prefixes on some. */
     @Setup
-    public void fill() {
+    public void setUp() {
         random = new SplittableRandom(5);
         router = new Router(RouterSettings.usual("one"), random.split());
         for (int number = 0; number < engines; number++) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/AimReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/ComparisonReport.java
@@ -10,12 +10,12 @@
 import org.aspenmoor.internal.bench.policy.run.RunResult;
 
 /** Prints how aspenmoor compares with the other policies, seed by seed: mean, least and greatest ratio. */
-public final class AimReport {
-    private static final String OWN = "aspenmoor";
+public final class ComparisonReport {
+    private static final String ASPENMOOR = "aspenmoor";
 
     private final PrintStream out;
 
-    public AimReport(PrintStream out) {
+    public ComparisonReport(PrintStream out) {
         this.out = out;
     }
 
@@ -31,43 +31,44 @@
                 "changes own:clv:thr",
                 "p95/least-load");
         Set<String> traces = new LinkedHashSet<>();
-        results.forEach(result -> traces.add(result.house() + " " + result.trace()));
+        results.forEach(result -> traces.add(result.fleet() + " " + result.trace()));
         for (String trace : traces) {
-            List<NamedResult> own = results.stream()
-                    .filter(result -> trace.equals(result.house() + " " + result.trace()))
+            List<NamedResult> traceResults = results.stream()
+                    .filter(result -> trace.equals(result.fleet() + " " + result.trace()))
                     .toList();
             out.printf(
                     "%-28s %-22s %-22s %-22s %-22s %-18s %-16s%n",
                     trace,
-                    goodput(own, "clairvoyant"),
-                    goodput(own, "best-fixed-pair"),
-                    goodput(own, "best-fixed"),
-                    goodput(own, "threshold"),
-                    changes(own, OWN) + ":" + changes(own, "clairvoyant") + ":" + changes(own, "threshold"),
-                    firstToken(own));
+                    goodputRatios(traceResults, "clairvoyant"),
+                    goodputRatios(traceResults, "best-fixed-pair"),
+                    goodputRatios(traceResults, "best-fixed"),
+                    goodputRatios(traceResults, "threshold"),
+                    meanRoleChanges(traceResults, ASPENMOOR) + ":" + meanRoleChanges(traceResults, "clairvoyant") + ":"
+                            + meanRoleChanges(traceResults, "threshold"),
+                    firstTokenRatios(traceResults));
         }
     }
 
-    private static String goodput(List<NamedResult> results, String other) {
+    private static String goodputRatios(List<NamedResult> results, String other) {
         return ratios(results, other, true);
     }
 
-    private static String firstToken(List<NamedResult> results) {
+    private static String firstTokenRatios(List<NamedResult> results) {
         return ratios(results, "least-reported-load", false);
     }
 
     private static String ratios(List<NamedResult> results, String other, boolean goodput) {
         List<Double> ratios = new ArrayList<>();
         for (NamedResult result : results) {
-            if (!result.result().policy().equals(OWN)) {
+            if (!result.result().policy().equals(ASPENMOOR)) {
                 continue;
             }
-            Optional<RunResult> same = results.stream()
+            Optional<RunResult> otherRun = results.stream()
                     .filter(candidate -> candidate.seed() == result.seed())
                     .map(NamedResult::result)
                     .filter(run -> run.policy().equals(other))
                     .findFirst();
-            same.ifPresent(run -> ratios.add(
+            otherRun.ifPresent(run -> ratios.add(
                     goodput
                             ? result.result().weightedGoodput() / run.weightedGoodput()
                             : result.result().firstTokenP95Seconds() / run.firstTokenP95Seconds()));
@@ -76,12 +77,12 @@
             return "-";
         }
         double mean = ratios.stream().mapToDouble(Double::doubleValue).average().orElse(0);
-        double least = ratios.stream().mapToDouble(Double::doubleValue).min().orElse(0);
-        double most = ratios.stream().mapToDouble(Double::doubleValue).max().orElse(0);
-        return String.format(Locale.ROOT, "%.3f (%.3f..%.3f)", mean, least, most);
+        double min = ratios.stream().mapToDouble(Double::doubleValue).min().orElse(0);
+        double max = ratios.stream().mapToDouble(Double::doubleValue).max().orElse(0);
+        return String.format(Locale.ROOT, "%.3f (%.3f..%.3f)", mean, min, max);
     }
 
-    private static String changes(List<NamedResult> results, String policy) {
+    private static String meanRoleChanges(List<NamedResult> results, String policy) {
         double mean = results.stream()
                 .map(NamedResult::result)
                 .filter(run -> run.policy().equals(policy))
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/JsonReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/JsonReport.java
@@ -22,18 +22,18 @@
         }
         try {
             Files.writeString(file, lines);
-        } catch (IOException unwritable) {
+        } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The results could not be written: " + unwritable.getMessage() + ".",
+                    "The results could not be written: " + exception.getMessage() + ".",
                     file.toString(),
                     "Name a file in a folder that exists and can be written.",
-                    unwritable);
+                    exception);
         }
     }
 
     private static ObjectNode line(NamedResult named) {
         ObjectNode line = MAPPER.createObjectNode();
-        line.put("house", named.house());
+        line.put("house", named.fleet());
         line.put("trace", named.trace());
         line.put("seed", named.seed());
         line.put("policy", named.result().policy());
@@ -46,10 +46,10 @@
         line.put("roleChanges", named.result().roleChanges());
         line.put("engineSecondsAway", named.result().engineSecondsAway());
         line.put("firstTokenP95Seconds", named.result().firstTokenP95Seconds());
-        line.put("heaviestInTimeShare", named.result().heaviestInTimeShare());
-        line.put("slowestRefusalShare", named.result().slowestRefusalShare());
+        line.put("heaviestInTimeShare", named.result().heaviestInTimeFraction());
+        line.put("slowestRefusalShare", named.result().slowestRefusalFraction());
         ObjectNode teams = line.putObject("teamInTimeShares");
-        named.result().teamInTimeShares().forEach(team -> teams.put(team.team(), team.inTimeShare()));
+        named.result().teamResults().forEach(team -> teams.put(team.team(), team.inTimeFraction()));
         return line;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TextReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TextReport.java
@@ -21,12 +21,12 @@
     /** Prints all results. */
     public void print(List<NamedResult> results) {
         Set<String> traces = new LinkedHashSet<>();
-        results.forEach(result -> traces.add(result.house() + " " + result.trace()));
+        results.forEach(result -> traces.add(result.fleet() + " " + result.trace()));
         for (String trace : traces) {
             printTrace(
                     trace,
                     results.stream()
-                            .filter(result -> trace.equals(result.house() + " " + result.trace()))
+                            .filter(result -> trace.equals(result.fleet() + " " + result.trace()))
                             .toList());
         }
     }
@@ -55,15 +55,15 @@
             out.printf(
                     FORMAT,
                     policy,
-                    spread(runs, run -> run.weightedGoodput() / run.offeredWeight()),
+                    meanAndRange(runs, run -> run.weightedGoodput() / run.offeredWeight()),
                     mean(runs, RunResult::completed, 0),
                     mean(runs, RunResult::refused, 0),
                     mean(runs, RunResult::late, 0),
                     mean(runs, RunResult::roleChanges, 1),
                     mean(runs, RunResult::engineSecondsAway, 0),
                     mean(runs, RunResult::firstTokenP95Seconds, 3),
-                    mean(runs, RunResult::heaviestInTimeShare, 3),
-                    mean(runs, RunResult::slowestRefusalShare, 2));
+                    mean(runs, RunResult::heaviestInTimeFraction, 3),
+                    mean(runs, RunResult::slowestRefusalFraction, 2));
         }
     }
 
@@ -72,9 +72,9 @@
         return String.format(Locale.ROOT, "%." + digits + "f", mean);
     }
 
-    private static String spread(List<RunResult> runs, ToDoubleFunction<RunResult> measure) {
-        double least = runs.stream().mapToDouble(measure).min().orElse(0);
-        double most = runs.stream().mapToDouble(measure).max().orElse(0);
-        return String.format(Locale.ROOT, "%s (%.3f..%.3f)", mean(runs, measure, 3), least, most);
+    private static String meanAndRange(List<RunResult> runs, ToDoubleFunction<RunResult> measure) {
+        double min = runs.stream().mapToDouble(measure).min().orElse(0);
+        double max = runs.stream().mapToDouble(measure).max().orElse(0);
+        return String.format(Locale.ROOT, "%s (%.3f..%.3f)", mean(runs, measure, 3), min, max);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
@@ -15,7 +15,7 @@
         List<TimelinePoint> first = results.getFirst().result().timeline();
         TimeCharts<TimelinePoint> charts = new TimeCharts<TimelinePoint>(TimelinePoint::seconds)
                 .chart("share of prefill in arriving work")
-                .line("prefill share", first, TimelinePoint::promptShare)
+                .line("prefill share", first, TimelinePoint::prefillFraction)
                 .chart("ready engines, " + results.getFirst().result().policy())
                 .line("prefill", first, TimelinePoint::prefillEngines)
                 .line("decode", first, TimelinePoint::decodeEngines)
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
@@ -46,7 +46,7 @@
     FleetLoad load() {
         double prefillTokens = 0;
         int prefillEngines = 0;
-        double occupied = 0;
+        double occupancySum = 0;
         int decodeEngines = 0;
         for (FakeEngine engine : engines) {
             if (engine.state() != EngineState.READY) {
@@ -58,19 +58,19 @@
                 prefillEngines++;
             }
             if (engine.role() != EngineRole.PREFILL) {
-                occupied += (double) load.runningSequences() / load.mostSequences();
+                occupancySum += (double) load.runningSequences() / load.mostSequences();
                 decodeEngines++;
             }
         }
         double prefillSeconds = fleet.parameters().speed().prefillSeconds(prefillTokens);
-        return new FleetLoad(prefillSeconds / Math.max(1, prefillEngines), occupied / Math.max(1, decodeEngines));
+        return new FleetLoad(prefillSeconds / Math.max(1, prefillEngines), occupancySum / Math.max(1, decodeEngines));
     }
 
     private static EngineAvailability availability(FakeEngine engine) {
         return switch (engine.state()) {
             case READY -> new EngineAvailability.Available();
             case WITHDRAWN -> new EngineAvailability.Withdrawn();
-            case DRAINING, AWAY -> new EngineAvailability.Changing((long) (engine.changingSince() * NANOSECONDS));
+            case DRAINING, AWAY -> new EngineAvailability.Changing((long) (engine.roleChangeStartedAt() * NANOSECONDS));
         };
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/PolicyRun.java
@@ -15,9 +15,9 @@
 import org.aspenmoor.internal.bench.policy.engine.EngineState;
 import org.aspenmoor.internal.bench.policy.engine.EventLoop;
 import org.aspenmoor.internal.bench.policy.engine.FakeEngine;
-import org.aspenmoor.internal.bench.policy.fleet.BenchKind;
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
 import org.aspenmoor.internal.bench.policy.fleet.FleetEngine;
+import org.aspenmoor.internal.bench.policy.fleet.TraceKind;
 import org.aspenmoor.internal.bench.policy.trace.Trace;
 import org.aspenmoor.internal.bench.policy.trace.TraceIncident;
 import org.aspenmoor.internal.bench.policy.trace.TraceRequest;
@@ -29,33 +29,33 @@
 import org.aspenmoor.internal.routing.CacheEvent;
 
 /** One run: a trace on a fleet under a policy. */
-public final class BenchRun implements EngineListener {
+public final class PolicyRun implements EngineListener {
     private static final double PLAN_INTERVAL_SECONDS = 1;
     private static final double PLAN_OFFSET_SECONDS = 0.3;
     private static final double COUNTS_LAG_SECONDS = 0.1;
     private static final double CACHE_EVENT_LAG_SECONDS = 0.2;
-    private static final double MOST_DRAIN_SECONDS = 120;
+    private static final double MAX_DRAIN_SECONDS = 120;
 
     private final Fleet fleet;
     private final Trace trace;
     private final Policy policy;
     private final RandomGenerator random;
     private final EventLoop loop = new EventLoop();
-    private final Tally tally;
+    private final RunCounters counters;
     private final Timeline timeline;
     private final Map<String, FakeEngine> engines = new LinkedHashMap<>();
     private final Map<String, Long> cacheSequences = new HashMap<>();
-    private final Map<String, BenchKind> kinds = new HashMap<>();
-    private final Map<RequestId, BenchRequest> requests = new HashMap<>();
-    private final List<BenchEntry> entries = new ArrayList<>();
+    private final Map<String, TraceKind> kinds = new HashMap<>();
+    private final Map<RequestId, SimulatedRequest> requests = new HashMap<>();
+    private final List<SimulatedEntry> entries = new ArrayList<>();
     private double reportLagSeconds;
 
-    public BenchRun(Fleet fleet, Trace trace, Policy policy, RandomGenerator random) {
+    public PolicyRun(Fleet fleet, Trace trace, Policy policy, RandomGenerator random) {
         this.fleet = fleet;
         this.trace = trace;
         this.policy = policy;
         this.random = random;
-        this.tally = new Tally(fleet);
+        this.counters = new RunCounters(fleet);
         this.timeline = new Timeline(fleet);
         this.reportLagSeconds = fleet.parameters().reportLagSeconds();
         fleet.kinds().forEach(kind -> kinds.put(kind.declaration().name(), kind));
@@ -63,45 +63,48 @@
 
     /** Runs until the last answer is out. */
     public RunResult run() {
-        makeEngines();
-        makeEntries();
+        createEngines();
+        createEntries();
         trace.requests().forEach(request -> loop.after(request.arrivalSeconds(), () -> arrive(request)));
-        trace.incidents().forEach(incident -> loop.after(incident.atSeconds(), () -> happen(incident)));
+        trace.incidents().forEach(incident -> loop.after(incident.atSeconds(), () -> applyIncident(incident)));
         engines.values().forEach(engine -> {
             report(engine, 0);
-            loop.after(random.nextDouble() * fleet.parameters().reportIntervalSeconds(), () -> reportOften(engine));
+            loop.after(
+                    random.nextDouble() * fleet.parameters().reportIntervalSeconds(), () -> reportPeriodically(engine));
         });
         loop.after(PLAN_INTERVAL_SECONDS, this::sendCounts);
         loop.after(PLAN_OFFSET_SECONDS, this::planRoles);
-        loop.after(0, this::draw);
+        loop.after(0, this::recordTimeline);
         loop.runUntil(trace.lengthSeconds());
-        for (double drained = 1; drained <= MOST_DRAIN_SECONDS && tally.open() > 0; drained++) {
-            loop.runUntil(trace.lengthSeconds() + drained);
+        for (double drainSeconds = 1;
+                drainSeconds <= MAX_DRAIN_SECONDS && counters.openRequests() > 0;
+                drainSeconds++) {
+            loop.runUntil(trace.lengthSeconds() + drainSeconds);
         }
-        double away =
+        double awaySeconds =
                 engines.values().stream().mapToDouble(FakeEngine::awaySeconds).sum();
-        return tally.result(policy.name(), away, timeline.points());
+        return counters.result(policy.name(), awaySeconds, timeline.points());
     }
 
     @Override
     public void firstToken(EngineJob job) {
-        requests.get(job.id()).firstToken(loop.nowSeconds());
-        owner(job).progressed(job);
+        requests.get(job.id()).firstTokenReceived(loop.nowSeconds());
+        entryOf(job).firstTokenReceived(job);
     }
 
     @Override
-    public void finished(EngineJob job, FakeEngine engine) {
-        owner(job).ended(job, requests.remove(job.id()), true);
+    public void answerCompleted(EngineJob job, FakeEngine engine) {
+        entryOf(job).attemptEnded(job, requests.remove(job.id()), true);
     }
 
     @Override
-    public void notStarted(EngineJob job, FakeEngine engine) {
-        owner(job).ended(job, requests.get(job.id()), false);
+    public void jobRejected(EngineJob job, FakeEngine engine) {
+        entryOf(job).attemptEnded(job, requests.get(job.id()), false);
     }
 
     @Override
-    public void lost(EngineJob job, FakeEngine engine) {
-        owner(job).ended(job, requests.get(job.id()), false);
+    public void jobLost(EngineJob job, FakeEngine engine) {
+        entryOf(job).attemptEnded(job, requests.get(job.id()), false);
     }
 
     @Override
@@ -112,30 +115,32 @@
     @Override
     public void cacheChanged(FakeEngine engine, CacheEvent event) {
         long sequence = cacheSequences.merge(engine.name(), 1L, Long::sum);
-        for (BenchEntry entry : entries) {
-            if (random.nextDouble() >= fleet.parameters().cacheEventLossShare()) {
-                loop.after(CACHE_EVENT_LAG_SECONDS, () -> entry.routing().cacheEvent(engine.name(), sequence, event));
+        for (SimulatedEntry entry : entries) {
+            if (random.nextDouble() >= fleet.parameters().cacheEventLossFraction()) {
+                loop.after(
+                        CACHE_EVENT_LAG_SECONDS,
+                        () -> entry.routing().cacheEventReceived(engine.name(), sequence, event));
             }
         }
     }
 
     @Override
-    public Optional<FakeEngine> takeOver(FakeEngine leaving) {
+    public Optional<FakeEngine> chooseHandoffTarget(FakeEngine leaving) {
         return engines.values().stream()
                 .filter(engine -> engine != leaving && engine.state() == EngineState.READY)
                 .filter(engine -> engine.role() != EngineRole.PREFILL)
                 .min(Comparator.comparingInt(FakeEngine::runningSequences));
     }
 
-    private BenchEntry owner(EngineJob job) {
+    private SimulatedEntry entryOf(EngineJob job) {
         return entries.stream()
                 .filter(entry -> entry.owns(job.id()))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private void makeEngines() {
-        RoleSplit start = policy.planning().start();
+    private void createEngines() {
+        RoleSplit start = policy.planning().initialSplit();
         int number = 0;
         for (FleetEngine engine : fleet.engines()) {
             EngineRole role = number < start.prefill()
@@ -148,56 +153,58 @@
         }
     }
 
-    private void makeEntries() {
+    private void createEntries() {
         for (int number = 0; number < fleet.entries(); number++) {
-            BenchEntry entry = new BenchEntry(
-                    "entry-" + number, fleet, loop, policy.routing().apply(number), engines, tally);
-            engines.values().forEach(engine -> entry.routing().added(engine.name(), engine.dataCentre()));
+            SimulatedEntry entry = new SimulatedEntry(
+                    "entry-" + number, fleet, loop, policy.routing().apply(number), engines, counters);
+            engines.values().forEach(engine -> entry.routing().engineAdded(engine.name(), engine.dataCentre()));
             entries.add(entry);
         }
     }
 
     private void arrive(TraceRequest request) {
-        BenchRequest arrived = new BenchRequest(
+        SimulatedRequest arrived = new SimulatedRequest(
                 RequestId.draw(random),
                 request,
                 kinds.get(request.kind()),
                 fleet.parameters().pieceTokens());
         requests.put(arrived.id(), arrived);
         timeline.arrived(request);
-        entries.get(random.nextInt(entries.size())).arrive(arrived);
+        entries.get(random.nextInt(entries.size())).requestArrived(arrived);
     }
 
-    private void happen(TraceIncident incident) {
+    private void applyIncident(TraceIncident incident) {
         List<FakeEngine> byNumber = List.copyOf(engines.values());
         switch (incident) {
             case TraceIncident.Withdrawal withdrawal ->
                 byNumber.get(withdrawal.engine()).withdraw();
-            case TraceIncident.Return back -> byNumber.get(back.engine()).comeBack();
+            case TraceIncident.Return returned ->
+                byNumber.get(returned.engine()).restore();
             case TraceIncident.ReportLag lag -> reportLagSeconds = lag.lagSeconds();
         }
     }
 
-    private void reportOften(FakeEngine engine) {
+    private void reportPeriodically(FakeEngine engine) {
         report(engine, reportLagSeconds);
-        loop.after(fleet.parameters().reportIntervalSeconds(), () -> reportOften(engine));
+        loop.after(fleet.parameters().reportIntervalSeconds(), () -> reportPeriodically(engine));
     }
 
     private void report(FakeEngine engine, double lagSeconds) {
         EngineLoad load = engine.load();
         EngineRole role = engine.role();
         boolean ready = engine.state() == EngineState.READY;
-        for (BenchEntry entry : entries) {
+        for (SimulatedEntry entry : entries) {
             loop.after(lagSeconds, () -> {
                 entry.routing()
-                        .reported(engine.name(), load, role, ready, Set.of(BenchEntry.MODEL), lagSeconds, loop.now());
-                entry.pump();
+                        .loadReported(
+                                engine.name(), load, role, ready, Set.of(SimulatedEntry.MODEL), lagSeconds, loop.now());
+                entry.dispatchQueued();
             });
         }
     }
 
     private void sendCounts() {
-        for (BenchEntry entry : entries) {
+        for (SimulatedEntry entry : entries) {
             WorkCounts counts = entry.takeCounts();
             loop.after(COUNTS_LAG_SECONDS, () -> policy.planning().observe(counts));
         }
@@ -207,7 +214,7 @@
     private void planRoles() {
         FleetView view = new FleetView(fleet, engines.values());
         for (RoleChange change : policy.planning().plan(view.input(), view.load(), loop.now())) {
-            tally.roleChanged();
+            counters.roleChanged();
             engines.get(change.engine()).changeRole(change.to());
         }
         if (loop.nowSeconds() < trace.lengthSeconds()) {
@@ -215,10 +222,10 @@
         }
     }
 
-    private void draw() {
-        timeline.next(loop.nowSeconds(), engines.values(), tally.weightedGoodput());
+    private void recordTimeline() {
+        timeline.addPoint(loop.nowSeconds(), engines.values(), counters.weightedGoodput());
         if (loop.nowSeconds() < trace.lengthSeconds()) {
-            loop.after(Timeline.INTERVAL_SECONDS, this::draw);
+            loop.after(Timeline.INTERVAL_SECONDS, this::recordTimeline);
         }
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunResult.java
@@ -15,9 +15,9 @@
  * @param roleChanges how many role changes were ordered
  * @param engineSecondsAway how long engines were away for role changes, draining included
  * @param firstTokenP95Seconds the first token's latency that 95 in 100 answers stay within
- * @param heaviestInTimeShare the share of the heaviest kind's requests answered in time
- * @param slowestRefusalShare the greatest share of its deadline that a refused request waited for its refusal
- * @param teamInTimeShares the share of each team's requests answered in time
+ * @param heaviestInTimeFraction the share of the heaviest kind's requests answered in time
+ * @param slowestRefusalFraction the greatest share of its deadline that a refused request waited for its refusal
+ * @param teamResults the share of each team's requests answered in time
  * @param timeline what happened over time
  */
 public record RunResult(
@@ -31,17 +31,17 @@
         int roleChanges,
         double engineSecondsAway,
         double firstTokenP95Seconds,
-        double heaviestInTimeShare,
-        double slowestRefusalShare,
-        List<TeamShareInTime> teamInTimeShares,
+        double heaviestInTimeFraction,
+        double slowestRefusalFraction,
+        List<TeamResult> teamResults,
         List<TimelinePoint> timeline) {
     public RunResult {
-        teamInTimeShares = List.copyOf(teamInTimeShares);
+        teamResults = List.copyOf(teamResults);
         timeline = List.copyOf(timeline);
     }
 
     /** Returns the result under another name. */
-    public RunResult named(String name) {
+    public RunResult withPolicyName(String name) {
         return new RunResult(
                 name,
                 weightedGoodput,
@@ -53,14 +53,14 @@
                 roleChanges,
                 engineSecondsAway,
                 firstTokenP95Seconds,
-                heaviestInTimeShare,
-                slowestRefusalShare,
-                teamInTimeShares,
+                heaviestInTimeFraction,
+                slowestRefusalFraction,
+                teamResults,
                 timeline);
     }
 
     /** Returns the goodput less what the team's price says the changes cost. */
-    public double worth(double roleChangePrice) {
+    public double goodputLessRoleChanges(double roleChangePrice) {
         return weightedGoodput - roleChangePrice * roleChanges;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/SimulatedEntry.java
@@ -27,47 +27,47 @@
 import org.aspenmoor.internal.routing.RoutingRequest;
 
 /** One entry: admission, routing and the counts it sends to the planner. */
-final class BenchEntry {
+final class SimulatedEntry {
     static final String MODEL = "draft@1";
-    private static final double RETRY_SECONDS = 0.02;
-    private static final long ASK_AGAIN_NANOSECONDS = 10_000_000;
-    private static final double CREDIT_SHARE = 1.1;
+    private static final double DISPATCH_INTERVAL_SECONDS = 0.02;
+    private static final long ROUTING_RETRY_NANOSECONDS = 10_000_000;
+    private static final double CREDIT_FACTOR = 1.1;
 
     private final String name;
     private final Fleet fleet;
     private final EventLoop loop;
     private final RoutingStrategy routing;
     private final Map<String, FakeEngine> engines;
-    private final Tally tally;
+    private final RunCounters counters;
     private final int credit;
     private final AdmissionQueue queue;
     private final DispatchPolicy dispatch = DispatchPolicy.usual();
     private final LengthEstimator lengths = new LengthEstimator();
-    private final Map<RequestId, BenchRequest> waiting = new HashMap<>();
-    private final Map<RequestId, RoutingDecision> sent = new HashMap<>();
-    private final Map<RequestId, Optional<String>> prefilling = new HashMap<>();
+    private final Map<RequestId, SimulatedRequest> queuedRequests = new HashMap<>();
+    private final Map<RequestId, RoutingDecision> sentDecisions = new HashMap<>();
+    private final Map<RequestId, Optional<String>> prefillEngines = new HashMap<>();
     private final Map<String, Integer> outstanding = new HashMap<>();
-    private final Map<String, KindCount> counts = new TreeMap<>();
+    private final Map<String, KindCount> countsByKind = new TreeMap<>();
     private long countsFrom;
     private long countsSequence;
-    private boolean retryPlanned;
-    private RequestId blocked;
-    private long askAgainAt;
+    private boolean retryScheduled;
+    private RequestId blockedRequest;
+    private long routingRetryAt;
 
-    BenchEntry(
+    SimulatedEntry(
             String name,
             Fleet fleet,
             EventLoop loop,
             RoutingStrategy routing,
             Map<String, FakeEngine> engines,
-            Tally tally) {
+            RunCounters counters) {
         this.name = name;
         this.fleet = fleet;
         this.loop = loop;
         this.routing = routing;
         this.engines = engines;
-        this.tally = tally;
-        this.credit = (int) Math.ceil(CREDIT_SHARE * fleet.parameters().mostSequences() / fleet.entries());
+        this.counters = counters;
+        this.credit = (int) Math.ceil(CREDIT_FACTOR * fleet.parameters().maxSequences() / fleet.entries());
         this.queue = new AdmissionQueue(
                 AdmissionSettings.usual((double) fleet.engines().size() / fleet.entries()));
     }
@@ -76,103 +76,103 @@
         return routing;
     }
 
-    void arrive(BenchRequest request) {
-        tally.arrived(request);
+    void requestArrived(SimulatedRequest request) {
+        counters.arrived(request);
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
-        long uncovered = Math.round(request.promptTokens() * (1 - estimate.cachedShare()));
-        counts.merge(
+        long uncachedTokens = Math.round(request.promptTokens() * (1 - estimate.cachedShare()));
+        countsByKind.merge(
                 request.kind(),
-                new KindCount(request.kind(), 1, uncovered, Math.round(estimate.outputTokens()), 0),
-                BenchEntry::sum);
+                new KindCount(request.kind(), 1, uncachedTokens, Math.round(estimate.outputTokens()), 0),
+                SimulatedEntry::sum);
         offer(request);
     }
 
-    void offer(BenchRequest request) {
-        waiting.put(request.id(), request);
-        AdmissionDecision decision = queue.offer(work(request), loop.now());
+    void offer(SimulatedRequest request) {
+        queuedRequests.put(request.id(), request);
+        AdmissionDecision decision = queue.offer(waitingWork(request), loop.now());
         if (decision instanceof AdmissionDecision.Refused) {
             refuse(request.id());
         }
         for (Displaced displaced : queue.displaced(loop.now())) {
             refuse(displaced.work().id());
         }
-        pump();
+        dispatchQueued();
     }
 
     boolean owns(RequestId id) {
-        return sent.containsKey(id);
+        return sentDecisions.containsKey(id);
     }
 
     /** The first token came: an engine that only computes prompts is done. */
-    void progressed(EngineJob job) {
-        prefilling.remove(job.id()).ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
-        pump();
+    void firstTokenReceived(EngineJob job) {
+        prefillEngines.remove(job.id()).ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
+        dispatchQueued();
     }
 
-    void ended(EngineJob job, BenchRequest request, boolean answered) {
-        RoutingDecision decision = sent.remove(job.id());
-        routing.ended(job.id(), loop.now());
+    void attemptEnded(EngineJob job, SimulatedRequest request, boolean answered) {
+        RoutingDecision decision = sentDecisions.remove(job.id());
+        routing.requestEnded(job.id(), loop.now());
         outstanding.merge(decision.backend(), -1, Integer::sum);
-        Optional<String> unfinished = prefilling.remove(job.id());
-        if (unfinished != null) {
-            unfinished.ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
+        Optional<String> unfinishedPrefill = prefillEngines.remove(job.id());
+        if (unfinishedPrefill != null) {
+            unfinishedPrefill.ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
         }
-        job.answerEngine().ifPresent(answerEngine -> answerEngine.forget(job));
+        job.decodeEngine().ifPresent(decodeEngine -> decodeEngine.cancelExpectedHandoff(job));
         if (answered) {
             lengths.seen(request.kind(), request.promptTokens(), request.cachedTokens(), request.outputTokens());
-            tally.finished(request, loop.nowSeconds());
+            counters.finished(request, loop.nowSeconds());
         } else {
             offer(request);
         }
-        pump();
+        dispatchQueued();
     }
 
     WorkCounts takeCounts() {
         WorkCounts taken =
-                new WorkCounts(name, countsSequence++, countsFrom, loop.now(), new ArrayList<>(counts.values()));
+                new WorkCounts(name, countsSequence++, countsFrom, loop.now(), new ArrayList<>(countsByKind.values()));
         countsFrom = loop.now();
-        counts.clear();
+        countsByKind.clear();
         return taken;
     }
 
-    void pump() {
+    void dispatchQueued() {
         while (true) {
             Optional<WaitingWork> next = queue.next();
             if (next.isEmpty()) {
                 return;
             }
             WaitingWork work = next.get();
-            if (work.id().equals(blocked) && loop.now() < askAgainAt) {
-                planRetry();
+            if (work.id().equals(blockedRequest) && loop.now() < routingRetryAt) {
+                scheduleRetry();
                 return;
             }
-            BenchRequest request = waiting.get(work.id());
-            RoutingRequest routed = routed(request, work);
-            Optional<RoutingDecision> decision = routing.choose(routed, this::hasCredit, loop.now());
+            SimulatedRequest request = queuedRequests.get(work.id());
+            RoutingRequest routingRequest = routingRequest(request, work);
+            Optional<RoutingDecision> decision = routing.choose(routingRequest, this::hasCredit, loop.now());
             switch (dispatch.judge(work, decision, loop.now())) {
-                case DispatchVerdict.Send send -> send(work, routed, send.decision());
+                case DispatchVerdict.Send send -> send(work, routingRequest, send.decision());
                 case DispatchVerdict.GiveUp giveUp -> {
                     queue.giveUp(work, loop.now());
                     refuse(work.id());
                 }
                 case DispatchVerdict.Wait wait -> {
-                    blocked = work.id();
-                    askAgainAt = loop.now() + ASK_AGAIN_NANOSECONDS;
-                    planRetry();
+                    blockedRequest = work.id();
+                    routingRetryAt = loop.now() + ROUTING_RETRY_NANOSECONDS;
+                    scheduleRetry();
                     return;
                 }
             }
         }
     }
 
-    private void send(WaitingWork work, RoutingRequest routed, RoutingDecision decision) {
+    private void send(WaitingWork work, RoutingRequest routingRequest, RoutingDecision decision) {
         queue.take(work, loop.now());
-        BenchRequest request = waiting.remove(work.id());
-        request.sentWith(decision.cachedTokens());
-        routing.sent(routed, decision, loop.now());
-        sent.put(request.id(), decision);
+        SimulatedRequest request = queuedRequests.remove(work.id());
+        request.sentWithCached(decision.cachedTokens());
+        routing.requestSent(routingRequest, decision, loop.now());
+        sentDecisions.put(request.id(), decision);
         outstanding.merge(decision.backend(), 1, Integer::sum);
-        prefilling.put(request.id(), decision.prefillBackend());
+        prefillEngines.put(request.id(), decision.prefillBackend());
         decision.prefillBackend().ifPresent(prefill -> outstanding.merge(prefill, 1, Integer::sum));
         EngineJob job = new EngineJob(
                 request.id(),
@@ -182,7 +182,7 @@
                 request.prefix(),
                 decision.prefillBackend().map(prefill -> engines.get(decision.backend())),
                 request.deadlineSeconds() - work.serviceSeconds());
-        job.answerEngine().ifPresent(answerEngine -> answerEngine.expect(job));
+        job.decodeEngine().ifPresent(decodeEngine -> decodeEngine.expectHandoff(job));
         FakeEngine engine = engines.get(decision.promptBackend());
         loop.after(0.0005, () -> engine.submit(job));
     }
@@ -192,23 +192,23 @@
     }
 
     private void refuse(RequestId id) {
-        tally.refused(waiting.remove(id), loop.nowSeconds());
+        counters.refused(queuedRequests.remove(id), loop.nowSeconds());
     }
 
-    private void planRetry() {
-        if (!retryPlanned) {
-            retryPlanned = true;
-            loop.after(RETRY_SECONDS, () -> {
-                retryPlanned = false;
-                pump();
+    private void scheduleRetry() {
+        if (!retryScheduled) {
+            retryScheduled = true;
+            loop.after(DISPATCH_INTERVAL_SECONDS, () -> {
+                retryScheduled = false;
+                dispatchQueued();
             });
         }
     }
 
-    private WaitingWork work(BenchRequest request) {
+    private WaitingWork waitingWork(SimulatedRequest request) {
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         EngineSpeed speed = fleet.parameters().speed();
-        int batch = fleet.parameters().mostSequences();
+        int batch = fleet.parameters().maxSequences();
         double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
         double decode = estimate.outputTokens() * speed.stepSeconds(batch);
         return new WaitingWork(
@@ -221,7 +221,7 @@
                 prefill + decode);
     }
 
-    private RoutingRequest routed(BenchRequest request, WaitingWork work) {
+    private RoutingRequest routingRequest(SimulatedRequest request, WaitingWork work) {
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         return new RoutingRequest(
                 request.id(),
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Timeline.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Timeline.java
@@ -15,41 +15,41 @@
     static final double INTERVAL_SECONDS = 2;
 
     private final EngineSpeed speed;
-    private final int batch;
+    private final int maxSequences;
     private final List<TimelinePoint> points = new ArrayList<>();
-    private double prefillWork;
-    private double decodeWork;
-    private double goodputBefore;
+    private double prefillSeconds;
+    private double decodeSeconds;
+    private double previousGoodput;
 
     Timeline(Fleet fleet) {
         this.speed = fleet.parameters().speed();
-        this.batch = fleet.parameters().mostSequences();
+        this.maxSequences = fleet.parameters().maxSequences();
     }
 
     void arrived(TraceRequest request) {
-        prefillWork += speed.prefillSeconds(request.promptTokens());
-        decodeWork += request.outputTokens() * speed.stepSeconds(batch) / batch;
+        prefillSeconds += speed.prefillSeconds(request.promptTokens());
+        decodeSeconds += request.outputTokens() * speed.stepSeconds(maxSequences) / maxSequences;
     }
 
-    void next(double nowSeconds, Collection<FakeEngine> engines, double weightedGoodput) {
-        double work = prefillWork + decodeWork;
+    void addPoint(double nowSeconds, Collection<FakeEngine> engines, double weightedGoodput) {
+        double totalSeconds = prefillSeconds + decodeSeconds;
         points.add(new TimelinePoint(
                 nowSeconds,
-                work > 0 ? prefillWork / work : 0,
-                ready(engines, EngineRole.PREFILL),
-                ready(engines, EngineRole.DECODE),
-                ready(engines, EngineRole.WHOLE),
-                (weightedGoodput - goodputBefore) / INTERVAL_SECONDS));
-        prefillWork = 0;
-        decodeWork = 0;
-        goodputBefore = weightedGoodput;
+                totalSeconds > 0 ? prefillSeconds / totalSeconds : 0,
+                readyEngines(engines, EngineRole.PREFILL),
+                readyEngines(engines, EngineRole.DECODE),
+                readyEngines(engines, EngineRole.WHOLE),
+                (weightedGoodput - previousGoodput) / INTERVAL_SECONDS));
+        prefillSeconds = 0;
+        decodeSeconds = 0;
+        previousGoodput = weightedGoodput;
     }
 
     List<TimelinePoint> points() {
         return points;
     }
 
-    private static int ready(Collection<FakeEngine> engines, EngineRole role) {
+    private static int readyEngines(Collection<FakeEngine> engines, EngineRole role) {
         return (int) engines.stream()
                 .filter(engine -> engine.state() == EngineState.READY && engine.role() == role)
                 .count();
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TimelinePoint.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TimelinePoint.java
@@ -4,7 +4,7 @@
  * One interval of a run.
  *
  * @param seconds its start
- * @param promptShare the share of prefill in the work that arrived
+ * @param prefillFraction the share of prefill in the work that arrived
  * @param prefillEngines ready engines that compute prompts
  * @param decodeEngines ready engines that generate answers
  * @param wholeEngines ready engines that do both
@@ -12,7 +12,7 @@
  */
 public record TimelinePoint(
         double seconds,
-        double promptShare,
+        double prefillFraction,
         int prefillEngines,
         int decodeEngines,
         int wholeEngines,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
@@ -22,81 +22,81 @@
  * works on the same terms.
  */
 public final class BaselineRouting implements RoutingStrategy {
-    private final boolean leastLoad;
+    private final boolean byLeastLoad;
     private final EngineSpeed speed;
     private final Map<String, Reported> engines = new LinkedHashMap<>();
-    private int turn;
+    private int decisionCount;
 
     /** Makes least-reported-load routing, or round robin. */
-    public BaselineRouting(boolean leastLoad, EngineSpeed speed) {
-        this.leastLoad = leastLoad;
+    public BaselineRouting(boolean byLeastLoad, EngineSpeed speed) {
+        this.byLeastLoad = byLeastLoad;
         this.speed = speed;
     }
 
     @Override
-    public void added(String backend, String dataCentre) {
-        engines.put(backend, new Reported(EngineRole.WHOLE, false, new EngineLoad(0, 0, 0, 1, 0, 0)));
+    public void engineAdded(String engine, String dataCentre) {
+        engines.put(engine, new Reported(EngineRole.WHOLE, false, new EngineLoad(0, 0, 0, 1, 0, 0)));
     }
 
     @Override
-    public void reported(
-            String backend,
+    public void loadReported(
+            String engine,
             EngineLoad load,
             EngineRole role,
             boolean ready,
-            Set<String> loaded,
+            Set<String> loadedModels,
             double ageSeconds,
             long now) {
-        engines.put(backend, new Reported(role, ready, load));
+        engines.put(engine, new Reported(role, ready, load));
     }
 
     @Override
-    public void cacheEvent(String backend, long sequence, CacheEvent event) {
+    public void cacheEventReceived(String engine, long sequence, CacheEvent event) {
         // These rules know no prefixes.
     }
 
     @Override
     public Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long now) {
-        turn++;
-        Optional<String> prefill = pick(EngineRole.PREFILL, filter);
-        Optional<String> decode = pick(EngineRole.DECODE, filter);
-        Optional<String> whole = pick(EngineRole.WHOLE, filter);
-        boolean pair = prefill.isPresent() && decode.isPresent();
-        if (pair && whole.isPresent()) {
-            long wholes = engines.values().stream()
+        decisionCount++;
+        Optional<String> prefill = chooseEngine(EngineRole.PREFILL, filter);
+        Optional<String> decode = chooseEngine(EngineRole.DECODE, filter);
+        Optional<String> whole = chooseEngine(EngineRole.WHOLE, filter);
+        boolean usePair = prefill.isPresent() && decode.isPresent();
+        if (usePair && whole.isPresent()) {
+            long wholeEngines = engines.values().stream()
                     .filter(engine -> engine.role() == EngineRole.WHOLE)
                     .count();
-            pair = turn % engines.size() >= wholes;
+            usePair = decisionCount % engines.size() >= wholeEngines;
         }
-        if (pair) {
+        if (usePair) {
             return Optional.of(decision(request, decode.get(), prefill));
         }
         return whole.map(engine -> decision(request, engine, Optional.empty()));
     }
 
     @Override
-    public void sent(RoutingRequest request, RoutingDecision decision, long now) {
+    public void requestSent(RoutingRequest request, RoutingDecision decision, long now) {
         // These rules do not count their own sends.
     }
 
     @Override
-    public void ended(RequestId id, long now) {
+    public void requestEnded(RequestId id, long now) {
         // These rules do not count their own sends.
     }
 
-    private Optional<String> pick(EngineRole role, CandidateFilter filter) {
-        List<String> open = engines.entrySet().stream()
+    private Optional<String> chooseEngine(EngineRole role, CandidateFilter filter) {
+        List<String> candidates = engines.entrySet().stream()
                 .filter(entry -> entry.getValue().ready() && entry.getValue().role() == role)
                 .map(Map.Entry::getKey)
                 .filter(filter::accepts)
                 .toList();
-        if (open.isEmpty()) {
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        if (!leastLoad) {
-            return Optional.of(open.get(turn % open.size()));
+        if (!byLeastLoad) {
+            return Optional.of(candidates.get(decisionCount % candidates.size()));
         }
-        return open.stream()
+        return candidates.stream()
                 .min((one, other) -> Double.compare(loadSeconds(engines.get(one)), loadSeconds(engines.get(other))));
     }
 
@@ -106,14 +106,15 @@
                 + (double) load.runningSequences() / Math.max(1, load.mostSequences());
     }
 
-    private RoutingDecision decision(RoutingRequest request, String answer, Optional<String> prompt) {
-        EngineLoad promptLoad = engines.get(prompt.orElse(answer)).load();
-        EngineLoad answerLoad = engines.get(answer).load();
-        double wait = speed.prefillSeconds((double) promptLoad.queuedPrefillTokens());
-        double firstToken = wait + speed.prefillSeconds(request.promptTokens());
-        double finish =
-                firstToken + request.expectedOutputTokens() * speed.stepSeconds(answerLoad.runningSequences() + 1);
-        return new RoutingDecision(answer, prompt, 0, wait, firstToken, finish, OptionalDouble.empty());
+    private RoutingDecision decision(RoutingRequest request, String decodeEngine, Optional<String> prefillEngine) {
+        EngineLoad prefillLoad = engines.get(prefillEngine.orElse(decodeEngine)).load();
+        EngineLoad decodeLoad = engines.get(decodeEngine).load();
+        double waitSeconds = speed.prefillSeconds((double) prefillLoad.queuedPrefillTokens());
+        double firstTokenSeconds = waitSeconds + speed.prefillSeconds(request.promptTokens());
+        double finishSeconds = firstTokenSeconds
+                + request.expectedOutputTokens() * speed.stepSeconds(decodeLoad.runningSequences() + 1);
+        return new RoutingDecision(
+                decodeEngine, prefillEngine, 0, waitSeconds, firstTokenSeconds, finishSeconds, OptionalDouble.empty());
     }
 
     private record Reported(EngineRole role, boolean ready, EngineLoad load) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
@@ -19,63 +19,67 @@
     private final List<List<KindDemand>> demands;
     private final double stepSeconds;
     private final int awaySteps;
-    private final double price;
+    private final double roleChangePrice;
 
     ClairvoyantPlanner(
-            GoodputModel model, List<List<KindDemand>> demands, double stepSeconds, double awaySeconds, double price) {
+            GoodputModel model,
+            List<List<KindDemand>> demands,
+            double stepSeconds,
+            double awaySeconds,
+            double roleChangePrice) {
         this.model = model;
         this.demands = demands;
         this.stepSeconds = stepSeconds;
         this.awaySteps = Math.max(1, (int) Math.ceil(awaySeconds / stepSeconds));
-        this.price = price;
+        this.roleChangePrice = roleChangePrice;
     }
 
     /** Returns, for each step and each split one may be in then, the split to move to. */
     List<Map<RoleSplit, RoleSplit>> plan(int engines) {
-        List<RoleSplit> splits = splits(engines);
+        List<RoleSplit> splits = allSplits(engines);
         int steps = demands.size();
-        List<Map<RoleSplit, RoleSplit>> moves = new ArrayList<>();
-        List<Map<RoleSplit, Double>> worth = new ArrayList<>();
+        List<Map<RoleSplit, RoleSplit>> nextSplits = new ArrayList<>();
+        List<Map<RoleSplit, Double>> bestValues = new ArrayList<>();
         for (int step = 0; step <= steps; step++) {
-            moves.add(new HashMap<>());
-            worth.add(new HashMap<>());
+            nextSplits.add(new HashMap<>());
+            bestValues.add(new HashMap<>());
         }
-        splits.forEach(split -> worth.get(steps).put(split, 0.0));
+        splits.forEach(split -> bestValues.get(steps).put(split, 0.0));
         for (int step = steps - 1; step >= 0; step--) {
             Map<RoleSplit, Double> goodput = new HashMap<>();
             for (RoleSplit from : splits) {
                 RoleSplit best = from;
-                double bestWorth = Double.NEGATIVE_INFINITY;
+                double bestValue = Double.NEGATIVE_INFINITY;
                 for (RoleSplit to : splits) {
-                    double value = value(from, to, step, worth, goodput);
-                    if (value > bestWorth || (value == bestWorth && to.equals(from))) {
+                    double value = valueOfMove(from, to, step, bestValues, goodput);
+                    if (value > bestValue || (value == bestValue && to.equals(from))) {
                         best = to;
-                        bestWorth = value;
+                        bestValue = value;
                     }
                 }
-                moves.get(step).put(from, best);
-                worth.get(step).put(from, bestWorth);
+                nextSplits.get(step).put(from, best);
+                bestValues.get(step).put(from, bestValue);
             }
         }
-        return moves;
+        return nextSplits;
     }
 
-    private double value(
+    private double valueOfMove(
             RoleSplit from,
             RoleSplit to,
             int step,
-            List<Map<RoleSplit, Double>> worth,
+            List<Map<RoleSplit, Double>> bestValues,
             Map<RoleSplit, Double> goodput) {
         RoleSplit during = from.during(to);
         if (!from.equals(to) && !during.servesBothStages()) {
             return Double.NEGATIVE_INFINITY;
         }
         int next = Math.min(demands.size(), step + (from.equals(to) ? 1 : awaySteps));
-        double value = worth.get(next).get(to) - price * from.changesTo(to);
-        for (int passed = step; passed < next; passed++) {
-            value += passed == step
+        double value = bestValues.get(next).get(to) - roleChangePrice * from.changesTo(to);
+        for (int elapsed = step; elapsed < next; elapsed++) {
+            value += elapsed == step
                     ? goodput.computeIfAbsent(during, split -> goodput(split, step))
-                    : goodput(during, passed);
+                    : goodput(during, elapsed);
         }
         return value;
     }
@@ -84,7 +88,7 @@
         return stepSeconds * model.perSecond(split, demands.get(step));
     }
 
-    private static List<RoleSplit> splits(int engines) {
+    private static List<RoleSplit> allSplits(int engines) {
         List<RoleSplit> splits = new ArrayList<>();
         for (int prefill = 0; prefill <= engines; prefill++) {
             for (int decode = 0; decode <= engines - prefill; decode++) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
@@ -20,24 +20,25 @@
     private static final double STEP_SECONDS = 1;
     private static final double DRAIN_SECONDS = 0.3;
 
-    private final RoleSplit start;
+    private final RoleSplit initialSplit;
     private final ClairvoyantPlanner planner;
     private final Map<Integer, List<Map<RoleSplit, RoleSplit>>> plans = new HashMap<>();
 
-    public ClairvoyantStrategy(Fleet fleet, Trace trace, PlannerSettings settings, int smoothing, RoleSplit start) {
-        this.start = start;
+    public ClairvoyantStrategy(
+            Fleet fleet, Trace trace, PlannerSettings settings, int smoothingSteps, RoleSplit initialSplit) {
+        this.initialSplit = initialSplit;
         GoodputModel model = new GoodputModel(settings);
         this.planner = new ClairvoyantPlanner(
                 model,
-                DemandSteps.of(fleet, trace, model, STEP_SECONDS, smoothing),
+                DemandSteps.of(fleet, trace, model, STEP_SECONDS, smoothingSteps),
                 STEP_SECONDS,
                 fleet.parameters().roleChangeSeconds() + DRAIN_SECONDS,
                 fleet.roleChangePrice());
     }
 
     @Override
-    public RoleSplit start() {
-        return start;
+    public RoleSplit initialSplit() {
+        return initialSplit;
     }
 
     @Override
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.aspenmoor.internal.bench.policy.fleet.BenchKind;
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
+import org.aspenmoor.internal.bench.policy.fleet.TraceKind;
 import org.aspenmoor.internal.bench.policy.trace.Trace;
 import org.aspenmoor.internal.bench.policy.trace.TraceRequest;
 import org.aspenmoor.internal.planning.GoodputModel;
@@ -15,7 +15,7 @@
 
 /** The demand that a trace holds, in steps of time. */
 final class DemandSteps {
-    private static final double COVERED_PREFIX_SHARE = 0.8;
+    private static final double CACHED_PREFIX_FRACTION = 0.8;
 
     private DemandSteps() {}
 
@@ -31,7 +31,7 @@
             int step = (int) (request.arrivalSeconds() / stepSeconds);
             double[] sum = sums.get(step).computeIfAbsent(request.kind(), kind -> new double[3]);
             sum[0]++;
-            sum[1] += request.promptTokens() - COVERED_PREFIX_SHARE * request.prefixTokens();
+            sum[1] += request.promptTokens() - CACHED_PREFIX_FRACTION * request.prefixTokens();
             sum[2] += request.outputTokens();
         }
         List<List<KindDemand>> demands = new ArrayList<>();
@@ -46,13 +46,13 @@
     private static List<KindDemand> demand(
             Fleet fleet, GoodputModel model, List<Map<String, double[]>> sums, double stepSeconds) {
         List<KindDemand> demands = new ArrayList<>();
-        for (BenchKind kind : fleet.kinds()) {
+        for (TraceKind kind : fleet.kinds()) {
             double[] total = new double[3];
             for (Map<String, double[]> sum : sums) {
-                double[] own = sum.getOrDefault(kind.declaration().name(), new double[3]);
-                total[0] += own[0];
-                total[1] += own[1];
-                total[2] += own[2];
+                double[] kindSum = sum.getOrDefault(kind.declaration().name(), new double[3]);
+                total[0] += kindSum[0];
+                total[1] += kindSum[1];
+                total[2] += kindSum[2];
             }
             if (total[0] > 0) {
                 KindWeight weight = new KindWeight(
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FixedSplit.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FixedSplit.java
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public RoleSplit start() {
+    public RoleSplit initialSplit() {
         return split;
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlannerStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlannerStrategy.java
@@ -10,16 +10,16 @@
 /** The planner that the daemon uses. */
 public final class PlannerStrategy implements PlanningStrategy {
     private final RolePlanner planner;
-    private final RoleSplit start;
+    private final RoleSplit initialSplit;
 
-    public PlannerStrategy(RolePlanner planner, RoleSplit start) {
+    public PlannerStrategy(RolePlanner planner, RoleSplit initialSplit) {
         this.planner = planner;
-        this.start = start;
+        this.initialSplit = initialSplit;
     }
 
     @Override
-    public RoleSplit start() {
-        return start;
+    public RoleSplit initialSplit() {
+        return initialSplit;
     }
 
     @Override
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlanningStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlanningStrategy.java
@@ -9,7 +9,7 @@
 /** How roles are planned. */
 public interface PlanningStrategy {
     /** Returns the split at the start. */
-    RoleSplit start();
+    RoleSplit initialSplit();
 
     /** Takes the counts of one entry. */
     void observe(WorkCounts counts);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
@@ -23,25 +23,26 @@
     }
 
     @Override
-    public void added(String backend, String dataCentre) {
-        router.added(backend, dataCentre);
+    public void engineAdded(String engine, String dataCentre) {
+        router.added(engine, dataCentre);
     }
 
     @Override
-    public void reported(
-            String backend,
+    public void loadReported(
+            String engine,
             EngineLoad load,
             EngineRole role,
             boolean ready,
-            Set<String> loaded,
+            Set<String> loadedModels,
             double ageSeconds,
             long now) {
-        router.reported(backend, load, role, ready, loaded, Duration.ofNanos((long) (ageSeconds * NANOSECONDS)), now);
+        router.reported(
+                engine, load, role, ready, loadedModels, Duration.ofNanos((long) (ageSeconds * NANOSECONDS)), now);
     }
 
     @Override
-    public void cacheEvent(String backend, long sequence, CacheEvent event) {
-        router.cacheEvent(backend, sequence, event);
+    public void cacheEventReceived(String engine, long sequence, CacheEvent event) {
+        router.cacheEvent(engine, sequence, event);
     }
 
     @Override
@@ -50,12 +51,12 @@
     }
 
     @Override
-    public void sent(RoutingRequest request, RoutingDecision decision, long now) {
+    public void requestSent(RoutingRequest request, RoutingDecision decision, long now) {
         router.sent(request, decision, now);
     }
 
     @Override
-    public void ended(RequestId id, long now) {
+    public void requestEnded(RequestId id, long now) {
         router.ended(id, now);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RoutingStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RoutingStrategy.java
@@ -13,27 +13,27 @@
 /** How one entry chooses engines. */
 public interface RoutingStrategy {
     /** Learns of an engine. */
-    void added(String backend, String dataCentre);
+    void engineAdded(String engine, String dataCentre);
 
     /** Takes a report that is so many seconds old. */
-    void reported(
-            String backend,
+    void loadReported(
+            String engine,
             EngineLoad load,
             EngineRole role,
             boolean ready,
-            Set<String> loaded,
+            Set<String> loadedModels,
             double ageSeconds,
             long now);
 
     /** Takes a cache event. */
-    void cacheEvent(String backend, long sequence, CacheEvent event);
+    void cacheEventReceived(String engine, long sequence, CacheEvent event);
 
     /** Chooses. */
     Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long now);
 
     /** Notes a send. */
-    void sent(RoutingRequest request, RoutingDecision decision, long now);
+    void requestSent(RoutingRequest request, RoutingDecision decision, long now);
 
     /** Notes the end of a request. */
-    void ended(RequestId id, long now);
+    void requestEnded(RequestId id, long now);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ThresholdRule.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ThresholdRule.java
@@ -19,18 +19,18 @@
 public final class ThresholdRule implements PlanningStrategy {
     private static final double HIGH_WAIT_SECONDS = 0.2;
     private static final double HIGH_OCCUPANCY = 0.8;
-    private static final double PAUSE_NANOSECONDS = 1e9;
+    private static final double MIN_CHANGE_INTERVAL_NANOSECONDS = 1e9;
 
-    private final RoleSplit start;
-    private long pausedUntil;
+    private final RoleSplit initialSplit;
+    private long nextChangeAt;
 
-    public ThresholdRule(RoleSplit start) {
-        this.start = start;
+    public ThresholdRule(RoleSplit initialSplit) {
+        this.initialSplit = initialSplit;
     }
 
     @Override
-    public RoleSplit start() {
-        return start;
+    public RoleSplit initialSplit() {
+        return initialSplit;
     }
 
     @Override
@@ -40,7 +40,7 @@
 
     @Override
     public List<RoleChange> plan(PlanningInput input, FleetLoad load, long now) {
-        if (now < pausedUntil) {
+        if (now < nextChangeAt) {
             return List.of();
         }
         boolean prefillHigh = load.prefillWaitSeconds() > HIGH_WAIT_SECONDS;
@@ -49,20 +49,20 @@
             return List.of();
         }
         Optional<RoleChange> change = prefillHigh
-                ? move(input, EngineRole.DECODE, EngineRole.PREFILL)
-                : move(input, EngineRole.PREFILL, EngineRole.DECODE);
-        change.ifPresent(made -> pausedUntil = now + (long) PAUSE_NANOSECONDS);
+                ? changeLeastBusy(input, EngineRole.DECODE, EngineRole.PREFILL)
+                : changeLeastBusy(input, EngineRole.PREFILL, EngineRole.DECODE);
+        change.ifPresent(ordered -> nextChangeAt = now + (long) MIN_CHANGE_INTERVAL_NANOSECONDS);
         return change.stream().toList();
     }
 
-    private static Optional<RoleChange> move(PlanningInput input, EngineRole from, EngineRole to) {
-        List<PlannedEngine> working = input.engines().stream()
+    private static Optional<RoleChange> changeLeastBusy(PlanningInput input, EngineRole from, EngineRole to) {
+        List<PlannedEngine> available = input.engines().stream()
                 .filter(engine -> engine.isAvailable() && engine.role() == from)
                 .toList();
-        if (working.size() < 2) {
+        if (available.size() < 2) {
             return Optional.empty();
         }
-        return working.stream()
+        return available.stream()
                 .min(Comparator.comparingInt(PlannedEngine::runningSequences))
                 .map(engine -> new RoleChange(engine.name(), from, to));
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/MixSchedule.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/MixSchedule.java
@@ -3,5 +3,5 @@
 /** The mix at each moment. */
 @FunctionalInterface
 interface MixSchedule {
-    Mix at(double seconds);
+    WorkMix at(double seconds);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceGenerator.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceGenerator.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.random.RandomGenerator;
-import org.aspenmoor.internal.bench.policy.fleet.BenchKind;
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
+import org.aspenmoor.internal.bench.policy.fleet.TraceKind;
 
 /**
  * Generates the built-in traces for a fleet.
@@ -14,11 +14,11 @@
  * code. Load is given as a share of the engine time the fleet has, so that traces press every fleet alike.
  */
 public final class TraceGenerator {
-    private static final double LENGTH_SECONDS = 240;
-    private static final double LENGTH_DEVIATION = 0.35;
+    private static final double TRACE_SECONDS = 240;
+    private static final double LENGTH_LOG_DEVIATION = 0.35;
     private static final double STEP_SECONDS = 0.25;
-    private static final int PREFIXES_OF_KIND = 12;
-    private static final int HEAVY_PREFIXES = 40;
+    private static final int PREFIXES_PER_KIND = 12;
+    private static final int MANY_PREFIXES_PER_KIND = 40;
 
     private final Fleet fleet;
     private final RandomGenerator random;
@@ -31,55 +31,62 @@
     /** Generates one trace. */
     public Trace generate(BuiltInTrace trace) {
         return switch (trace) {
-            case LONG_PROMPTS -> plain(trace, now -> now < 60 ? Mix.EVEN : Mix.PROMPTS, now -> 0.8);
-            case LONG_ANSWERS -> plain(trace, now -> now < 60 ? Mix.EVEN : Mix.ANSWERS, now -> 0.8);
+            case LONG_PROMPTS ->
+                withoutIncidents(trace, now -> now < 60 ? WorkMix.EVEN : WorkMix.PROMPT_HEAVY, now -> 0.8);
+            case LONG_ANSWERS ->
+                withoutIncidents(trace, now -> now < 60 ? WorkMix.EVEN : WorkMix.OUTPUT_HEAVY, now -> 0.8);
             case SLOW_DRIFT ->
-                plain(
+                withoutIncidents(
                         trace,
-                        now -> Mix.between(
-                                Mix.PROMPTS, Mix.ANSWERS, 0.5 - 0.5 * Math.cos(now / LENGTH_SECONDS * 2 * Math.PI)),
+                        now -> WorkMix.interpolate(
+                                WorkMix.PROMPT_HEAVY,
+                                WorkMix.OUTPUT_HEAVY,
+                                0.5 - 0.5 * Math.cos(now / TRACE_SECONDS * 2 * Math.PI)),
                         now -> 0.85);
-            case SUDDEN_SWINGS -> plain(trace, swings(40, 60), now -> 0.95);
+            case SUDDEN_SWINGS -> withoutIncidents(trace, swingingMix(40, 60), now -> 0.95);
             case FAST_OSCILLATION ->
-                plain(trace, now -> (int) (now / 4) % 2 == 0 ? Mix.PROMPTS : Mix.ANSWERS, now -> 0.7);
-            case OVERLOAD_1_3 -> plain(trace, overload(), now -> 1.3);
-            case OVERLOAD_2 -> plain(trace, overload(), now -> 2.0);
-            case ENGINE_WITHDRAWN -> withdrawn(trace);
+                withoutIncidents(
+                        trace,
+                        now -> (int) (now / 4) % 2 == 0 ? WorkMix.PROMPT_HEAVY : WorkMix.OUTPUT_HEAVY,
+                        now -> 0.7);
+            case OVERLOAD_1_3 -> withoutIncidents(trace, overloadMix(), now -> 1.3);
+            case OVERLOAD_2 -> withoutIncidents(trace, overloadMix(), now -> 2.0);
+            case ENGINE_WITHDRAWN -> engineWithdrawn(trace);
             case LATE_REPORTS -> lateReports(trace);
-            case TEAM_FLOOD -> flood(trace);
+            case TEAM_FLOOD -> teamFlood(trace);
             case PREFIX_HEAVY -> prefixHeavy(trace);
         };
     }
 
-    private Trace plain(BuiltInTrace trace, MixSchedule mix, LoadSchedule load) {
-        return new Trace(trace.label(), requests("house", mix, load, PREFIXES_OF_KIND, 0.3), List.of());
+    private Trace withoutIncidents(BuiltInTrace trace, MixSchedule mix, LoadSchedule load) {
+        return new Trace(trace.label(), requests("house", mix, load, PREFIXES_PER_KIND, 0.3), List.of());
     }
 
-    private MixSchedule swings(double shortest, double longest) {
-        List<Double> ends = new ArrayList<>();
+    private MixSchedule swingingMix(double minPhaseSeconds, double maxPhaseSeconds) {
+        List<Double> phaseEnds = new ArrayList<>();
         double end = 0;
-        while (end < LENGTH_SECONDS) {
-            end += random.nextDouble(shortest, longest);
-            ends.add(end);
+        while (end < TRACE_SECONDS) {
+            end += random.nextDouble(minPhaseSeconds, maxPhaseSeconds);
+            phaseEnds.add(end);
         }
         int first = random.nextInt(2);
         return now -> {
-            int phase = (int) ends.stream().filter(past -> past <= now).count();
-            return (phase + first) % 2 == 0 ? Mix.PROMPTS : Mix.ANSWERS;
+            int phase = (int) phaseEnds.stream().filter(past -> past <= now).count();
+            return (phase + first) % 2 == 0 ? WorkMix.PROMPT_HEAVY : WorkMix.OUTPUT_HEAVY;
         };
     }
 
     /** The heaviest kind stays within what the fleet can do; the others swing. */
-    private MixSchedule overload() {
+    private MixSchedule overloadMix() {
         boolean promptsAreHeaviest = fleet.kinds().get(0).declaration().weight()
                 > fleet.kinds().get(1).declaration().weight();
-        Mix one = promptsAreHeaviest ? new Mix(0.3, 0.6, 0.1) : new Mix(0.6, 0.3, 0.1);
-        Mix other = promptsAreHeaviest ? new Mix(0.3, 0.1, 0.6) : new Mix(0.1, 0.3, 0.6);
-        MixSchedule swings = swings(60, 90);
-        return now -> swings.at(now).equals(Mix.PROMPTS) ? one : other;
+        WorkMix one = promptsAreHeaviest ? new WorkMix(0.3, 0.6, 0.1) : new WorkMix(0.6, 0.3, 0.1);
+        WorkMix other = promptsAreHeaviest ? new WorkMix(0.3, 0.1, 0.6) : new WorkMix(0.1, 0.3, 0.6);
+        MixSchedule swings = swingingMix(60, 90);
+        return now -> swings.at(now).equals(WorkMix.PROMPT_HEAVY) ? one : other;
     }
 
-    private Trace withdrawn(BuiltInTrace trace) {
+    private Trace engineWithdrawn(BuiltInTrace trace) {
         int one = random.nextInt(fleet.engines().size());
         int other = (one + 1) % fleet.engines().size();
         List<TraceIncident> incidents = List.of(
@@ -87,62 +94,64 @@
                 new TraceIncident.Withdrawal(70, other),
                 new TraceIncident.Return(150, one),
                 new TraceIncident.Return(170, other));
-        MixSchedule mix = now -> now < 110 ? Mix.PROMPTS : Mix.EVEN;
-        return new Trace(trace.label(), requests("house", mix, now -> 0.75, PREFIXES_OF_KIND, 0.3), incidents);
+        MixSchedule mix = now -> now < 110 ? WorkMix.PROMPT_HEAVY : WorkMix.EVEN;
+        return new Trace(trace.label(), requests("house", mix, now -> 0.75, PREFIXES_PER_KIND, 0.3), incidents);
     }
 
     private Trace lateReports(BuiltInTrace trace) {
         List<TraceIncident> incidents = List.of(new TraceIncident.ReportLag(0, 4));
         return new Trace(
-                trace.label(), requests("house", swings(50, 80), now -> 0.85, PREFIXES_OF_KIND, 0.3), incidents);
+                trace.label(), requests("house", swingingMix(50, 80), now -> 0.85, PREFIXES_PER_KIND, 0.3), incidents);
     }
 
-    private Trace flood(BuiltInTrace trace) {
+    private Trace teamFlood(BuiltInTrace trace) {
         List<TraceRequest> requests =
-                new ArrayList<>(requests("house", now -> Mix.EVEN, now -> 0.4, PREFIXES_OF_KIND, 0.3));
-        requests.addAll(
-                requests("flooding", now -> Mix.EVEN, now -> now > 60 && now < 150 ? 2 : 0.3, PREFIXES_OF_KIND, 0.3));
+                new ArrayList<>(requests("house", now -> WorkMix.EVEN, now -> 0.4, PREFIXES_PER_KIND, 0.3));
+        requests.addAll(requests(
+                "flooding", now -> WorkMix.EVEN, now -> now > 60 && now < 150 ? 2 : 0.3, PREFIXES_PER_KIND, 0.3));
         requests.sort((one, other) -> Double.compare(one.arrivalSeconds(), other.arrivalSeconds()));
         return new Trace(trace.label(), requests, List.of());
     }
 
     private Trace prefixHeavy(BuiltInTrace trace) {
         return new Trace(
-                trace.label(), requests("house", now -> Mix.PROMPTS, now -> 0.8, HEAVY_PREFIXES, 0.8), List.of());
+                trace.label(),
+                requests("house", now -> WorkMix.PROMPT_HEAVY, now -> 0.8, MANY_PREFIXES_PER_KIND, 0.8),
+                List.of());
     }
 
     private List<TraceRequest> requests(
-            String team, MixSchedule mix, LoadSchedule load, int prefixes, double prefixShare) {
+            String team, MixSchedule mix, LoadSchedule load, int prefixes, double prefixFraction) {
         List<TraceRequest> requests = new ArrayList<>();
-        double[] next = new double[fleet.kinds().size()];
-        for (int kind = 0; kind < next.length; kind++) {
-            next[kind] = exponential();
+        double[] nextArrivals = new double[fleet.kinds().size()];
+        for (int kind = 0; kind < nextArrivals.length; kind++) {
+            nextArrivals[kind] = sampleExponential();
         }
-        for (double now = 0; now < LENGTH_SECONDS; now += STEP_SECONDS) {
-            for (int kind = 0; kind < next.length; kind++) {
+        for (double now = 0; now < TRACE_SECONDS; now += STEP_SECONDS) {
+            for (int kind = 0; kind < nextArrivals.length; kind++) {
                 double rate = load.at(now)
-                        * mix.at(now).of(kind)
-                        * fleet.mostRequestsPerSecond(fleet.kinds().get(kind));
-                double expected = rate * STEP_SECONDS;
-                double used = 0;
-                while (next[kind] <= expected - used) {
-                    used += next[kind];
-                    double arrival = now + used / rate;
-                    requests.add(request(arrival, team, fleet.kinds().get(kind), prefixes, prefixShare));
-                    next[kind] = exponential();
+                        * mix.at(now).fractionOf(kind)
+                        * fleet.maxRequestsPerSecond(fleet.kinds().get(kind));
+                double stepArrivals = rate * STEP_SECONDS;
+                double elapsed = 0;
+                while (nextArrivals[kind] <= stepArrivals - elapsed) {
+                    elapsed += nextArrivals[kind];
+                    double arrival = now + elapsed / rate;
+                    requests.add(request(arrival, team, fleet.kinds().get(kind), prefixes, prefixFraction));
+                    nextArrivals[kind] = sampleExponential();
                 }
-                next[kind] -= expected - used;
+                nextArrivals[kind] -= stepArrivals - elapsed;
             }
         }
         requests.sort((one, other) -> Double.compare(one.arrivalSeconds(), other.arrivalSeconds()));
         return requests;
     }
 
-    private TraceRequest request(double arrival, String team, BenchKind kind, int prefixes, double prefixShare) {
-        int prompt = length(kind.typicalPromptTokens());
-        int output = Math.min(kind.declaration().longestOutputTokens(), length(kind.typicalOutputTokens()));
-        String prefix = team + "-" + kind.declaration().name() + "-" + popular(prefixes);
-        int prefixTokens = (int) (prefixShare * kind.typicalPromptTokens());
+    private TraceRequest request(double arrival, String team, TraceKind kind, int prefixes, double prefixFraction) {
+        int prompt = sampleLength(kind.typicalPromptTokens());
+        int output = Math.min(kind.declaration().longestOutputTokens(), sampleLength(kind.typicalOutputTokens()));
+        String prefix = team + "-" + kind.declaration().name() + "-" + samplePrefix(prefixes);
+        int prefixTokens = (int) (prefixFraction * kind.typicalPromptTokens());
         return new TraceRequest(
                 arrival,
                 team,
@@ -154,15 +163,15 @@
     }
 
     /** Draws a prefix; low numbers are drawn more often. */
-    private int popular(int prefixes) {
+    private int samplePrefix(int prefixes) {
         return (int) (prefixes * Math.pow(random.nextDouble(), 1.7));
     }
 
-    private int length(int typical) {
-        return Math.max(4, (int) (typical * Math.exp(LENGTH_DEVIATION * random.nextGaussian())));
+    private int sampleLength(int typical) {
+        return Math.max(4, (int) (typical * Math.exp(LENGTH_LOG_DEVIATION * random.nextGaussian())));
     }
 
-    private double exponential() {
+    private double sampleExponential() {
         return -Math.log(1 - random.nextDouble());
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
@@ -14,8 +14,8 @@
 
 /** Reads a trace file: one JSON object a line. */
 public final class TraceReader {
-    private static final int MOST_TOKENS = 1_000_000;
-    private static final double MOST_SECONDS = 1_000_000;
+    private static final int MAX_TOKENS = 1_000_000;
+    private static final double MAX_SECONDS = 1_000_000;
 
     private final Fleet fleet;
     private final Findings findings = new Findings();
@@ -28,11 +28,11 @@
     public Trace read(Path file) throws AspenmoorException {
         List<TraceRequest> requests = new ArrayList<>();
         List<TraceIncident> incidents = new ArrayList<>();
-        int number = 0;
-        for (String line : lines(file)) {
-            number++;
+        int lineNumber = 0;
+        for (String line : readLines(file)) {
+            lineNumber++;
             if (!line.isBlank()) {
-                readLine(file + " line " + number, line, requests, incidents);
+                readLine(file + " line " + lineNumber, line, requests, incidents);
             }
         }
         findings.throwIfAny(file.toString());
@@ -41,15 +41,15 @@
         return new Trace(file.getFileName().toString(), requests, incidents);
     }
 
-    private static List<String> lines(Path file) throws AspenmoorException {
+    private static List<String> readLines(Path file) throws AspenmoorException {
         try {
             return Files.readAllLines(file);
-        } catch (IOException unreadable) {
+        } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The trace could not be read: " + unreadable.getMessage() + ".",
+                    "The trace could not be read: " + exception.getMessage() + ".",
                     file.toString(),
                     "Check the path, or name a built-in trace.",
-                    unreadable);
+                    exception);
         }
     }
 
@@ -75,21 +75,21 @@
             findings.add(reader.placeOf("kind"), "The fleet has no such kind.", "Use a kind of the fleet file.");
         }
         return new TraceRequest(
-                reader.decimal("arrivalSeconds", 0, MOST_SECONDS, 0),
+                reader.decimal("arrivalSeconds", 0, MAX_SECONDS, 0),
                 reader.optionalText("team").orElse("house"),
                 kind,
-                reader.integer("promptTokens", 1, MOST_TOKENS, 1),
-                reader.integer("outputTokens", 1, MOST_TOKENS, 1),
+                reader.integer("promptTokens", 1, MAX_TOKENS, 1),
+                reader.integer("outputTokens", 1, MAX_TOKENS, 1),
                 reader.optionalText("prefix"),
-                reader.integer("prefixTokens", 0, MOST_TOKENS, 0));
+                reader.integer("prefixTokens", 0, MAX_TOKENS, 0));
     }
 
     private void readIncident(FieldReader reader, List<TraceIncident> incidents) {
-        double at = reader.decimal("atSeconds", 0, MOST_SECONDS, 0);
+        double at = reader.decimal("atSeconds", 0, MAX_SECONDS, 0);
         int last = fleet.engines().size() - 1;
         int withdrawn = reader.integer("withdrawEngine", 0, last, -1);
         int returned = reader.integer("returnEngine", 0, last, -1);
-        double lag = reader.decimal("reportLagSeconds", 0, MOST_SECONDS, -1);
+        double lag = reader.decimal("reportLagSeconds", 0, MAX_SECONDS, -1);
         if (withdrawn >= 0) {
             incidents.add(new TraceIncident.Withdrawal(at, withdrawn));
         }
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/PolicyRegressionTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/PolicyRegressionTest.java
@@ -16,42 +16,47 @@
     private static final long SEED = 1;
 
     @Test
-    public void should_beat_the_threshold_rule_with_a_third_of_its_changes_on_sudden_swings() {
+    public void should_match_threshold_goodput_with_a_third_of_its_role_changes_when_mix_swings() {
         PolicyRunner runner = runner(BuiltInFleets.seitkali(), BuiltInTrace.SUDDEN_SWINGS);
-        RunResult own = runner.run(PolicyName.ASPENMOOR);
+        RunResult aspenmoor = runner.run(PolicyName.ASPENMOOR);
         RunResult threshold = runner.run(PolicyName.THRESHOLD);
 
-        assertTrue(own.weightedGoodput() >= threshold.weightedGoodput(), describe(own, threshold));
-        assertTrue(own.roleChanges() * 3 <= threshold.roleChanges(), describe(own, threshold));
+        assertTrue(aspenmoor.weightedGoodput() >= threshold.weightedGoodput(), describe(aspenmoor, threshold));
+        assertTrue(aspenmoor.roleChanges() * 3 <= threshold.roleChanges(), describe(aspenmoor, threshold));
     }
 
     @Test
-    public void should_change_no_role_on_the_fast_oscillation() {
-        RunResult own =
+    public void should_change_no_role_when_mix_oscillates_fast() {
+        RunResult aspenmoor =
                 runner(BuiltInFleets.seitkali(), BuiltInTrace.FAST_OSCILLATION).run(PolicyName.ASPENMOOR);
 
-        assertEquals(own.roleChanges(), 0);
-        assertTrue(own.weightedGoodput() > 0.97 * own.offeredWeight(), own.toString());
+        assertEquals(aspenmoor.roleChanges(), 0);
+        assertTrue(aspenmoor.weightedGoodput() > 0.97 * aspenmoor.offeredWeight(), aspenmoor.toString());
     }
 
     @Test
-    public void should_answer_the_heaviest_kind_under_twice_the_load() {
-        RunResult own = runner(BuiltInFleets.hojas(), BuiltInTrace.OVERLOAD_2).run(PolicyName.ASPENMOOR);
+    public void should_answer_heaviest_kind_in_time_when_load_is_twice_the_capacity() {
+        RunResult aspenmoor =
+                runner(BuiltInFleets.hojas(), BuiltInTrace.OVERLOAD_2).run(PolicyName.ASPENMOOR);
 
-        assertTrue(own.heaviestInTimeShare() > 0.97, "heaviest kind in time: " + own.heaviestInTimeShare());
+        assertTrue(
+                aspenmoor.heaviestInTimeFraction() > 0.97,
+                "heaviest kind in time: " + aspenmoor.heaviestInTimeFraction());
     }
 
     @Test
-    public void should_have_a_shorter_first_token_than_least_reported_load_where_prefixes_are_shared() {
+    public void should_return_first_token_sooner_than_least_reported_load_when_prefixes_are_shared() {
         PolicyRunner runner = runner(BuiltInFleets.seitkali(), BuiltInTrace.PREFIX_HEAVY);
-        RunResult own = runner.run(PolicyName.ASPENMOOR);
+        RunResult aspenmoor = runner.run(PolicyName.ASPENMOOR);
         RunResult leastLoad = runner.run(PolicyName.LEAST_REPORTED_LOAD);
 
-        assertTrue(own.firstTokenP95Seconds() < 0.7 * leastLoad.firstTokenP95Seconds(), describe(own, leastLoad));
+        assertTrue(
+                aspenmoor.firstTokenP95Seconds() < 0.7 * leastLoad.firstTokenP95Seconds(),
+                describe(aspenmoor, leastLoad));
     }
 
     @Test
-    public void should_give_the_same_result_for_the_same_seed() {
+    public void should_return_same_result_when_seed_is_same() {
         RunResult first =
                 runner(BuiltInFleets.hojas(), BuiltInTrace.ENGINE_WITHDRAWN).run(PolicyName.ASPENMOOR);
         RunResult second =
@@ -64,9 +69,9 @@
         return new PolicyRunner(fleet, new TraceGenerator(fleet, new SplittableRandom(SEED)).generate(trace), SEED);
     }
 
-    private static String describe(RunResult own, RunResult other) {
-        return "goodput " + own.weightedGoodput() + " and " + other.weightedGoodput() + ", role changes "
-                + own.roleChanges() + " and " + other.roleChanges() + ", first token p95 "
-                + own.firstTokenP95Seconds() + " and " + other.firstTokenP95Seconds();
+    private static String describe(RunResult aspenmoor, RunResult other) {
+        return "goodput " + aspenmoor.weightedGoodput() + " and " + other.weightedGoodput() + ", role changes "
+                + aspenmoor.roleChanges() + " and " + other.roleChanges() + ", first token p95 "
+                + aspenmoor.firstTokenP95Seconds() + " and " + other.firstTokenP95Seconds();
     }
 }
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/TraceReaderTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/TraceReaderTest.java
@@ -18,8 +18,8 @@
 
 public class TraceReaderTest {
     @Test
-    public void should_run_a_trace_that_a_user_wrote() throws IOException, AspenmoorException {
-        Path file = file("""
+    public void should_run_trace_read_from_file() throws IOException, AspenmoorException {
+        Path file = temporaryFile("""
                 {"arrivalSeconds":0.1,"kind":"cue","promptTokens":900,"outputTokens":80,"prefix":"scene-7","prefixTokens":600}
                 {"atSeconds":0.5,"withdrawEngine":0}
 
@@ -33,8 +33,8 @@
     }
 
     @Test
-    public void should_report_every_mistake_with_its_line() throws IOException {
-        Path file = file("""
+    public void should_report_every_mistake_with_its_line_number() throws IOException {
+        Path file = temporaryFile("""
                 {"arrivalSeconds":0.1,"kind":"unknown","promptTokens":900,"outputTokens":80}
                 {"arrivalSeconds":0.2,"kind":"cue","outputTokens":80}
                 """);
@@ -46,13 +46,13 @@
     }
 
     @Test
-    public void should_say_which_file_is_missing() {
+    public void should_fail_when_trace_file_is_missing() {
         assertThrows(
                 AspenmoorException.class,
                 () -> new TraceReader(BuiltInFleets.seitkali()).read(Path.of("no-such-trace.jsonl")));
     }
 
-    private static Path file(String text) throws IOException {
+    private static Path temporaryFile(String text) throws IOException {
         Path file = Files.createTempFile("trace", ".jsonl");
         file.toFile().deleteOnExit();
         return Files.writeString(file, text);
