--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayMain.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayMain.java
@@ -16,7 +16,7 @@
 import org.aspenmoor.internal.bench.replay.run.DayResult;
 import org.aspenmoor.internal.bench.replay.run.ReplayRun;
 
-/** The command line of the replay. */
+/** Command line of the load replay. */
 public final class ReplayMain {
     private static final int MAX_THREADS = 3;
 
@@ -27,7 +27,7 @@
         this.options = options;
     }
 
-    /** Plays days; the exit code is 2 where an argument or a file is wrong. */
+    /** Replays the selected days; exits with code 2 if an argument or a file is invalid. */
     public static void main(String[] arguments) {
         try {
             new ReplayMain(ReplayOptions.parse(arguments)).run();
@@ -82,9 +82,9 @@
             return results;
         } catch (InterruptedException | ExecutionException exception) {
             throw new AspenmoorException(
-                    "A replayed day failed: " + exception.getMessage() + ".",
+                    "Could not replay a day: " + exception.getMessage() + ".",
                     customer.name(),
-                    "This is a fault of the replay; report it with the arguments used.",
+                    "This is a fault in the replay; report it together with the arguments used.",
                     exception);
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayOptions.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/ReplayOptions.java
@@ -13,18 +13,18 @@
 import org.aspenmoor.internal.bench.replay.run.Mechanism;
 
 /**
- * The arguments of the replay.
+ * Command line arguments of the load replay.
  *
- * @param customerFiles the customers' files
- * @param dayNames the days to play; empty for all
- * @param firstSeed the first seed
- * @param seedCount how many seeds, counted up from the first
- * @param loadFactors how many times the load, each played by itself
- * @param engineSpeedFactors how many times as fast engines are, each played by itself
- * @param entries how many entries; empty for the customer's own number
- * @param disabled what is switched off
- * @param printKinds whether to print a line for each kind
- * @param plotFile where to draw the first day
+ * @param customerFiles files that describe the customers
+ * @param dayNames days to replay; empty for all
+ * @param firstSeed first random seed
+ * @param seedCount number of consecutive seeds, starting with the first
+ * @param loadFactors factors on the load; each is replayed separately
+ * @param engineSpeedFactors factors on the speed of the engines; each is replayed separately
+ * @param entries number of entries; empty for the number in the customer's file
+ * @param disabled mechanisms that are switched off
+ * @param printKinds whether to print a line for each request kind
+ * @param plotFile file for the plot of the first seed; each replayed day overwrites it
  */
 record ReplayOptions(
         List<Path> customerFiles,
@@ -62,7 +62,7 @@
             return read(parser.parse(arguments));
         } catch (OptionException exception) {
             throw new AspenmoorException(
-                    "The arguments are wrong: " + exception.getMessage() + ".",
+                    "Invalid command line arguments: " + exception.getMessage() + ".",
                     "command line",
                     "Use --customer FILE with --day, --seed, --seeds, --load, --engine-speed, --entries, --off, --kinds"
                             + " or --plot.",
@@ -93,9 +93,9 @@
         for (Object label : options.valuesOf("off")) {
             mechanisms.add(Mechanism.find((String) label)
                     .orElseThrow(() -> new AspenmoorException(
-                            "There is no mechanism \"" + label + "\".",
+                            "Unknown mechanism \"" + label + "\".",
                             "--off",
-                            "Use some of "
+                            "Use one or more of "
                                     + List.of(Mechanism.values()).stream()
                                             .map(Mechanism::label)
                                             .toList() + ".")));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/Customer.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/Customer.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * One customer's deployment.
+ * A customer's deployment: entries, engines, request kinds and the loads to replay.
  *
- * @param name its name
- * @param entries how many entries take requests
- * @param dataCentres over how many data centres entries and engines are spread
- * @param engines its engines
- * @param kinds what its callers ask for
- * @param days the loads to replay
+ * @param name name of the customer
+ * @param entries number of entries that take requests
+ * @param dataCentres number of data centres that entries and engines are distributed over, in turn
+ * @param engines number and performance of its engines
+ * @param kinds request kinds that its callers send
+ * @param days days whose load can be replayed
  */
 public record Customer(
         String name,
@@ -19,12 +19,12 @@
         EngineProfile engines,
         List<RequestProfile> kinds,
         List<LoadDay> days) {
-    /** Returns the same customer with another number of entries and engines that work so many times as fast. */
+    /** Returns a copy with another number of entries and with the speed of the engines multiplied by a factor. */
     public Customer withEntriesAndEngineSpeed(int newEntries, double engineSpeedFactor) {
         return new Customer(name, newEntries, dataCentres, engines.withSpeedFactor(engineSpeedFactor), kinds, days);
     }
 
-    /** Returns the same customer with engines that differ in speed: by engine in turn, how many times longer one takes. */
+    /** Returns a copy with engines of different speed; the slowdown factors are assigned to the engines in turn. */
     public Customer withEngineSlowdowns(List<Double> slowdowns) {
         return new Customer(name, entries, dataCentres, engines.withSlowdowns(slowdowns), kinds, days);
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/CustomerReader.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.json.FieldReader;
 import org.aspenmoor.internal.json.LocatedJsonParser;
 
-/** Reads a customer's file: JSON with comments. */
+/** Reads a customer's file, which is JSON with comments. */
 public final class CustomerReader {
     private static final double MAX_VALUE = 1e9;
     private static final int MAX_COUNT = 1_000_000_000;
@@ -20,7 +20,7 @@
 
     private final Findings findings = new Findings();
 
-    /** Reads a file; all mistakes are reported together. */
+    /** Reads a file. All mistakes in it are reported in one exception. */
     public Customer read(Path file) throws AspenmoorException {
         Optional<Customer> customer = new LocatedJsonParser(file.toString(), findings)
                 .parseObject(readText(file))
@@ -34,9 +34,9 @@
             return Files.readString(file);
         } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The customer could not be read: " + exception.getMessage() + ".",
+                    "Could not read the customer file: " + exception.getMessage() + ".",
                     file.toString(),
-                    "Check the path; files of customers lie in aspenmoor-bench/customers.",
+                    "Check the path; customer files are in aspenmoor-bench/customers.",
                     exception);
         }
     }
@@ -152,7 +152,7 @@
         return change;
     }
 
-    /** One kind has its high time while the other has its low one, in turn. */
+    /** Alternates two kinds: in each phase one kind has the high factor and the other the low one. */
     private static List<LoadChange> readSwings(FieldReader reader) {
         String firstKind = reader.requiredText("first");
         String secondKind = reader.requiredText("second");
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/EngineOutage.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/EngineOutage.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.bench.replay.customer;
 
 /**
- * A time in which an engine is gone, with all that it had.
+ * A period in which an engine is down. Its jobs and its cache are lost.
  *
- * @param engine its number
- * @param startSeconds when it goes
- * @param durationSeconds after how long an empty one is back
+ * @param engine index of the engine, from 0
+ * @param startSeconds start, in seconds of the day
+ * @param durationSeconds time until the engine is up again, with an empty cache
  */
 public record EngineOutage(int engine, double startSeconds, double durationSeconds) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/EngineProfile.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/EngineProfile.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * What a customer's engines can do.
+ * Number, limits and performance of a customer's engines.
  *
- * @param count how many there are
- * @param slots how many answers one generates at once
- * @param queueLimit how many requests one lets wait
- * @param cacheTokens how many tokens its memory holds
- * @param stepSeconds one step of an empty batch
- * @param stepSecondsPerSequence what each answer adds to a step
- * @param stepSecondsPerThousandTokens what each thousand tokens in memory add to a step
- * @param prefillTokensPerSecond prompt tokens computed a second
- * @param attentionSecondsPerMegapair what attention adds for each million pairs of tokens
- * @param firstEventSeconds from the begin of an answer to its first event, beside computing
- * @param tokensPerEvent how many steps lie between two events
- * @param chunkTokens prompt tokens computed between two steps
- * @param fixedTransferSeconds the fixed part of a transfer of computed tokens
- * @param transferTokensPerSecond computed tokens moved a second
- * @param roleChangeSeconds how long an empty engine takes to change its role
- * @param slowdowns by engine in turn, how many times longer than these figures it takes
+ * @param count number of engines
+ * @param slots number of answers that an engine generates concurrently
+ * @param queueLimit maximum number of requests queued at an engine
+ * @param cacheTokens number of tokens that an engine's memory holds
+ * @param stepSeconds duration of a decode step with an empty batch
+ * @param stepSecondsPerSequence time that each answer in the batch adds to a step
+ * @param stepSecondsPerThousandTokens time that each thousand tokens in memory add to a step
+ * @param prefillTokensPerSecond prompt tokens prefilled per second, without the cost of attention
+ * @param attentionSecondsPerMegapair time that attention adds for each million pairs of tokens
+ * @param firstEventSeconds delay before the first event of an answer, in addition to prefill
+ * @param tokensPerEvent decode steps between two events of an answer
+ * @param chunkTokens prompt tokens prefilled between two decode steps
+ * @param fixedTransferSeconds fixed part of the duration of a cache transfer
+ * @param transferTokensPerSecond cached tokens transferred per second
+ * @param roleChangeSeconds time that an empty engine takes to change its role
+ * @param slowdowns slowdown factors, assigned to the engines in turn (1 = as fast as this profile); empty for none
  */
 public record EngineProfile(
         int count,
@@ -41,7 +41,9 @@
         List<Double> slowdowns) {
     private static final double PAIRS_PER_MEGAPAIR = 1e6;
 
-    /** Returns the figures of engines that work so many times as fast. */
+    /**
+     * Returns a copy with the compute speed multiplied by a factor. Transfers and role changes take as long as before.
+     */
     public EngineProfile withSpeedFactor(double factor) {
         return new EngineProfile(
                 count,
@@ -62,7 +64,7 @@
                 slowdowns);
     }
 
-    /** Returns the figures of engines that differ in speed as given. */
+    /** Returns a copy with other slowdown factors. */
     EngineProfile withSlowdowns(List<Double> newSlowdowns) {
         return new EngineProfile(
                 count,
@@ -83,23 +85,23 @@
                 newSlowdowns);
     }
 
-    /** Returns how long computing so many tokens behind so many kept ones takes. */
+    /** Returns the time to prefill new tokens that follow a number of cached tokens, in seconds. */
     public double prefillSeconds(double newTokens, double cachedTokens) {
         double megapairs = newTokens * (cachedTokens + newTokens / 2) / PAIRS_PER_MEGAPAIR;
         return newTokens / prefillTokensPerSecond + megapairs * attentionSecondsPerMegapair;
     }
 
-    /** Returns how long one step over a batch takes. */
+    /** Returns the duration of a decode step, given the number of sequences in the batch and their tokens in memory. */
     public double stepSeconds(int sequences, double tokens) {
         return stepSeconds + stepSecondsPerSequence * sequences + stepSecondsPerThousandTokens * tokens / 1000;
     }
 
-    /** Returns how long moving so many computed tokens takes. */
+    /** Returns the duration of a cache transfer of a number of tokens, in seconds. */
     public double cacheTransferSeconds(double tokens) {
         return fixedTransferSeconds + tokens / transferTokensPerSecond;
     }
 
-    /** Returns how many times longer than these figures an engine takes. */
+    /** Returns the slowdown factor of an engine (1 = as fast as this profile). */
     public double slowdown(int engine) {
         return slowdowns.isEmpty() ? 1 : slowdowns.get(engine % slowdowns.size());
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/LoadDay.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/LoadDay.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * How the load of one day runs.
+ * The load of one day.
  *
- * @param name its name
- * @param lengthSeconds its length
- * @param loadFactor how many times the usual number of requests come
- * @param changes when kinds come more or less often
- * @param outages when engines are gone
+ * @param name name of the day
+ * @param lengthSeconds length of the replayed day
+ * @param loadFactor factor on the mean arrival rates of all kinds
+ * @param changes periods with a different arrival rate of a kind
+ * @param outages periods in which engines are down
  */
 public record LoadDay(
         String name, double lengthSeconds, double loadFactor, List<LoadChange> changes, List<EngineOutage> outages) {
-    /** Returns the same day with so many times the load. */
+    /** Returns a copy with the load multiplied by a factor. */
     public LoadDay scaledBy(double factor) {
         return new LoadDay(name, lengthSeconds, loadFactor * factor, changes, outages);
     }
 
-    /** Returns how many requests of a kind come a second at a moment. */
+    /** Returns the arrival rate of a request kind at a given second of the day. */
     public double requestsPerSecond(RequestProfile kind, double second) {
         double rate = kind.requestsPerSecond() * loadFactor;
         for (LoadChange change : changes) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/LogNormalDistribution.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/LogNormalDistribution.java
@@ -3,14 +3,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A log-normal quantity.
+ * A log-normal distribution of whole numbers, with an upper limit.
  *
- * @param mean its mean
- * @param logDeviation the standard deviation of its logarithm
- * @param max what it is cut at
+ * @param mean mean before rounding and limiting
+ * @param logDeviation standard deviation of the logarithm
+ * @param max upper limit; larger values are set to it
  */
 public record LogNormalDistribution(double mean, double logDeviation, double max) {
-    /** Draws one, a whole number of 1 at least. */
+    /** Draws a whole number of at least 1. */
     public int sample(RandomGenerator random) {
         double logarithm = Math.log(mean) - logDeviation * logDeviation / 2 + logDeviation * random.nextGaussian();
         return (int) Math.max(1, Math.round(Math.min(max, Math.exp(logarithm))));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/RequestProfile.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/RequestProfile.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * One kind of generation that callers ask for.
+ * A kind of generation request, with its rate, objectives, value and lengths.
  *
- * @param name its name
- * @param requestsPerSecond how many come on average
- * @param objective within which an answer has to begin to be on time
- * @param deadline after which nobody waits any more
- * @param maxEventInterval the longest pause between events of an answer that is on time
- * @param value what an answer on time is worth
- * @param lateValue what a late answer is worth
- * @param priority its rank; 0 goes first
- * @param resumable whether another engine may go on with a broken answer
- * @param events how many events an answer has
- * @param uniqueTokens the part of the prompt that is the request's own
- * @param sharedParts the parts before it
+ * @param name name of the kind
+ * @param requestsPerSecond mean arrival rate
+ * @param objective time within which an answer has to start to count as on time
+ * @param deadline time after which the caller no longer waits
+ * @param maxEventInterval longest interval between two events of an answer that counts as on time
+ * @param value value of an answer that is on time
+ * @param lateValue value of a complete answer that is late
+ * @param priority priority; 0 is the most urgent
+ * @param resumable whether another engine may resume an interrupted answer
+ * @param events number of events of an answer
+ * @param uniqueTokens length of the part of the prompt that no other request has
+ * @param sharedParts prompt parts before it that requests share
  */
 public record RequestProfile(
         String name,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/SharedPromptPart.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/SharedPromptPart.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.bench.replay.customer;
 
 /**
- * A part of prompts that requests share.
+ * A part of a prompt that several requests share.
  *
- * @param tokens its length
- * @param variants how many different ones there are
+ * @param tokens length of the part
+ * @param variants number of different contents of the part
  */
 public record SharedPromptPart(LogNormalDistribution tokens, int variants) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/customer/package-info.java
@@ -1,2 +1,2 @@
-/** What a customer's callers ask for and what its engines can do, read from files. */
+/** Load and engine performance of a customer's deployment, read from files. */
 package org.aspenmoor.internal.bench.replay.customer;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/DecodeBatch.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/DecodeBatch.java
@@ -6,10 +6,10 @@
 import org.aspenmoor.internal.bench.replay.customer.EngineProfile;
 
 /**
- * The answers that one engine generates at once, and the prompt that it computes between their steps.
+ * The answers that an engine generates concurrently, and the prompt that it prefills between the decode steps.
  *
- * <p>A step takes longer with each answer and each token in memory. While a prompt is computed, each step also computes a
- * quarter of a chunk at half the usual rate.
+ * <p>A step takes longer with each answer and each token in memory. While a prompt is prefilled, each step also
+ * prefills a quarter of a chunk at half the usual rate.
  */
 final class DecodeBatch {
     private static final double MIXED_CHUNK_FRACTION = 0.25;
@@ -37,7 +37,7 @@
         return prefilling.isPresent();
     }
 
-    /** Returns whether there is a slot and memory for a job. */
+    /** Returns whether a slot and enough memory are free for a job. */
     boolean hasRoomFor(EngineJob job) {
         int usedSlots = running.size() + (prefilling.isPresent() ? 1 : 0);
         return usedSlots < profile.slots() && cacheTokens() + job.prompt().promptTokens() <= profile.cacheTokens();
@@ -48,19 +48,19 @@
                 + prefilling.map(EngineJob::requiredCacheTokens).orElse(0.0);
     }
 
-    /** Begins to generate the answer of a job whose prompt is computed. */
+    /** Starts to generate the answer of a job whose prompt is prefilled. */
     void startDecode(EngineJob job) {
         job.startDecode();
         running.add(job);
     }
 
-    /** Begins to compute a prompt of which so many tokens are missing. */
+    /** Starts to prefill the tokens of a prompt that are not cached. */
     void startPrefill(EngineJob job, double missingTokens) {
         job.startPrefill(missingTokens);
         prefilling = Optional.of(job);
     }
 
-    /** Lets some time pass; returns the jobs that made an event, once for each. */
+    /** Advances all jobs by some time; returns those that completed an event, each once. */
     List<EngineJob> advance(double seconds) {
         double chunkTokens = profile.chunkTokens() * MIXED_CHUNK_FRACTION;
         double chunkSeconds =
@@ -76,14 +76,14 @@
         return withEvent;
     }
 
-    /** Returns the job whose prompt has become complete and takes it out. */
+    /** Removes and returns the job whose prefill is complete, if any. */
     Optional<EngineJob> takePrefilled() {
         Optional<EngineJob> prefilled = prefilling.filter(EngineJob::prefillComplete);
         prefilled.ifPresent(job -> prefilling = Optional.empty());
         return prefilled;
     }
 
-    /** Returns the answer that yields where memory has run out, and takes it out: the newest of the least urgent. */
+    /** Removes and returns the answer to preempt if the memory is exceeded: the newest of the least urgent. */
     Optional<EngineJob> takePreempted() {
         if (cacheTokens() <= profile.cacheTokens() || running.size() < 2) {
             return Optional.empty();
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJob.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJob.java
@@ -5,9 +5,9 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** One attempt at an engine. Compared by identity. */
+/** One attempt of a request at an engine. Compared by identity. */
 public final class EngineJob {
-    /** More urgent ones first, then the earlier ones. */
+    /** Orders by priority, then by sequence. */
     static final Comparator<EngineJob> BY_PRIORITY =
             Comparator.comparingInt(EngineJob::priority).thenComparingLong(job -> job.sequence);
 
@@ -24,12 +24,12 @@
     private boolean transferred;
 
     /**
-     * Makes a job.
+     * Creates a job.
      *
-     * @param events how many events its answer has
-     * @param priority its rank; 0 goes first
-     * @param cacheHolder an engine to fetch computed parts of the prompt from
-     * @param sequence later jobs have higher ones
+     * @param events number of events of its answer
+     * @param priority priority; 0 is the most urgent
+     * @param cacheHolder engine to transfer cached parts of the prompt from
+     * @param sequence sequence number; higher for later jobs
      */
     public EngineJob(
             Prompt prompt,
@@ -68,17 +68,17 @@
         return listener;
     }
 
-    /** Returns how many tokens it has in the memory of the engine that generates its answer. */
+    /** Returns the number of tokens it occupies in the memory of the engine that generates its answer. */
     double cacheTokens() {
         return cacheTokens;
     }
 
-    /** Returns how many tokens have to be in memory before its answer begins or goes on. */
+    /** Returns the number of tokens that have to be in memory before its answer can start or resume. */
     double requiredCacheTokens() {
         return Math.max(cacheTokens, prompt.promptTokens());
     }
 
-    /** Returns whether its answer had begun and had to yield. */
+    /** Returns whether its answer has started. For a queued job this means that it was preempted. */
     boolean preempted() {
         return cacheTokens > 0;
     }
@@ -91,7 +91,7 @@
         return transferred;
     }
 
-    /** Begins to compute what is missing of its prompt. */
+    /** Starts the prefill of the tokens of its prompt that are not cached. */
     void startPrefill(double missingTokens) {
         remainingPromptTokens = missingTokens;
     }
@@ -104,13 +104,13 @@
         return remainingPromptTokens <= 0;
     }
 
-    /** Begins to generate its answer. */
+    /** Starts or resumes the generation of its answer. */
     void startDecode() {
         cacheTokens = requiredCacheTokens();
         stepsSinceEvent = 0;
     }
 
-    /** Takes some steps; returns whether they complete an event. */
+    /** Advances by a number of decode steps; returns whether they complete an event. */
     boolean decode(double steps, double stepsPerEvent) {
         stepsSinceEvent += steps;
         cacheTokens += steps;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJobListener.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/EngineJobListener.java
@@ -1,19 +1,19 @@
 package org.aspenmoor.internal.bench.replay.engine;
 
-/** Hears how an engine gets on with one job. */
+/** Receives the progress of one job at an engine. */
 public interface EngineJobListener {
-    /** The prompt is computed, and the engine keeps it for another one. */
+    /** The prompt is prefilled, and the engine holds its cache for the engine that will decode. */
     void promptPrefilled();
 
-    /** An event of the answer left the engine. */
+    /** An event of the answer was sent. */
     void eventSent();
 
     /** The answer is complete. */
     void answerCompleted();
 
-    /** The engine did not run the job: it is full, changes its role or has the wrong one. */
+    /** The engine did not run the job: it is full, is changing its role or has the wrong role. */
     void rejected();
 
-    /** The engine is gone with all that it had. */
+    /** The engine went down, and the job was lost. */
     void lost();
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/JobQueue.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/JobQueue.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Jobs that wait at an engine, by rank and then by their order. */
+/** Queue of jobs at an engine, ordered by priority and then by sequence. */
 final class JobQueue {
     private final PriorityQueue<EngineJob> jobs = new PriorityQueue<>(EngineJob.BY_PRIORITY);
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/PromptPartCache.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/PromptPartCache.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.PromptPart;
 
-/** The computed prompt parts that an engine keeps; the least recently used yield. */
+/** Cache of prefilled prompt parts at an engine, with eviction of the least recently used. */
 final class PromptPartCache {
     private static final float LOAD_FACTOR = 0.75f;
     private static final int INITIAL_CAPACITY = 64;
@@ -13,7 +13,7 @@
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private int totalTokens;
 
-    /** Returns how many tokens at the beginning of the prompt are kept, and marks them as used. */
+    /** Returns the number of cached tokens at the start of a prompt, and marks the parts as used. */
     int lookUp(Prompt prompt) {
         int cached = 0;
         for (PromptPart part : prompt.parts()) {
@@ -25,7 +25,7 @@
         return Math.min(cached, prompt.promptTokens());
     }
 
-    /** Keeps the parts of a prompt that others may share, within so many tokens. */
+    /** Stores the parts of a prompt that other requests may share, and evicts down to a number of tokens. */
     void store(Prompt prompt, double maxTokens) {
         for (PromptPart part : prompt.parts().subList(0, prompt.parts().size() - 1)) {
             Integer previous = tokensByPart.put(part.identity(), part.tokens());
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/SimulatedEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/SimulatedEngine.java
@@ -11,9 +11,9 @@
 import org.aspenmoor.internal.serving.ReportedLoad;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** A model of one engine. Confined to the replay's thread. */
+/** A simulated engine. Confined to the thread of the replay. */
 public final class SimulatedEngine {
-    /** How finely answers advance: a fraction of the shortest pause that callers notice. */
+    /** Time step by which answers advance; a fraction of the shortest event interval that callers notice. */
     private static final double TICK_SECONDS = 0.004;
 
     private final EventLoop loop;
@@ -40,23 +40,23 @@
         this.batch = new DecodeBatch(profile, slowdown);
     }
 
-    /** Returns what the engine says of itself. */
+    /** Returns the server record that the engine reports, with its present role. */
     public BackendServer server() {
         return server;
     }
 
-    /** Returns whether it is there at all. */
+    /** Returns whether the engine is up. It also counts as up during a role change. */
     public boolean isUp() {
         return up;
     }
 
-    /** Returns its load. */
+    /** Returns its present load. */
     public ReportedLoad load() {
         int running = batch.size() + (prefilling.isPresent() || batch.isPrefilling() ? 1 : 0);
         return new ReportedLoad(running, prefillQueue.size() + answerQueue.size(), profile.slots());
     }
 
-    /** Takes a job. */
+    /** Accepts or rejects a job. */
     public void submit(EngineJob job) {
         if (!up) {
             job.listener().lost();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Drops a job whose caller has left. */
+    /** Drops a job whose caller has cancelled. A prefill-only job that has started is completed. */
     public void cancel(EngineJob job) {
         boolean dropped = prefillQueue.remove(job) || answerQueue.remove(job) || batch.remove(job);
         if (dropped) {
@@ -89,7 +89,10 @@
         changeRoleIfEmpty();
     }
 
-    /** Orders another role: what runs ends first, then the engine is away for a while. */
+    /**
+     * Orders a role change. Queued prompts are rejected, accepted work is completed; then the role changes after a
+     * delay.
+     */
     public void changeRole(EngineRole role) {
         if (up && orderedRole.isEmpty() && server.role() != role) {
             orderedRole = Optional.of(role);
@@ -100,7 +103,7 @@
         }
     }
 
-    /** Ends the engine with all that it has; an empty one is back after a while. */
+    /** Takes the engine down; all its jobs and its cache are lost. It is up again, empty, after the outage. */
     public void fail(double outageSeconds) {
         up = false;
         incarnation++;
@@ -158,7 +161,7 @@
         return Math.max(0, heldTokens - cachedTokens);
     }
 
-    /** Transfers to an engine follow one another. */
+    /** Queues the transfer of a prefilled prompt to this engine; transfers run one after another. */
     private void receiveHandoff(EngineJob job) {
         double startSeconds = Math.max(loop.nowSeconds(), linkFreeAtSeconds);
         linkFreeAtSeconds =
@@ -174,7 +177,7 @@
         Optional<EngineJob> next = answerQueue.peek();
         while (next.isPresent() && batch.hasRoomFor(next.get())) {
             EngineJob job = next.get();
-            // One that had to yield is read in again.
+            // A preempted answer has lost its cache and has to be prefilled again.
             boolean handoff = job.workKind() == WorkKind.HANDOFF && !job.preempted();
             if (handoff ? !job.transferred() : batch.isPrefilling()) {
                 return;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A model of one engine: prompts in chunks, answers in batches, memory, transfers, changes of role. */
+/** A simulated engine: chunked prefill, batched decode, cache memory, cache transfers and role changes. */
 package org.aspenmoor.internal.bench.replay.engine;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/package-info.java
@@ -1,2 +1,2 @@
-/** Replays the load of a day on a model of the engines, through the very classes that decide in an entry. */
+/** Replays the load of a day on simulated engines, using the scheduling classes of the entries themselves. */
 package org.aspenmoor.internal.bench.replay;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayPlot.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayPlot.java
@@ -6,11 +6,11 @@
 import org.aspenmoor.internal.bench.replay.run.DayPoint;
 import org.aspenmoor.internal.bench.replay.run.DayResult;
 
-/** Draws load, waits, roles and earned worth of one replayed day as a PNG. */
+/** Plots load, queue length, roles and earned value of a replayed day as a PNG file. */
 public final class ReplayPlot {
     private ReplayPlot() {}
 
-    /** Draws a day. */
+    /** Writes the plot of one day. */
     public static void write(Path file, DayResult day) throws AspenmoorException {
         new TimeCharts<DayPoint>(DayPoint::second)
                 .chart(day.day() + ": callers a second")
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayTable.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/ReplayTable.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.bench.replay.run.DayResult;
 import org.aspenmoor.internal.bench.replay.run.KindResult;
 
-/** Prints replayed days: means over the seeds, a line for the day and one for each kind. */
+/** Prints the results of replayed days as means over the seeds: a line per day and a line per request kind. */
 public final class ReplayTable {
     private final PrintStream out;
 
@@ -15,12 +15,12 @@
         this.out = out;
     }
 
-    /** Prints the heading. */
+    /** Prints the table heading. */
     public void heading() {
         out.printf("%-34s %6s %6s %6s %6s %6s %8s%n", "day", "earned", "served", "nines", "window", "kind", "refused");
     }
 
-    /** Prints one day's results of all seeds. */
+    /** Prints the line of one day, given its results for all seeds. */
     public void print(String label, List<DayResult> results) {
         out.printf(
                 Locale.ROOT,
@@ -34,7 +34,7 @@
                 mean(results, DayResult::medianRefusalSeconds));
     }
 
-    /** Prints the kinds of one day's results. */
+    /** Prints a line for each request kind of one day. */
     public void printKinds(List<DayResult> results) {
         for (int index = 0; index < results.getFirst().kinds().size(); index++) {
             int kind = index;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/report/package-info.java
@@ -1,2 +1,2 @@
-/** Tables and plots of replayed days. */
+/** Tables and plots of the results of replayed days. */
 package org.aspenmoor.internal.bench.replay.report;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerListener.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerListener.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 
-/** Hears how one try of a caller ended. */
+/** Receives the progress and the end of one attempt of a caller. */
 interface CallerListener {
-    /** The first event came. */
+    /** An event of the answer was received. */
     void eventReceived(CallerRequest request);
 
     /** The answer is complete. */
     void completed(CallerRequest request);
 
-    /** It was refused without having run. */
+    /** The request was refused and has not run. */
     void refused(CallerRequest request, Duration retryAfter);
 
-    /** It may have run and got nothing whole. */
+    /** The request failed; it may have run, and the caller has no complete answer. */
     void failed(CallerRequest request);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerRequest.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerRequest.java
@@ -4,16 +4,16 @@
 import org.aspenmoor.internal.serving.Prompt;
 
 /**
- * What one caller wants, over all of its tries.
+ * The request of one caller, the same for all of its attempts.
  *
- * @param kind its kind
- * @param prompt its prompt
- * @param events how many events the answer has
- * @param requestedAt when it first asked, in nanoseconds
- * @param deadlineAt until when it waits, in nanoseconds
+ * @param kind kind of the request
+ * @param prompt prompt of the request
+ * @param events number of events of the answer
+ * @param requestedAt time of the first attempt, in nanoseconds
+ * @param deadlineAt time until which the caller waits, in nanoseconds
  */
 record CallerRequest(RequestProfile kind, Prompt prompt, int events, long requestedAt, long deadlineAt) {
-    /** What a token of an answer counts in the size of a request, in prompt tokens. */
+    /** Weight of an event of the answer in the size of a request, in prompt tokens. */
     private static final int PROMPT_TOKENS_PER_EVENT = 10;
 
     double size() {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerRequestGenerator.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerRequestGenerator.java
@@ -11,36 +11,36 @@
 import org.aspenmoor.internal.serving.Prompt;
 import org.aspenmoor.internal.serving.PromptPart;
 
-/** Draws what callers ask for. */
+/** Generates the requests of callers at random. */
 final class CallerRequestGenerator {
-    /** Popular shared parts are asked for more often: the weight of the n-th falls with this power of n. */
+    /** Skew of the popularity of shared parts: the weight of the n-th variant falls with this power of n. */
     private static final double POPULARITY_EXPONENT = 0.3;
 
-    /** Callers differ in patience by up to this part of the deadline. */
+    /** Width of the range of maximum waits of callers, as a fraction of the deadline. */
     private static final double WAIT_LIMIT_SPREAD = 0.15;
 
-    /** Standard deviation of the logarithm of how far callers are off about the lengths of their answers. */
+    /** Standard deviation of the logarithm of the error in callers' hints of the answer length. */
     private static final double LENGTH_HINT_LOG_DEVIATION = 0.5;
 
     private final RandomGenerator random;
-    private long generated;
+    private long generatedRequests;
 
     CallerRequestGenerator(RandomGenerator random) {
         this.random = random;
     }
 
     CallerRequest generate(RequestProfile kind, long now) {
-        generated++;
+        generatedRequests++;
         List<PromptPart> parts = new ArrayList<>();
         String identity = kind.name();
         int level = 0;
         for (SharedPromptPart shared : kind.sharedParts()) {
             int variant = sampleVariant(shared.variants());
             identity = identity + "/" + level + ":" + variant;
-            parts.add(new PromptPart(identity, tokens(shared, identity)));
+            parts.add(new PromptPart(identity, sharedPartTokens(shared, identity)));
             level++;
         }
-        parts.add(new PromptPart("own:" + generated, kind.uniqueTokens().sample(random)));
+        parts.add(new PromptPart("own:" + generatedRequests, kind.uniqueTokens().sample(random)));
         int promptTokens = parts.stream().mapToInt(PromptPart::tokens).sum();
         int events = kind.events().sample(random);
         int maxEvents = (int) Math.ceil(kind.events().max());
@@ -51,13 +51,16 @@
         return new CallerRequest(kind, prompt, events, now, now + waitLimit.toNanos());
     }
 
-    /** The same part always has the same length. */
-    private static int tokens(SharedPromptPart shared, String identity) {
+    /**
+     * Returns the length of a shared part; it depends on the identity only, so the same part always has the same
+     * length.
+     */
+    private static int sharedPartTokens(SharedPromptPart shared, String identity) {
         return shared.tokens().sample(new SplittableRandom(identity.hashCode()));
     }
 
     private int sampleVariant(int variants) {
-        // The inverse of the distribution function of a density that falls with the power.
+        // Inverse of the distribution function of a density that falls with this power.
         double position = Math.pow(random.nextDouble(), 1 / (1 - POPULARITY_EXPONENT));
         return Math.min(variants - 1, (int) (position * variants));
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerResult.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.bench.replay.run;
 
-/** How a caller fared in the end. */
+/** Final result of a caller. */
 public enum CallerResult {
-    /** The day ended before. */
+    /** The replay ended before the request did. */
     OPEN,
-    /** It got its whole answer. */
+    /** The caller received a complete answer. */
     COMPLETE,
-    /** It was refused, and its request had not run. */
+    /** The request was refused and has not run. */
     REFUSED,
-    /** Its request may have run, and it got nothing whole. */
+    /** The request may have run, but the caller has no complete answer. */
     FAILED
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerTracker.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/CallerTracker.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.bench.replay.run;
 
-/** What became of one caller. */
+/** Records the attempts, event times and final result of one caller. */
 final class CallerTracker {
     private static final double NANOSECONDS = 1e9;
 
@@ -64,7 +64,7 @@
                 && maxEventInterval <= request.kind().maxEventInterval().toNanos();
     }
 
-    /** Returns what it earns, as a part of what it would on time. */
+    /** Returns the earned value as a fraction of the value of an answer on time. */
     double earnedFraction() {
         if (!served()) {
             return 0;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/DayResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/DayResult.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a replayed day came to.
+ * Result of a replayed day.
  *
- * @param day its name
- * @param seed what it was drawn by
- * @param earnedFraction part of what all callers were worth that was earned
- * @param servedFraction part of the callers that got an answer
- * @param availabilityScore the unserved part on a logarithmic scale: 0 for all, 1 for a thousandth
- * @param worstWindowsFraction part earned in the two worst windows
- * @param worstKindFraction part earned by the worst kind or size
- * @param medianRefusalSeconds median of the seconds after which refused callers heard so
- * @param kinds by kind
- * @param points by second
+ * @param day name of the day
+ * @param seed random seed of the replay
+ * @param earnedFraction fraction of the value of all callers that was earned
+ * @param servedFraction fraction of the callers that received a complete answer
+ * @param availabilityScore unserved fraction on a logarithmic scale: 0 if all are unserved, 1 for a thousandth or less
+ * @param worstWindowsFraction mean fraction of the value earned in the two worst windows
+ * @param worstKindFraction fraction of the value earned by the worst kind or size class of a kind
+ * @param medianRefusalSeconds median time from the first attempt of a refused caller to its final refusal
+ * @param kinds results by request kind
+ * @param points time series, one point per second
  */
 public record DayResult(
         String day,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/DayResultCalculator.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/DayResultCalculator.java
@@ -9,9 +9,12 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 
-/** Adds up what became of all callers of a day. */
+/** Calculates the result of a day from the results of its callers. Callers without a result are left out. */
 final class DayResultCalculator {
-    /** What a request is worth whatever its size, as a part of the mean of its kind; the rest grows with its size. */
+    /**
+     * Part of the value of a request that does not depend on its size, as a fraction of the mean of its kind; the rest
+     * is proportional to the size.
+     */
     private static final double FIXED_VALUE_FRACTION = 0.3;
 
     private static final double MAX_RELATIVE_VALUE = 4;
@@ -19,7 +22,7 @@
     private static final int WINDOW_SECONDS = 3;
     private static final int WORST_WINDOW_COUNT = 2;
 
-    /** A window with fewer callers says nothing. */
+    /** Windows with fewer callers are ignored because their fraction is not meaningful. */
     private static final int MIN_WINDOW_CALLERS = 10;
 
     private static final int LARGEST_PERCENT = 10;
@@ -39,17 +42,17 @@
                         Collectors.averagingDouble(caller -> caller.request().size())));
     }
 
-    DayResult result(String day, long seed, List<DayPoint> samples) {
-        double served = fraction(callers, CallerTracker::served);
-        double availabilityScore =
-                Math.min(1, Math.log(Math.max(MIN_UNSERVED_FRACTION, 1 - served)) / Math.log(MIN_UNSERVED_FRACTION));
+    DayResult calculate(String day, long seed, List<DayPoint> samples) {
+        double servedFraction = fraction(callers, CallerTracker::served);
+        double availabilityScore = Math.min(
+                1, Math.log(Math.max(MIN_UNSERVED_FRACTION, 1 - servedFraction)) / Math.log(MIN_UNSERVED_FRACTION));
         List<KindResult> kinds = new ArrayList<>();
         groupByKind().forEach((name, group) -> kinds.add(kindResult(name, group)));
         return new DayResult(
                 day,
                 seed,
                 earnedFraction(callers),
-                served,
+                servedFraction,
                 availabilityScore,
                 worstWindowsFraction(),
                 worstKindFraction(),
@@ -73,35 +76,33 @@
                 * Math.min(MAX_RELATIVE_VALUE, FIXED_VALUE_FRACTION + (1 - FIXED_VALUE_FRACTION) * relativeSize);
     }
 
-    private double earnedFraction(List<CallerTracker> callers) {
-        double possible = callers.stream().mapToDouble(this::possibleValue).sum();
-        double earned = callers.stream()
+    private double earnedFraction(List<CallerTracker> group) {
+        double possible = group.stream().mapToDouble(this::possibleValue).sum();
+        double earned = group.stream()
                 .mapToDouble(caller -> possibleValue(caller) * caller.earnedFraction())
                 .sum();
         return possible == 0 ? 1 : earned / possible;
     }
 
-    private static double fraction(List<CallerTracker> callers, Predicate<CallerTracker> condition) {
-        return callers.isEmpty()
-                ? 1
-                : (double) callers.stream().filter(condition).count() / callers.size();
+    private static double fraction(List<CallerTracker> group, Predicate<CallerTracker> condition) {
+        return group.isEmpty() ? 1 : (double) group.stream().filter(condition).count() / group.size();
     }
 
-    private KindResult kindResult(String name, List<CallerTracker> callers) {
+    private KindResult kindResult(String name, List<CallerTracker> group) {
         return new KindResult(
                 name,
-                callers.size(),
-                earnedFraction(callers),
-                fraction(callers, CallerTracker::onTime),
-                fraction(callers, CallerTracker::served),
-                fraction(callers, caller -> caller.result() == CallerResult.REFUSED),
-                fraction(callers, caller -> caller.result() == CallerResult.FAILED),
-                fraction(largest(callers, 0, LARGEST_PERCENT), CallerTracker::served));
+                group.size(),
+                earnedFraction(group),
+                fraction(group, CallerTracker::onTime),
+                fraction(group, CallerTracker::served),
+                fraction(group, caller -> caller.result() == CallerResult.REFUSED),
+                fraction(group, caller -> caller.result() == CallerResult.FAILED),
+                fraction(largest(group, 0, LARGEST_PERCENT), CallerTracker::served));
     }
 
-    /** Returns those between two percentages of the order by size, the largest first. */
-    private static List<CallerTracker> largest(List<CallerTracker> callers, int fromPercent, int toPercent) {
-        List<CallerTracker> sorted = callers.stream()
+    /** Returns the callers between two percentages of the order by request size, largest first. */
+    private static List<CallerTracker> largest(List<CallerTracker> group, int fromPercent, int toPercent) {
+        List<CallerTracker> sorted = group.stream()
                 .sorted(Comparator.comparingDouble(
                                 (CallerTracker caller) -> caller.request().size())
                         .reversed())
@@ -143,11 +144,11 @@
         Map<Integer, List<CallerTracker>> callersBySecond = groupBy(DayResultCalculator::arrivalSecond);
         List<DayPoint> points = new ArrayList<>();
         for (DayPoint sample : samples) {
-            List<CallerTracker> callers = callersBySecond.getOrDefault(sample.second(), List.of());
+            List<CallerTracker> group = callersBySecond.getOrDefault(sample.second(), List.of());
             points.add(new DayPoint(
                     sample.second(),
-                    callers.size(),
-                    earnedFraction(callers),
+                    group.size(),
+                    earnedFraction(group),
                     sample.queuedRequests(),
                     sample.prefillEngines(),
                     sample.decodeEngines()));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/EntryAttempt.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/EntryAttempt.java
@@ -10,7 +10,10 @@
 import org.aspenmoor.internal.serving.ReportedLoad;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** One attempt of a request at an engine: what the engine says, a way later, and what the placement learns of it. */
+/**
+ * One attempt of a request at an engine. Passes what the engine sends, after the network delay, to the placement policy
+ * and the request.
+ */
 final class EntryAttempt implements EngineJobListener {
     private final ReplayRequest request;
     private final ReplayEntry entry;
@@ -83,7 +86,7 @@
         });
     }
 
-    /** Drops the attempt: its caller has left. */
+    /** Cancels the attempt; the engine drops the job after the network delay. */
     void cancel() {
         if (!ended) {
             recordEnd();
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/KindResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/KindResult.java
@@ -1,16 +1,16 @@
 package org.aspenmoor.internal.bench.replay.run;
 
 /**
- * How one kind of request fared.
+ * Result of one request kind on a replayed day.
  *
- * @param kind its name
- * @param callers how many callers asked
- * @param earnedFraction part of what they were worth that was earned
- * @param onTimeFraction part that got an answer on time
- * @param servedFraction part that got an answer
- * @param refusedFraction part that was refused
- * @param failedFraction part that got nothing whole
- * @param largestServedFraction part of the largest tenth that got an answer
+ * @param kind name of the kind
+ * @param callers number of callers
+ * @param earnedFraction fraction of the value of these callers that was earned
+ * @param onTimeFraction fraction that received an answer on time
+ * @param servedFraction fraction that received a complete answer
+ * @param refusedFraction fraction that was refused
+ * @param failedFraction fraction that failed without a complete answer
+ * @param largestServedFraction fraction of the largest tenth of the requests that received a complete answer
  */
 public record KindResult(
         String kind,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/Mechanism.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/Mechanism.java
@@ -3,21 +3,21 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** What can be switched off to see what it is worth. */
+/** Mechanisms that can be switched off to measure their effect. */
 public enum Mechanism {
-    /** What entries tell each other of the work that they have at engines. */
+    /** Entries report to each other the work that they have assigned to engines. */
     PEER_LOADS("peer-loads"),
-    /** What they tell of the prompts that they have placed. */
+    /** Entries report to each other the prompts that they have assigned to engines. */
     PEER_PROMPTS("peer-prompts"),
-    /** What they tell of the speeds that they have learnt. */
+    /** Entries report to each other the engine speeds that they have learned. */
     PEER_SPEEDS("peer-speeds"),
-    /** Computed parts of a prompt come from the engine that keeps them. */
+    /** Cached parts of a prompt are transferred from the engine that holds them. */
     FETCHES("fetches"),
-    /** One engine computes a prompt, another generates the answer. */
+    /** Prefill and decode run on two engines (disaggregated serving). */
     STAGING("staging"),
-    /** Prompts wait at the entry until an engine has room. */
+    /** Requests are queued at the entry until an engine has room. */
     WAITING("waiting"),
-    /** Engines change their role after a loss. */
+    /** Engines change their role after an engine is lost; without it, no role changes at all are ordered. */
     ROLE_MOVES("role-moves"),
     /** Engines change their role with the load of long answers. */
     LOAD_FOLLOWING("load-following");
@@ -28,12 +28,12 @@
         this.label = label;
     }
 
-    /** Returns its name on the command line. */
+    /** Returns the name used on the command line. */
     public String label() {
         return label;
     }
 
-    /** Returns the mechanism with a name. */
+    /** Finds a mechanism by its name on the command line. */
     public static Optional<Mechanism> find(String label) {
         return Arrays.stream(values()).filter(each -> each.label.equals(label)).findFirst();
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayEntry.java
@@ -20,9 +20,9 @@
 import org.aspenmoor.internal.serving.ServiceLoad;
 import org.aspenmoor.internal.serving.WaitQueue;
 
-/** One entry: the decisions that serve, without input and output. */
+/** An entry of the replay: the scheduling decisions of a real entry, without network input and output. */
 final class ReplayEntry {
-    /** How often the line is looked at while nothing ends. */
+    /** Interval at which the queue is checked while no request ends. */
     private static final double QUEUE_CHECK_SECONDS = 0.01;
 
     private final String name;
@@ -56,17 +56,17 @@
         this.placementPolicy = new PlacementPolicy(settings, peerLoads, random);
     }
 
-    /** Takes a request of a caller. */
+    /** Serves an attempt of a caller. */
     void serve(CallerRequest request) {
         new ReplayRequest(this, request).start();
     }
 
-    /** Learns of a server, or of its changed role. */
+    /** Records a new server, or the changed role of a known one. */
     void serverChanged(BackendServer server, int cacheTokens) {
         placementPolicy.serverChanged(server, cacheTokens);
     }
 
-    /** Learns that an engine has been told to change its role. */
+    /** Records that a role change of an engine was ordered. */
     void roleChangeOrdered(RoleChange change) {
         placementPolicy.roleChangeOrdered(change, loop.now());
     }
@@ -100,7 +100,7 @@
         report.eventSizes().forEach(placementPolicy::eventSizeReceived);
     }
 
-    /** Returns how many requests wait here. */
+    /** Returns the number of queued requests. */
     int queuedRequests() {
         return queue.size();
     }
@@ -129,7 +129,9 @@
         return disabled.contains(mechanism);
     }
 
-    /** Returns a pause with up to half of it added, so that refused callers do not return in one wave. */
+    /**
+     * Returns a pause with up to half of it added at random, so that refused callers do not all retry at the same time.
+     */
     Duration withJitter(Duration pause) {
         return pause.plusNanos((long) (pause.toNanos() * random.nextDouble() / 2));
     }
@@ -147,7 +149,7 @@
         return loop.now() + jobCount;
     }
 
-    /** Sends a job on its way to an engine. */
+    /** Sends a job to an engine; it arrives after the network delay. */
     void send(SimulatedEngine engine, EngineJob job) {
         loop.after(ReplayRun.NETWORK_DELAY_SECONDS, () -> engine.submit(job));
     }
@@ -172,7 +174,7 @@
         });
     }
 
-    /** Sends on who is next, as long as there is room. */
+    /** Dispatches queued requests as long as engines have room, and refuses those that cannot be served. */
     void dispatchQueued() {
         if (dispatching || queue.size() == 0) {
             return;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRequest.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRequest.java
@@ -13,14 +13,14 @@
 import org.aspenmoor.internal.serving.WaitQueue;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** One request on its way through an entry, as the entry that serves callers sends it. */
+/** One attempt of a caller at an entry, dispatched and retried by the same rules as in a real entry. */
 final class ReplayRequest {
     private static final double NANOSECONDS = 1e9;
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
     private static final int MAX_FAILED_PREFILLS = 2;
     private static final int MAX_ATTEMPTS = 4;
 
-    /** Engines that may run one request. */
+    /** Maximum number of engines that may run a request, counting the one that an answer is resumed on. */
     private static final int MAX_RUNS = 2;
 
     private final ReplayEntry entry;
@@ -57,8 +57,8 @@
         refuse(retryAfter);
     }
 
-    private PlacementRequest placementRequest(boolean othersWait) {
-        boolean allowDisaggregated = failedPrefills < MAX_FAILED_PREFILLS && !entry.isDisabled(Mechanism.STAGING);
+    private PlacementRequest placementRequest(boolean othersQueued) {
+        boolean mayDisaggregate = failedPrefills < MAX_FAILED_PREFILLS && !entry.isDisabled(Mechanism.STAGING);
         return new PlacementRequest(
                 ReplayRun.SERVICE,
                 Optional.of(request.prompt()),
@@ -66,13 +66,13 @@
                 request.kind().objective(),
                 receivedEvents > 0,
                 excludedServers,
-                allowDisaggregated,
+                mayDisaggregate,
                 !entry.isDisabled(Mechanism.WAITING),
-                othersWait);
+                othersQueued);
     }
 
-    private void dispatch(boolean othersWait) {
-        switch (entry.placementPolicy().choose(placementRequest(othersWait), now())) {
+    private void dispatch(boolean othersQueued) {
+        switch (entry.placementPolicy().choose(placementRequest(othersQueued), now())) {
             case Placement.SingleServer single -> {
                 recordDispatch();
                 int priority = request.kind().priority();
@@ -230,8 +230,8 @@
         }
         ended = true;
         entry.queue().remove(this);
-        Duration atLeastMinimum = retryAfter.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : retryAfter;
-        entry.callerListener().refused(request, entry.withJitter(atLeastMinimum));
+        Duration boundedRetryAfter = retryAfter.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : retryAfter;
+        entry.callerListener().refused(request, entry.withJitter(boundedRetryAfter));
     }
 
     private void fail() {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/ReplayRun.java
@@ -26,16 +26,16 @@
 import org.aspenmoor.internal.serving.roles.RoleBalance;
 import org.aspenmoor.internal.serving.roles.RoleMove;
 
-/** One day of one customer, replayed. */
+/** Replays one day of one customer. */
 public final class ReplayRun implements CallerListener {
     static final String SERVICE = "models";
 
-    /** One way between an entry and an engine, with what the entry's processor takes. */
+    /** One-way delay between an entry and an engine, including the processing time of the entry. */
     static final double NETWORK_DELAY_SECONDS = 0.0015;
 
     private static final double NANOSECONDS = 1e9;
 
-    /** The day begins a moment after time zero, which stands for "never" in some places. */
+    /** Start of the day. It is after time zero because some classes use zero for "never". */
     private static final double START_SECONDS = 0.001;
 
     private static final int MAX_CALLER_ATTEMPTS = 2;
@@ -44,16 +44,22 @@
     private static final double REPORT_INTERVAL_SECONDS_PER_PEER = 0.01;
     private static final double REPORT_LAG_SECONDS = 0.002;
 
-    /** From a change of an engine to the moment at which entries know of it. */
+    /** Time from a change of an engine until the entries are notified of it. */
     private static final double MEMBERSHIP_LAG_SECONDS = 1.2;
 
     private static final double ROLE_CHECK_SECONDS = 2;
     private static final double DRAIN_SECONDS = 20;
 
-    /** Part of its usual rate at which a kind that is not asked for is looked at again. */
+    /**
+     * Lower limit of the rate at which the next arrival of a kind is drawn, as a fraction of its mean rate. Thereby a
+     * kind whose rate is zero is still checked from time to time.
+     */
     private static final double MIN_RATE_FRACTION = 0.05;
 
-    /** Entries get uneven shares of the callers; the last has this many times the first one's. */
+    /**
+     * Skew of the distribution of callers over the entries: the share of callers up to a relative position among the
+     * entries is the position raised to this power, so later entries get more.
+     */
     private static final double ENTRY_SKEW_EXPONENT = 1.6;
 
     private final Customer customer;
@@ -81,7 +87,7 @@
         this.generator = new CallerRequestGenerator(root.split());
     }
 
-    /** Plays the day to its end. */
+    /** Replays the whole day. */
     public DayResult run() {
         createEngines();
         for (int index = 0; index < customer.entries(); index++) {
@@ -101,10 +107,10 @@
         loop.after(ROLE_CHECK_SECONDS, this::checkRoles);
         loop.after(1, this::recordPoint);
         loop.runUntil(day.lengthSeconds() + DRAIN_SECONDS);
-        return new DayResultCalculator(trackersByArrival).result(day.name(), seed, points);
+        return new DayResultCalculator(trackersByArrival).calculate(day.name(), seed, points);
     }
 
-    /** Returns the settings that every entry starts with; speeds are only where learning begins. */
+    /** Returns the initial settings of an entry. The speeds are only starting values for learning. */
     private PlacementSettings settings(int index) {
         EngineSpeed speed = new EngineSpeed(112_000, 0.00341, 0.000097, 0.25, 2048, 0.008, 2_300_000);
         return new PlacementSettings(dataCentre(index), speed, 0.42, 0.000218);
@@ -119,7 +125,7 @@
         for (int index = 0; index < customer.engines().count(); index++) {
             servers.add(server(index, EngineRole.PREFILL));
         }
-        // The engines had their roles before the traffic came.
+        // The engines have their roles before the first request arrives.
         for (RoleMove move : roleBalance.moves(servers, true)) {
             int index = servers.indexOf(move.server());
             servers.set(index, server(index, move.role()));
@@ -161,9 +167,9 @@
             return;
         }
         double rate = day.requestsPerSecond(kind, loop.nowSeconds());
-        double arrivalSeconds =
+        double secondsToArrival =
                 -Math.log(1 - random.nextDouble()) / Math.max(rate, kind.requestsPerSecond() * MIN_RATE_FRACTION);
-        loop.after(arrivalSeconds, () -> {
+        loop.after(secondsToArrival, () -> {
             if (loop.nowSeconds() < day.lengthSeconds() && rate > 0) {
                 CallerRequest request = generator.generate(kind, loop.now());
                 CallerTracker tracker = new CallerTracker(request);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/replay/run/package-info.java
@@ -1,2 +1,2 @@
-/** One replayed day: callers, entries with their decisions, engines, all on one manual clock. */
+/** One replayed day: callers, entries with their scheduling decisions, and engines on one manual clock. */
 package org.aspenmoor.internal.bench.replay.run;
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/LongAnswersReplayTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/LongAnswersReplayTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.Test;
 
 public final class LongAnswersReplayTest {
-    /** The users ask that the largest tenth of a kind is served half as often as the whole kind at least. */
+    /** Required: the largest tenth of a kind is served at least half as often as the kind as a whole. */
     private static final double MIN_FRACTION_OF_ALL = 0.5;
 
     private static final long SEEDS = 6;
@@ -28,8 +28,8 @@
         return new Object[][] {{"calm"}, {"drafts-first"}, {"swinging"}};
     }
 
-    // Guards against long answers cut at their deadline because few engines answer and one of those is slow.
-    @Test(dataProvider = "loads")
+    // Guards against long answers being cut at their deadline because few engines decode and one of them is slow.
+    @Test(dataProvider = "days")
     public void should_serve_longest_answers_at_least_half_as_often_as_all_when_one_engine_is_slow(String day)
             throws AspenmoorException {
         List<KindResult> drafts = LongStream.rangeClosed(1, SEEDS)
@@ -44,7 +44,9 @@
                 .average()
                 .orElseThrow();
 
-        assertTrue(largest >= MIN_FRACTION_OF_ALL * all, "of the largest tenth " + largest + ", of all " + all);
+        assertTrue(
+                largest >= MIN_FRACTION_OF_ALL * all,
+                "served fraction of the largest tenth " + largest + ", of all " + all);
     }
 
     private static KindResult replayDrafts(String dayName, long seed) {
@@ -60,7 +62,9 @@
                 .orElseThrow();
     }
 
-    /** Returns a customer whose engines answer slowly by turns; the second is one of those that begin with answers. */
+    /**
+     * Returns a customer with one slow engine in every three; the second engine, a slow one, starts in the decode role.
+     */
     private static Customer customerWithSlowEngine() {
         try {
             return new CustomerReader()
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/ReplayRunTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/replay/ReplayRunTest.java
@@ -49,7 +49,7 @@
         for (String file : List.of("norrvik.json", "seitkali.json", "hojas.json")) {
             DayResult result = replayFirstDay(file, 0.2, 3);
 
-            assertTrue(result.servedFraction() > 0.99, file + ": " + result.servedFraction());
+            assertTrue(result.servedFraction() > 0.99, file + ": served fraction " + result.servedFraction());
         }
     }
 
