--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/TimeCharts.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/TimeCharts.java
@@ -13,9 +13,9 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * Charts over the same seconds, one below the other in one PNG.
+ * Time series charts with a common time axis, one below the other in one PNG file.
  *
- * @param <P> a point in time with its values
+ * @param <P> type of a data point, with its time and values
  */
 public final class TimeCharts<P> {
     private static final int WIDTH = 1200;
@@ -24,12 +24,12 @@
     private final ToDoubleFunction<P> seconds;
     private final List<XYChart> charts = new ArrayList<>();
 
-    /** Makes an empty column of charts, given how to read a point's time in seconds. */
+    /** Creates an empty column of charts, given the function that returns a point's time in seconds. */
     public TimeCharts(ToDoubleFunction<P> seconds) {
         this.seconds = seconds;
     }
 
-    /** Begins another chart below. */
+    /** Adds a chart below the others. */
     public TimeCharts<P> chart(String title) {
         charts.add(new XYChartBuilder()
                 .width(WIDTH)
@@ -40,7 +40,7 @@
         return this;
     }
 
-    /** Adds a line to the last chart. */
+    /** Adds a line to the chart added last. */
     public TimeCharts<P> line(String name, List<P> points, ToDoubleFunction<P> value) {
         List<Double> times = new ArrayList<>();
         List<Double> values = new ArrayList<>();
@@ -52,15 +52,15 @@
         return this;
     }
 
-    /** Writes the charts into a file. */
+    /** Writes the charts to a file. */
     public void write(Path file) throws AspenmoorException {
         try {
             BitmapEncoder.saveBitmap(charts, charts.size(), 1, file.toString(), BitmapFormat.PNG);
         } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The plot could not be written: " + exception.getMessage() + ".",
+                    "Could not write the plot: " + exception.getMessage() + ".",
                     file.toString(),
-                    "Name a file in a folder that exists and can be written.",
+                    "Name a file in an existing directory that is writable.",
                     exception);
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/chart/package-info.java
@@ -1,2 +1,2 @@
-/** Charts over time, drawn for the reports of all benches. */
+/** Time series charts for the reports of the benchmarks. */
 package org.aspenmoor.internal.bench.chart;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchMain.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchMain.java
@@ -26,7 +26,7 @@
 import org.aspenmoor.internal.bench.policy.trace.TraceGenerator;
 import org.aspenmoor.internal.bench.policy.trace.TraceReader;
 
-/** The command line of the policy bench. */
+/** Command line of the policy bench. */
 public final class PolicyBenchMain {
     private static final int MAX_THREADS = 3;
 
@@ -38,7 +38,7 @@
         this.out = out;
     }
 
-    /** Runs the bench; the exit code is 2 where an argument or a file is wrong. */
+    /** Runs the bench; exits with code 2 if an argument or a file is invalid. */
     public static void main(String[] arguments) {
         try {
             new PolicyBenchMain(PolicyBenchOptions.parse(arguments), System.out).run();
@@ -94,9 +94,9 @@
             return results;
         } catch (InterruptedException | ExecutionException exception) {
             throw new AspenmoorException(
-                    "A run of the bench failed: " + exception.getMessage() + ".",
+                    "Could not complete a run of the bench: " + exception.getMessage() + ".",
                     fleet.name(),
-                    "This is a fault of the bench; report it with the arguments used.",
+                    "This is a fault in the bench; report it together with the arguments used.",
                     exception);
         }
     }
@@ -119,9 +119,9 @@
             return new TraceReader(fleet).read(Path.of(name));
         }
         throw new AspenmoorException(
-                "There is no trace \"" + name + "\".",
+                "Unknown trace \"" + name + "\".",
                 "--trace",
-                "Name a file, \"all\", or one of "
+                "Name an existing file, \"all\", or one of "
                         + Arrays.stream(BuiltInTrace.values())
                                 .map(BuiltInTrace::label)
                                 .collect(Collectors.joining(", "))
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchOptions.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyBenchOptions.java
@@ -14,16 +14,16 @@
 import org.aspenmoor.internal.bench.policy.trace.BuiltInTrace;
 
 /**
- * The arguments of the policy bench.
+ * Command line arguments of the policy bench.
  *
  * @param fleets built-in fleets or fleet files
  * @param traces built-in traces or trace files
- * @param policies the policies to run
- * @param firstSeed the first seed
- * @param seedCount how many seeds, counted up from the first
- * @param variation how the fakes' parameters are moved
- * @param jsonFile where to write results
- * @param plotFile where to draw the first trace
+ * @param policies policies to run
+ * @param firstSeed first random seed
+ * @param seedCount number of consecutive seeds, starting with the first
+ * @param variation variation of the parameters of the fake engines
+ * @param jsonFile file to write the results to
+ * @param plotFile file for the plot of the first trace
  */
 record PolicyBenchOptions(
         List<String> fleets,
@@ -50,7 +50,7 @@
             return read(parser.parse(arguments));
         } catch (OptionException exception) {
             throw new AspenmoorException(
-                    "The arguments are wrong: " + exception.getMessage() + ".",
+                    "Invalid command line arguments: " + exception.getMessage() + ".",
                     "command line",
                     "Use --house, --trace, --policy, --seed, --seeds, --parameters, --json or --plot with a value.",
                     exception);
@@ -111,6 +111,6 @@
     }
 
     private static AspenmoorException unknownValue(String option, String value, String known) {
-        return new AspenmoorException("\"" + value + "\" is not known.", option, "Use one of " + known + ".");
+        return new AspenmoorException("Unknown value \"" + value + "\".", option, "Use one of " + known + ".");
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyName.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyName.java
@@ -4,21 +4,24 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The policies that the bench compares. */
+/** Policies that the bench compares. */
 public enum PolicyName {
-    /** The decisions of aspenmoor. */
+    /** Aspenmoor's own planner and router. */
     ASPENMOOR,
-    /** The fixed split of prefill and decode engines that is best in hindsight. */
+    /** The best fixed split into prefill and decode engines, selected after running all. */
     BEST_FIXED_PAIR,
-    /** The fixed split, engines for whole requests included, that is best in hindsight. */
+    /**
+     * The best fixed split, including splits with engines that serve both prefill and decode, selected after running
+     * all.
+     */
     BEST_FIXED,
-    /** One engine at a time by load thresholds. */
+    /** Changes the role of one engine at a time when load thresholds are crossed. */
     THRESHOLD,
     /** Aspenmoor's planner with round-robin routing. */
     ROUND_ROBIN,
     /** Aspenmoor's planner with routing by the least reported load. */
     LEAST_REPORTED_LOAD,
-    /** Plans with the whole trace known; the best of several such plans and all fixed splits. */
+    /** Plans with knowledge of the whole trace; the best of several such plans and all fixed splits. */
     CLAIRVOYANT;
 
     /** Returns the name used on the command line. */
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
@@ -25,7 +25,7 @@
 import org.aspenmoor.internal.routing.Router;
 import org.aspenmoor.internal.routing.RouterSettings;
 
-/** Runs one trace on one fleet under any of the policies. */
+/** Runs a trace on a fleet under any of the policies. */
 public final class PolicyRunner {
     private static final int SMOOTHING_STEPS = 4;
     private static final double[] CLAIRVOYANT_UTILISATIONS = {0.85, 0.95};
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineJob.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineJob.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.routing.PrefixChain;
 
-/** One request at an engine, with how far it is. */
+/** A request at an engine, with its progress. */
 public final class EngineJob {
     private final RequestId id;
     private final double weight;
@@ -17,7 +17,10 @@
     private double remainingPrefillTokens;
     private int generatedTokens;
 
-    /** Makes a job; with an answer engine it is computed here and generated there. Late, it is not started at all. */
+    /**
+     * Creates a job. With a decode engine, it is prefilled at one engine and its answer is generated at the decode
+     * engine. A job that has not started by the latest start time is not started at all.
+     */
     public EngineJob(
             RequestId id,
             double weight,
@@ -36,12 +39,12 @@
         this.remainingPrefillTokens = promptTokens;
     }
 
-    /** Returns the request. */
+    /** Returns the id of the request. */
     public RequestId id() {
         return id;
     }
 
-    /** Returns the engine that generates the answer, where it is another one. */
+    /** Returns the engine that generates the answer, if it is not the engine that prefills the prompt. */
     public Optional<FakeEngine> decodeEngine() {
         return decodeEngine;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineListener.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineListener.java
@@ -3,26 +3,26 @@
 import java.util.Optional;
 import org.aspenmoor.internal.routing.CacheEvent;
 
-/** What a fake engine tells the run. */
+/** Receives the events of fake engines. */
 public interface EngineListener {
-    /** The first token is out. */
+    /** The first token of the answer was generated. */
     void firstToken(EngineJob job);
 
-    /** The whole answer is out. */
+    /** The answer is complete. */
     void answerCompleted(EngineJob job, FakeEngine engine);
 
-    /** The engine never started the job and will not. */
+    /** The engine did not start the job and will not start it. */
     void jobRejected(EngineJob job, FakeEngine engine);
 
     /** The engine was withdrawn while it worked on the job. */
     void jobLost(EngineJob job, FakeEngine engine);
 
-    /** The engine's role or readiness is another. */
+    /** The engine's role or state has changed. */
     void stateChanged(FakeEngine engine);
 
-    /** The prefix cache has changed. */
+    /** The prefix cache of the engine has changed. */
     void cacheChanged(FakeEngine engine, CacheEvent event);
 
-    /** Finds an engine that can take over answers of one that changes its role. */
-    Optional<FakeEngine> chooseHandoffTarget(FakeEngine leaving);
+    /** Returns an engine that can continue the answers of an engine that is changing its role. */
+    Optional<FakeEngine> chooseHandoffTarget(FakeEngine source);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineState.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EngineState.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.bench.policy.engine;
 
-/** Whether a fake engine works. */
+/** State of a fake engine. */
 public enum EngineState {
-    /** It takes requests. */
+    /** It accepts requests. */
     READY,
-    /** It ends what it has begun before its role change. */
+    /** It completes the work it has started, before a role change. */
     DRAINING,
     /** It is changing its role. */
     AWAY,
-    /** It is gone. */
+    /** It has been withdrawn from the fleet. */
     WITHDRAWN
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/EventLoop.java
@@ -4,7 +4,7 @@
 import java.util.PriorityQueue;
 import org.aspenmoor.internal.time.ManualTimeSource;
 
-/** Runs events in the order of their time on a manual clock; events of one moment run in the order they were added. */
+/** Runs events in order of their time on a manual clock. Events with the same time run in the order they were added. */
 public final class EventLoop {
     private static final double NANOSECONDS = 1e9;
 
@@ -13,23 +13,23 @@
             new PriorityQueue<>(Comparator.comparingLong(Event::atNanoseconds).thenComparingLong(Event::sequence));
     private long addedEvents;
 
-    /** Returns the present moment in nanoseconds. */
+    /** Returns the current time in nanoseconds. */
     public long now() {
         return clock.monotonicNanoseconds();
     }
 
-    /** Returns the present moment in seconds. */
+    /** Returns the current time in seconds. */
     public double nowSeconds() {
         return now() / NANOSECONDS;
     }
 
-    /** Adds an event so many seconds from now. */
+    /** Schedules an action after a delay in seconds; a negative delay counts as none. */
     public void after(double seconds, Runnable action) {
         long at = now() + Math.max(0, (long) (seconds * NANOSECONDS));
         events.add(new Event(at, addedEvents++, action));
     }
 
-    /** Runs every event until a moment, later ones stay. */
+    /** Runs all events up to and including a time in seconds; later events stay scheduled. */
     public void runUntil(double seconds) {
         long end = (long) (seconds * NANOSECONDS);
         while (!events.isEmpty() && events.peek().atNanoseconds() <= end) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
@@ -12,14 +12,17 @@
 import org.aspenmoor.internal.routing.CacheEvent;
 
 /**
- * A small fake of an engine that batches continuously.
+ * A fake engine with continuous batching.
  *
- * <p>It works in iterations. An iteration generates one token for every running answer and computes a chunk of the
- * prompts that wait, heavier ones first. Its time is that of the decode step plus that of the chunk, the latter slowed
- * where both happen. Running answers reserve cache pieces; prefixes are cached in what is left.
+ * <p>It works in iterations. An iteration generates one token for every running answer and prefills a chunk of the
+ * queued prompts, those with higher weight first. An iteration takes the time of the decode step plus that of the
+ * chunk; the prefill is slowed down if both take place. Running answers reserve cache pieces; prefixes are cached in
+ * the remaining ones.
  */
 public final class FakeEngine {
+    /** Prompt chunks prefilled in an iteration without running answers. */
     private static final int CHUNKS_WHEN_NOT_DECODING = 4;
+
     private static final double EXTRA_HANDOFF_TOKENS = 8;
 
     private final String name;
@@ -67,7 +70,7 @@
         this.listener = listener;
     }
 
-    /** Takes a request whose prompt is to be computed here. */
+    /** Queues a request whose prompt is to be prefilled here, or rejects it. */
     public void submit(EngineJob job) {
         if (state != EngineState.READY) {
             listener.jobRejected(job, this);
@@ -77,17 +80,17 @@
         startIteration();
     }
 
-    /** Notes that the answer of a prompt that is computed elsewhere will be generated here. */
+    /** Records that this engine will receive the handoff of a prompt that is prefilled at another engine. */
     public void expectHandoff(EngineJob job) {
         expectedHandoffs.add(job);
     }
 
-    /** Notes that an expected answer will not come. */
+    /** Records that an expected handoff will not take place. */
     public void cancelExpectedHandoff(EngineJob job) {
         expectedHandoffs.remove(job);
     }
 
-    /** Takes over the cache of a computed prompt, or of an answer that was begun elsewhere. */
+    /** Receives the cache of a prompt that was prefilled, or of an answer that was started, at another engine. */
     public void receiveHandoff(EngineJob job) {
         expectedHandoffs.remove(job);
         if (state == EngineState.WITHDRAWN) {
@@ -105,7 +108,10 @@
         loop.after(seconds, () -> target.receiveHandoff(job));
     }
 
-    /** Orders a role change: what waits is given back, what runs is handed over or ended, then the engine is away. */
+    /**
+     * Orders a role change. Queued requests are returned, running ones are handed off or completed; then the engine is
+     * away for the duration of the change.
+     */
     public void changeRole(EngineRole newRole) {
         if (state != EngineState.READY || newRole == role) {
             return;
@@ -122,7 +128,7 @@
         switchRoleIfEmpty();
     }
 
-    /** Takes the engine away at once; everything on it is lost. */
+    /** Withdraws the engine at once; all its work and its cache are lost. */
     public void withdraw() {
         incarnation++;
         iterating = false;
@@ -142,7 +148,7 @@
         lost.forEach(job -> listener.jobLost(job, this));
     }
 
-    /** Brings a withdrawn engine back with the role it was last given. */
+    /** Restores a withdrawn engine, with the role that was ordered last. */
     public void restore() {
         if (state == EngineState.WITHDRAWN) {
             role = nextRole;
@@ -152,59 +158,59 @@
         }
     }
 
-    /** Returns a load report of this moment. */
+    /** Returns a report of the current load. */
     public EngineLoad load() {
         double prefillTokens = 0;
-        int answersToFollow = 0;
+        int promptsWithAnswer = 0;
         for (QueuedJob prompt : prefillQueue) {
             prefillTokens += prompt.job().remainingPrefillTokens();
-            answersToFollow += prompt.job().decodeEngine().isEmpty() ? 1 : 0;
+            promptsWithAnswer += prompt.job().decodeEngine().isEmpty() ? 1 : 0;
         }
         return new EngineLoad(
                 reportCount++,
                 (long) prefillTokens,
-                runningSequences() + answersToFollow,
+                runningSequences() + promptsWithAnswer,
                 parameters.maxSequences(),
                 Math.max(0, parameters.cachePieces() - reservedPieces),
                 parameters.cachePieces());
     }
 
-    /** Returns its name. */
+    /** Returns the name. */
     public String name() {
         return name;
     }
 
-    /** Returns where it stands. */
+    /** Returns the data centre. */
     public String dataCentre() {
         return dataCentre;
     }
 
-    /** Returns the role it has, or is changing to. */
+    /** Returns the current role, or the role it is changing to. */
     public EngineRole plannedRole() {
         return nextRole;
     }
 
-    /** Returns the role it has now. */
+    /** Returns the current role. */
     public EngineRole role() {
         return role;
     }
 
-    /** Returns whether it works. */
+    /** Returns the state. */
     public EngineState state() {
         return state;
     }
 
-    /** Returns how many answers it generates or will, as far as its agent knows. */
+    /** Returns the number of answers that are running, queued for decode or expected. */
     public int runningSequences() {
         return running.size() + handoffQueue.size() + expectedHandoffs.size();
     }
 
-    /** Returns since when it has been changing its role, in seconds. */
+    /** Returns the time at which the last role change was ordered, in seconds. */
     public double roleChangeStartedAt() {
         return roleChangeStartedAt;
     }
 
-    /** Returns the seconds it was away for role changes so far, draining included. */
+    /** Returns the total time it was away for role changes, in seconds, including draining. */
     public double awaySeconds() {
         boolean changing = state == EngineState.DRAINING || state == EngineState.AWAY;
         return awaySeconds + (changing ? loop.nowSeconds() - roleChangeStartedAt : 0);
@@ -241,7 +247,10 @@
         loop.after(iterationSeconds(chunkTokens), () -> endIteration(startIncarnation, chunks));
     }
 
-    /** The agent beside the engine looks at the deadline a last time before a request starts. */
+    /**
+     * Rejects queued requests that can no longer meet their deadline. Stands for the last check by the agent on the
+     * host.
+     */
     private void rejectLateJobs() {
         List<QueuedJob> late = prefillQueue.stream()
                 .filter(prompt -> prompt.job().isTooLate(loop.nowSeconds()))
@@ -354,7 +363,7 @@
         }
     }
 
-    /** Exports the running answers to an engine that can take them; without one they end here. */
+    /** Hands off the running answers to another engine; if there is none, they are completed here. */
     private void handOffAnswers() {
         if (iterating) {
             return;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/PrefixCache.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/PrefixCache.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import org.aspenmoor.internal.routing.PrefixChain;
 
-/** The cached prefixes of one engine, in pieces, the least recently used dropped first. */
+/** Cached prefixes of an engine, in pieces, with eviction of the least recently used. */
 final class PrefixCache {
     private final LinkedHashMap<Long, Boolean> pieces = new LinkedHashMap<>(16, 0.75F, true);
 
-    /** Returns how many tokens of the prefix are held, and marks them as used. */
+    /** Returns the number of cached tokens of a prefix, and marks its cached pieces as used. */
     int lookUp(PrefixChain prefix, int pieceTokens) {
         int cachedPieces = 0;
         while (cachedPieces < prefix.length() && pieces.get(prefix.hash(cachedPieces)) != null) {
@@ -18,7 +18,7 @@
         return cachedPieces == 0 ? 0 : prefix.tokensCovered(cachedPieces, pieceTokens);
     }
 
-    /** Stores a prefix; returns the hashes that were not held before. */
+    /** Stores a prefix; returns the hashes of the pieces that were not cached before. */
     List<Long> store(PrefixChain prefix) {
         List<Long> stored = new ArrayList<>();
         for (int piece = 0; piece < prefix.length(); piece++) {
@@ -29,7 +29,7 @@
         return stored;
     }
 
-    /** Drops the least recently used pieces until no more than so many are left; returns what was dropped. */
+    /** Evicts the least recently used pieces down to a maximum number; returns the evicted ones. */
     List<Long> shrinkTo(int maxPieces) {
         List<Long> evicted = new ArrayList<>();
         while (pieces.size() > Math.max(0, maxPieces)) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/package-info.java
@@ -1,2 +1,2 @@
-/** Small fakes of engines on an event loop with a manual clock. */
+/** Fake engines on an event loop with a manual clock. */
 package org.aspenmoor.internal.bench.policy.engine;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/BuiltInFleets.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/BuiltInFleets.java
@@ -7,14 +7,14 @@
 import org.aspenmoor.internal.document.KindMatch;
 import org.aspenmoor.internal.document.RequestKind;
 
-/** The fleets of the two houses, with the sizes of today. */
+/** The built-in fleets, one for each of two organisations. */
 public final class BuiltInFleets {
     private static final KindMatch ANY =
             new KindMatch(Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
 
     private BuiltInFleets() {}
 
-    /** Returns Seitkali's 8 drafting engines in 4 data centres; a role change is dear. */
+    /** Returns Seitkali's 8 drafting engines in 4 data centres, with a high price of a role change. */
     public static Fleet seitkali() {
         return new Fleet(
                 "seitkali",
@@ -28,7 +28,7 @@
                 EngineParameters.defaults());
     }
 
-    /** Returns Hojas Andinas's 8 drafting engines in 3 data centres; a role change is cheap. */
+    /** Returns Hojas Andinas's 8 drafting engines in 3 data centres, with a low price of a role change. */
     public static Fleet hojas() {
         return new Fleet(
                 "hojas",
@@ -51,8 +51,8 @@
 
     private static List<FleetEngine> engines(String region, int dataCentres) {
         List<FleetEngine> engines = new ArrayList<>();
-        for (int number = 0; number < 8; number++) {
-            engines.add(new FleetEngine("engine-" + number, region + "-" + (number % dataCentres + 1)));
+        for (int index = 0; index < 8; index++) {
+            engines.add(new FleetEngine("engine-" + index, region + "-" + (index % dataCentres + 1)));
         }
         return engines;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/EngineParameters.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/EngineParameters.java
@@ -3,16 +3,16 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 
 /**
- * How the fakes of engines behave; docs/POLICY.md gives the source of each figure.
+ * Parameters of fake engines; docs/POLICY.md gives the source of each figure.
  *
- * @param speed how fast they work
- * @param maxSequences how many answers are generated at once
- * @param cachePieces pieces of cache memory
- * @param pieceTokens tokens of one piece
- * @param roleChangeSeconds how long a change takes after the engine is empty
- * @param reportIntervalSeconds how often load is reported
- * @param reportLagSeconds how late a report arrives
- * @param cacheEventLossFraction the share of cache events that is lost
+ * @param speed prefill, decode and transfer speeds
+ * @param maxSequences maximum number of answers generated concurrently
+ * @param cachePieces number of pieces of cache memory
+ * @param pieceTokens number of tokens in a piece
+ * @param roleChangeSeconds duration of a role change after the engine is empty
+ * @param reportIntervalSeconds interval between load reports
+ * @param reportLagSeconds delay until a load report arrives
+ * @param cacheEventLossFraction fraction of cache events that are lost
  */
 public record EngineParameters(
         EngineSpeed speed,
@@ -23,12 +23,12 @@
         double reportIntervalSeconds,
         double reportLagSeconds,
         double cacheEventLossFraction) {
-    /** Returns the parameters of the built-in houses. */
+    /** Returns the parameters of the built-in fleets. */
     public static EngineParameters defaults() {
         return new EngineParameters(EngineSpeed.usual(), 32, 96, 2_000, 3, 0.5, 0.3, 0.02);
     }
 
-    /** Returns the parameters with every time, the mixing slowdown and the lags multiplied. */
+    /** Returns a copy with the parameters multiplied by the factors of a variation. */
     public EngineParameters with(ParameterVariation variation) {
         EngineSpeed variedSpeed = new EngineSpeed(
                 speed.prefillTokensPerSecond() * variation.prefillFactor(),
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/Fleet.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/Fleet.java
@@ -4,14 +4,14 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 
 /**
- * A fleet and the team's document, as far as the bench needs it.
+ * A fleet, and the parts of its team's document that the bench needs.
  *
- * @param name its name
- * @param kinds the kinds: the one with long prompts, the one with long answers, then others
- * @param roleChangePrice the team's price of one change
- * @param engines the engines
- * @param entries how many entries send to them
- * @param parameters how the engines behave
+ * @param name name of the fleet
+ * @param kinds request kinds: first the one with long prompts, then the one with long answers, then others
+ * @param roleChangePrice price of one role change in the document, in units of weighted goodput
+ * @param engines engines of the fleet
+ * @param entries number of entries that send requests to the engines
+ * @param parameters parameters of the engines
  */
 public record Fleet(
         String name,
@@ -25,7 +25,7 @@
         engines = List.copyOf(engines);
     }
 
-    /** Returns how many requests of one kind a second the fleet could serve if every engine had the ideal role. */
+    /** Returns the requests of one kind per second that the fleet could serve if every engine had the ideal role. */
     public double maxRequestsPerSecond(TraceKind kind) {
         EngineSpeed speed = parameters.speed();
         double prefill = speed.prefillSeconds(kind.typicalPromptTokens());
@@ -34,7 +34,10 @@
         return engines.size() / (prefill + decode);
     }
 
-    /** Returns the fleet with other parameters; traces keep pressing it alike, since load is relative to them. */
+    /**
+     * Returns a copy with other parameters. Generated traces load it to the same degree, as their load is relative to
+     * them.
+     */
     public Fleet withParameters(EngineParameters newParameters) {
         return new Fleet(name, kinds, roleChangePrice, engines, entries, newParameters);
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetEngine.java
@@ -3,7 +3,7 @@
 /**
  * An engine of a fleet.
  *
- * @param name its name
- * @param dataCentre where it stands
+ * @param name name of the engine
+ * @param dataCentre data centre of the engine
  */
 public record FleetEngine(String name, String dataCentre) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/FleetReader.java
@@ -15,14 +15,14 @@
 import org.aspenmoor.internal.json.LocatedJsonParser;
 import org.aspenmoor.internal.routing.EngineSpeed;
 
-/** Reads a fleet file: JSON with comments. */
+/** Reads a fleet file, which is JSON with comments. */
 public final class FleetReader {
     private static final double MAX_VALUE = 1_000_000_000;
     private static final int MAX_COUNT = 1_000_000;
 
     private final Findings findings = new Findings();
 
-    /** Reads a file; all mistakes are reported together. */
+    /** Reads a file. All mistakes in it are reported in one exception. */
     public Fleet read(Path file) throws AspenmoorException {
         Optional<Fleet> fleet = new LocatedJsonParser(file.toString(), findings)
                 .parseObject(readText(file))
@@ -36,9 +36,9 @@
             return Files.readString(file);
         } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The fleet could not be read: " + exception.getMessage() + ".",
+                    "Could not read the fleet file: " + exception.getMessage() + ".",
                     file.toString(),
-                    "Check the path, or name a house: seitkali or hojas.",
+                    "Check the path, or name a built-in fleet: seitkali or hojas.",
                     exception);
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/ParameterVariation.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/ParameterVariation.java
@@ -5,16 +5,16 @@
 import java.util.Optional;
 
 /**
- * Moves the fakes' parameters, to see whether conclusions depend on them.
+ * A variation of the parameters of fake engines, to test whether conclusions depend on them.
  *
- * @param label what is moved and by how much
+ * @param label varied parameter and its factor, as used on the command line
  * @param prefillFactor factor on the prefill rate
  * @param decodeFactor factor on the decode rate
- * @param mixingFactor factor on the slowdown by mixing
+ * @param mixingFactor factor on the slowdown of prefill mixed with decode
  * @param transferFactor factor on the cache transfer rate
  * @param memoryFactor factor on cache memory
- * @param roleChangeFactor factor on the time of a role change
- * @param reportLagFactor factor on the lag of reports
+ * @param roleChangeFactor factor on the duration of a role change
+ * @param reportLagFactor factor on the delay of load reports
  */
 public record ParameterVariation(
         String label,
@@ -28,12 +28,15 @@
     private static final double LOW_FACTOR = 0.5;
     private static final double HIGH_FACTOR = 1.5;
 
-    /** Returns the move that moves nothing. */
+    /** Returns the variation that changes nothing. */
     public static ParameterVariation none() {
         return new ParameterVariation("none", 1, 1, 1, 1, 1, 1, 1);
     }
 
-    /** Returns each parameter moved by half either way, the others as they are. */
+    /**
+     * Returns one variation per parameter and direction: one parameter changed by half of its value, the others
+     * unchanged.
+     */
     public static List<ParameterVariation> all() {
         List<ParameterVariation> variations = new ArrayList<>();
         for (double factor : new double[] {LOW_FACTOR, HIGH_FACTOR}) {
@@ -48,7 +51,7 @@
         return variations;
     }
 
-    /** Finds a move by its label. */
+    /** Finds a variation by its label. */
     public static Optional<ParameterVariation> find(String label) {
         return all().stream()
                 .filter(variation -> variation.label().equals(label))
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/TraceKind.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/TraceKind.java
@@ -3,10 +3,10 @@
 import org.aspenmoor.internal.document.RequestKind;
 
 /**
- * A kind with the lengths that generated traces use.
+ * A request kind with its typical lengths for generated traces.
  *
- * @param declaration the kind as the team's document has it
- * @param typicalPromptTokens a typical prompt
- * @param typicalOutputTokens a typical answer
+ * @param declaration kind as declared in the team's document
+ * @param typicalPromptTokens typical length of a prompt
+ * @param typicalOutputTokens typical length of an answer
  */
 public record TraceKind(RequestKind declaration, int typicalPromptTokens, int typicalOutputTokens) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Fleets: the engines, their parameters and the team's kinds. */
+/** Fleets: engines, their parameters and the team's request kinds. */
 package org.aspenmoor.internal.bench.policy.fleet;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
@@ -26,7 +26,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One planning round, with ten kinds, three minutes of counts and a mix that swings every half minute. */
+/** Cost of one planning round with ten kinds, three minutes of counts and a mix that alternates every half minute. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MILLISECONDS)
@@ -39,7 +39,7 @@
     private static final int SWING_SECONDS = 30;
     private static final int KINDS = 10;
 
-    /** How many engines there are. */
+    /** Number of engines. */
     @Param({"8", "200", "1800"})
     private int engines;
 
@@ -47,7 +47,7 @@
     private PlanningInput input;
     private long now;
 
-    /** Counts three minutes, planning each second. */
+    /** Feeds three minutes of counts and plans every second. */
     @Setup
     public void setUp() {
         planner = new RolePlanner(PlannerSettings.usual());
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Plans once. */
+    /** Runs one planning round. */
     @Benchmark
     public RolePlan plan() {
         return planner.plan(input, now);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
@@ -27,7 +27,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** One routing decision, its send and its end, among engines of all three roles. */
+/** Cost of one routing decision, including the records of its send and its end, among engines of all three roles. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -39,7 +39,7 @@
     private static final int PREFIXES = 256;
     private static final long STEP_NANOSECONDS = 1_000_000;
 
-    /** How many engines there are. */
+    /** Number of engines. */
     @Param({"8", "200", "1800"})
     private int engines;
 
@@ -47,7 +47,7 @@
     private SplittableRandom random;
     private long now;
 
-    /** Reports every engine and stores prefixes on some. */
+    /** Reports the load of every engine and a cached prefix of each. */
     @Setup
     public void setUp() {
         random = new SplittableRandom(5);
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Decides, notes the send, and notes the end. */
+    /** Chooses an engine, then records the send and the end of the request. */
     @Benchmark
     public Optional<RoutingDecision> decide() {
         now += STEP_NANOSECONDS;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/package-info.java
@@ -1,2 +1,2 @@
-/** What one decision costs, measured with JMH. */
+/** JMH benchmarks of the cost of one planning or routing decision. */
 package org.aspenmoor.internal.bench.policy.jmh;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/package-info.java
@@ -1,2 +1,2 @@
-/** The policy bench: drives the decision classes with small fakes of engines on a manual clock. */
+/** The policy bench: runs the planning and routing classes against fake engines on a manual clock. */
 package org.aspenmoor.internal.bench.policy;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/ComparisonReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/ComparisonReport.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.aspenmoor.internal.bench.policy.run.RunResult;
 
-/** Prints how aspenmoor compares with the other policies, seed by seed: mean, least and greatest ratio. */
+/** Prints the ratios between aspenmoor and the other policies, compared seed by seed: mean, minimum and maximum. */
 public final class ComparisonReport {
     private static final String ASPENMOOR = "aspenmoor";
 
@@ -19,7 +19,7 @@
         this.out = out;
     }
 
-    /** Prints one line for each house and trace. */
+    /** Prints one line for each fleet and trace. */
     public void print(List<NamedResult> results) {
         out.printf(
                 "%-28s %-22s %-22s %-22s %-22s %-18s %-16s%n",
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/JsonReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/JsonReport.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import org.aspenmoor.AspenmoorException;
 
-/** Writes results as JSON, one object a line and policy. */
+/** Writes results as JSON lines, one object for each run. */
 public final class JsonReport {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private JsonReport() {}
 
-    /** Writes a file. */
+    /** Writes the results to a file. */
     public static void write(Path file, List<NamedResult> results) throws AspenmoorException {
         StringBuilder lines = new StringBuilder();
         for (NamedResult result : results) {
@@ -24,9 +24,9 @@
             Files.writeString(file, lines);
         } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The results could not be written: " + exception.getMessage() + ".",
+                    "Could not write the results: " + exception.getMessage() + ".",
                     file.toString(),
-                    "Name a file in a folder that exists and can be written.",
+                    "Name a file in an existing directory that is writable.",
                     exception);
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/NamedResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/NamedResult.java
@@ -3,11 +3,11 @@
 import org.aspenmoor.internal.bench.policy.run.RunResult;
 
 /**
- * A result and what it was measured on.
+ * A result with the fleet, trace and seed of its run.
  *
- * @param fleet the fleet
- * @param trace the trace
- * @param seed the seed
- * @param result the result
+ * @param fleet name of the fleet
+ * @param trace name of the trace
+ * @param seed random seed of the run
+ * @param result result of the run
  */
 public record NamedResult(String fleet, String trace, long seed, RunResult result) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TextReport.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TextReport.java
@@ -8,7 +8,7 @@
 import java.util.function.ToDoubleFunction;
 import org.aspenmoor.internal.bench.policy.run.RunResult;
 
-/** Prints a table for each trace: the mean over the seeds, and the least and the greatest in brackets. */
+/** Prints a table for each trace: means over the seeds; the goodput also with minimum and maximum in brackets. */
 public final class TextReport {
     private static final String FORMAT = "  %-20s %26s %8s %8s %6s %8s %9s %10s %9s %9s%n";
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
@@ -6,11 +6,11 @@
 import org.aspenmoor.internal.bench.chart.TimeCharts;
 import org.aspenmoor.internal.bench.policy.run.TimelinePoint;
 
-/** Draws mix, roles and goodput over time as one PNG: a chart for the mix, one for the roles, one for the goodput. */
+/** Plots the work mix, the roles and the goodput over time as three charts in a PNG file. */
 public final class TimelinePlot {
     private TimelinePlot() {}
 
-    /** Draws the first policy's mix and roles, and the goodput of all policies. */
+    /** Plots the work mix and the roles of the first policy, and the goodput of all policies. */
     public static void write(Path file, List<NamedResult> results) throws AspenmoorException {
         List<TimelinePoint> first = results.getFirst().result().timeline();
         TimeCharts<TimelinePoint> charts = new TimeCharts<TimelinePoint>(TimelinePoint::seconds)
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.planning.PlanningInput;
 import org.aspenmoor.internal.planning.RoleChangeCosts;
 
-/** The fleet as planners see it at one moment. */
+/** Input of the planners: the state of the fleet at one point in time. */
 final class FleetView {
     private static final double NANOSECONDS = 1e9;
     private static final double DRAIN_SECONDS = 0.3;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Policy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Policy.java
@@ -5,10 +5,10 @@
 import org.aspenmoor.internal.bench.policy.strategy.RoutingStrategy;
 
 /**
- * What a run is made with.
+ * A policy: planning and routing strategies.
  *
- * @param name its name
- * @param planning how roles are planned
- * @param routing how each entry, by its number, routes
+ * @param name name of the policy
+ * @param planning strategy that plans roles
+ * @param routing returns the routing strategy of an entry, given the index of the entry
  */
 public record Policy(String name, PlanningStrategy planning, IntFunction<RoutingStrategy> routing) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/PolicyRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/PolicyRun.java
@@ -28,7 +28,7 @@
 import org.aspenmoor.internal.planning.WorkCounts;
 import org.aspenmoor.internal.routing.CacheEvent;
 
-/** One run: a trace on a fleet under a policy. */
+/** A run of a trace on a fleet under a policy. */
 public final class PolicyRun implements EngineListener {
     private static final double PLAN_INTERVAL_SECONDS = 1;
     private static final double PLAN_OFFSET_SECONDS = 0.3;
@@ -61,11 +61,11 @@
         fleet.kinds().forEach(kind -> kinds.put(kind.declaration().name(), kind));
     }
 
-    /** Runs until the last answer is out. */
+    /** Runs until all requests have ended, but at most until the drain limit after the end of the trace. */
     public RunResult run() {
         createEngines();
         createEntries();
-        trace.requests().forEach(request -> loop.after(request.arrivalSeconds(), () -> arrive(request)));
+        trace.requests().forEach(request -> loop.after(request.arrivalSeconds(), () -> requestArrived(request)));
         trace.incidents().forEach(incident -> loop.after(incident.atSeconds(), () -> applyIncident(incident)));
         engines.values().forEach(engine -> {
             report(engine, 0);
@@ -125,9 +125,9 @@
     }
 
     @Override
-    public Optional<FakeEngine> chooseHandoffTarget(FakeEngine leaving) {
+    public Optional<FakeEngine> chooseHandoffTarget(FakeEngine source) {
         return engines.values().stream()
-                .filter(engine -> engine != leaving && engine.state() == EngineState.READY)
+                .filter(engine -> engine != source && engine.state() == EngineState.READY)
                 .filter(engine -> engine.role() != EngineRole.PREFILL)
                 .min(Comparator.comparingInt(FakeEngine::runningSequences));
     }
@@ -141,28 +141,28 @@
 
     private void createEngines() {
         RoleSplit start = policy.planning().initialSplit();
-        int number = 0;
+        int index = 0;
         for (FleetEngine engine : fleet.engines()) {
-            EngineRole role = number < start.prefill()
+            EngineRole role = index < start.prefill()
                     ? EngineRole.PREFILL
-                    : number < start.prefill() + start.decode() ? EngineRole.DECODE : EngineRole.WHOLE;
+                    : index < start.prefill() + start.decode() ? EngineRole.DECODE : EngineRole.WHOLE;
             engines.put(
                     engine.name(),
                     new FakeEngine(engine.name(), engine.dataCentre(), fleet.parameters(), role, loop, this));
-            number++;
+            index++;
         }
     }
 
     private void createEntries() {
-        for (int number = 0; number < fleet.entries(); number++) {
+        for (int index = 0; index < fleet.entries(); index++) {
             SimulatedEntry entry = new SimulatedEntry(
-                    "entry-" + number, fleet, loop, policy.routing().apply(number), engines, counters);
+                    "entry-" + index, fleet, loop, policy.routing().apply(index), engines, counters);
             engines.values().forEach(engine -> entry.routing().engineAdded(engine.name(), engine.dataCentre()));
             entries.add(entry);
         }
     }
 
-    private void arrive(TraceRequest request) {
+    private void requestArrived(TraceRequest request) {
         SimulatedRequest arrived = new SimulatedRequest(
                 RequestId.draw(random),
                 request,
@@ -174,12 +174,12 @@
     }
 
     private void applyIncident(TraceIncident incident) {
-        List<FakeEngine> byNumber = List.copyOf(engines.values());
+        List<FakeEngine> enginesByIndex = List.copyOf(engines.values());
         switch (incident) {
             case TraceIncident.Withdrawal withdrawal ->
-                byNumber.get(withdrawal.engine()).withdraw();
+                enginesByIndex.get(withdrawal.engine()).withdraw();
             case TraceIncident.Return returned ->
-                byNumber.get(returned.engine()).restore();
+                enginesByIndex.get(returned.engine()).restore();
             case TraceIncident.ReportLag lag -> reportLagSeconds = lag.lagSeconds();
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunCounters.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunCounters.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.bench.policy.fleet.Fleet;
 import org.aspenmoor.internal.bench.policy.fleet.TraceKind;
 
-/** Counts the outcomes of one run. */
+/** Counts the results of the requests of one run. */
 final class RunCounters {
     private static final double MICROSECONDS_PER_SECOND = 1e6;
     private static final double FIRST_TOKEN_PERCENTILE = 95;
@@ -76,8 +76,8 @@
 
     RunResult result(String policy, double engineSecondsAway, List<TimelinePoint> timeline) {
         if (openRequests() != 0) {
-            throw new IllegalStateException("of " + requests + " requests, " + completed + " were completed, " + refused
-                    + " refused and " + late + " late");
+            throw new IllegalStateException("requests without a result: of " + requests + " requests, " + completed
+                    + " were completed, " + refused + " refused and " + late + " late");
         }
         List<TeamResult> teamResults = new ArrayList<>();
         teamCounts.forEach((team, counts) -> teamResults.add(new TeamResult(team, (double) counts[1] / counts[0])));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/RunResult.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What one run measured.
+ * Measurements of one run.
  *
- * @param policy the policy
- * @param weightedGoodput the weights of requests answered in time, summed
- * @param offeredWeight the weights of all requests, summed
- * @param requests how many requests arrived
- * @param completed how many were answered in time
- * @param refused how many were refused without having run
- * @param late how many were answered too late
- * @param roleChanges how many role changes were ordered
- * @param engineSecondsAway how long engines were away for role changes, draining included
- * @param firstTokenP95Seconds the first token's latency that 95 in 100 answers stay within
- * @param heaviestInTimeFraction the share of the heaviest kind's requests answered in time
- * @param slowestRefusalFraction the greatest share of its deadline that a refused request waited for its refusal
- * @param teamResults the share of each team's requests answered in time
- * @param timeline what happened over time
+ * @param policy name of the policy
+ * @param weightedGoodput sum of the weights of the requests answered in time
+ * @param offeredWeight sum of the weights of all requests
+ * @param requests number of requests that arrived
+ * @param completed number of requests answered in time
+ * @param refused number of requests refused without having run
+ * @param late number of requests answered after their deadline
+ * @param roleChanges number of role changes ordered
+ * @param engineSecondsAway total time that engines were away for role changes, including draining
+ * @param firstTokenP95Seconds 95th percentile of the time to the first token
+ * @param heaviestInTimeFraction fraction of the requests of the kind with the highest weight that were answered in time
+ * @param slowestRefusalFraction longest wait for a refusal, as a fraction of the deadline of the request
+ * @param teamResults results by team
+ * @param timeline time series of the run
  */
 public record RunResult(
         String policy,
@@ -40,7 +40,7 @@
         timeline = List.copyOf(timeline);
     }
 
-    /** Returns the result under another name. */
+    /** Returns a copy with another policy name. */
     public RunResult withPolicyName(String name) {
         return new RunResult(
                 name,
@@ -59,7 +59,7 @@
                 timeline);
     }
 
-    /** Returns the goodput less what the team's price says the changes cost. */
+    /** Returns the weighted goodput less the price of all role changes. */
     public double goodputLessRoleChanges(double roleChangePrice) {
         return weightedGoodput - roleChangePrice * roleChanges;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/SimulatedEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/SimulatedEntry.java
@@ -26,11 +26,13 @@
 import org.aspenmoor.internal.routing.RoutingDecision;
 import org.aspenmoor.internal.routing.RoutingRequest;
 
-/** One entry: admission, routing and the counts it sends to the planner. */
+/** A simulated entry: admission, routing and the counts sent to the planner. */
 final class SimulatedEntry {
     static final String MODEL = "draft@1";
-    private static final double DISPATCH_INTERVAL_SECONDS = 0.02;
+    private static final double RETRY_INTERVAL_SECONDS = 0.02;
     private static final long ROUTING_RETRY_NANOSECONDS = 10_000_000;
+
+    /** Requests that all entries together may have at an engine, relative to its maximum number of sequences. */
     private static final double CREDIT_FACTOR = 1.1;
 
     private final String name;
@@ -103,7 +105,7 @@
         return sentDecisions.containsKey(id);
     }
 
-    /** The first token came: an engine that only computes prompts is done. */
+    /** Called at the first token of a request; an engine that only prefilled the prompt has completed its part. */
     void firstTokenReceived(EngineJob job) {
         prefillEngines.remove(job.id()).ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
         dispatchQueued();
@@ -198,7 +200,7 @@
     private void scheduleRetry() {
         if (!retryScheduled) {
             retryScheduled = true;
-            loop.after(DISPATCH_INTERVAL_SECONDS, () -> {
+            loop.after(RETRY_INTERVAL_SECONDS, () -> {
                 retryScheduled = false;
                 dispatchQueued();
             });
@@ -209,16 +211,16 @@
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         EngineSpeed speed = fleet.parameters().speed();
         int batch = fleet.parameters().maxSequences();
-        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
-        double decode = estimate.outputTokens() * speed.stepSeconds(batch);
+        double prefillSeconds = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
+        double decodeSeconds = estimate.outputTokens() * speed.stepSeconds(batch);
         return new WaitingWork(
                 request.id(),
                 request.team(),
                 request.kind(),
                 request.weight(),
                 request.deadlineNanoseconds(),
-                prefill + decode / batch,
-                prefill + decode);
+                prefillSeconds + decodeSeconds / batch,
+                prefillSeconds + decodeSeconds);
     }
 
     private RoutingRequest routingRequest(SimulatedRequest request, WaitingWork work) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/SimulatedRequest.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/SimulatedRequest.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.internal.bench.policy.trace.TraceRequest;
 import org.aspenmoor.internal.routing.PrefixChain;
 
-/** One request during a run. */
+/** A request during a run. */
 final class SimulatedRequest {
     private final RequestId id;
     private final TraceRequest traceRequest;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TeamResult.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TeamResult.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.bench.policy.run;
 
 /**
- * How one team fared.
+ * Result of one team.
  *
- * @param team the team
- * @param inTimeFraction the share of its requests answered in time
+ * @param team name of the team
+ * @param inTimeFraction fraction of its requests answered in time
  */
 public record TeamResult(String team, double inTimeFraction) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Timeline.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/Timeline.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.routing.EngineSpeed;
 
-/** Notes mix, roles and goodput over time. */
+/** Records the work mix, the roles and the goodput over time. */
 final class Timeline {
     static final double INTERVAL_SECONDS = 2;
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TimelinePoint.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/TimelinePoint.java
@@ -1,14 +1,14 @@
 package org.aspenmoor.internal.bench.policy.run;
 
 /**
- * One interval of a run.
+ * A point of the time series of a run. Work and goodput are those since the previous point.
  *
- * @param seconds its start
- * @param prefillFraction the share of prefill in the work that arrived
- * @param prefillEngines ready engines that compute prompts
- * @param decodeEngines ready engines that generate answers
- * @param wholeEngines ready engines that do both
- * @param weightedGoodput the weights answered in time during the interval, a second
+ * @param seconds time of the point, from the start of the run
+ * @param prefillFraction fraction of prefill in the engine time of the requests that arrived
+ * @param prefillEngines number of ready engines in the prefill role
+ * @param decodeEngines number of ready engines in the decode role
+ * @param wholeEngines number of ready engines that serve both prefill and decode
+ * @param weightedGoodput sum of the weights answered in time, per second
  */
 public record TimelinePoint(
         double seconds,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/package-info.java
@@ -1,2 +1,2 @@
-/** One run of a trace on a fleet under a strategy. */
+/** A run of a trace on a fleet under a policy. */
 package org.aspenmoor.internal.bench.policy.run;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/BaselineRouting.java
@@ -16,10 +16,11 @@
 import org.aspenmoor.internal.routing.RoutingRequest;
 
 /**
- * Round robin and least reported load: the usual rules, which know neither their own sends nor prefixes.
+ * Baseline routing by round robin or by the least reported load. Neither takes its own sends or cached prefixes into
+ * account.
  *
- * <p>They use two stages where both roles exist. They estimate from the last report only, so that their admission
- * works on the same terms.
+ * <p>Both use separate prefill and decode engines where both roles exist. They estimate times from the last load report
+ * only, so that admission is based on the same information as routing.
  */
 public final class BaselineRouting implements RoutingStrategy {
     private final boolean byLeastLoad;
@@ -27,7 +28,7 @@
     private final Map<String, Reported> engines = new LinkedHashMap<>();
     private int decisionCount;
 
-    /** Makes least-reported-load routing, or round robin. */
+    /** Creates routing by the least reported load, or by round robin. */
     public BaselineRouting(boolean byLeastLoad, EngineSpeed speed) {
         this.byLeastLoad = byLeastLoad;
         this.speed = speed;
@@ -52,7 +53,7 @@
 
     @Override
     public void cacheEventReceived(String engine, long sequence, CacheEvent event) {
-        // These rules know no prefixes.
+        // The baselines do not take prefixes into account.
     }
 
     @Override
@@ -76,12 +77,12 @@
 
     @Override
     public void requestSent(RoutingRequest request, RoutingDecision decision, long now) {
-        // These rules do not count their own sends.
+        // The baselines do not take their own sends into account.
     }
 
     @Override
     public void requestEnded(RequestId id, long now) {
-        // These rules do not count their own sends.
+        // The baselines do not take their own sends into account.
     }
 
     private Optional<String> chooseEngine(EngineRole role, CandidateFilter filter) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
@@ -9,10 +9,10 @@
 import org.aspenmoor.internal.planning.RoleSplit;
 
 /**
- * Plans with the whole trace known: dynamic programming over splits and steps of time.
+ * Plans roles with knowledge of the whole trace, by dynamic programming over role splits and time steps.
  *
- * <p>The value of a way through time is the modelled goodput of each step, less the price of each change; while engines
- * are away, those that stay work alone.
+ * <p>The value of a sequence of splits is the modelled goodput of all steps less the price of all role changes. While
+ * engines are away for a change, only the others contribute goodput.
  */
 final class ClairvoyantPlanner {
     private final GoodputModel model;
@@ -34,7 +34,7 @@
         this.roleChangePrice = roleChangePrice;
     }
 
-    /** Returns, for each step and each split one may be in then, the split to move to. */
+    /** Returns, for each time step and each possible current split, the split to change to. */
     List<Map<RoleSplit, RoleSplit>> plan(int engines) {
         List<RoleSplit> splits = allSplits(engines);
         int steps = demands.size();
@@ -51,7 +51,7 @@
                 RoleSplit best = from;
                 double bestValue = Double.NEGATIVE_INFINITY;
                 for (RoleSplit to : splits) {
-                    double value = valueOfMove(from, to, step, bestValues, goodput);
+                    double value = valueOfChange(from, to, step, bestValues, goodput);
                     if (value > bestValue || (value == bestValue && to.equals(from))) {
                         best = to;
                         bestValue = value;
@@ -64,7 +64,7 @@
         return nextSplits;
     }
 
-    private double valueOfMove(
+    private double valueOfChange(
             RoleSplit from,
             RoleSplit to,
             int step,
@@ -76,10 +76,10 @@
         }
         int next = Math.min(demands.size(), step + (from.equals(to) ? 1 : awaySteps));
         double value = bestValues.get(next).get(to) - roleChangePrice * from.changesTo(to);
-        for (int elapsed = step; elapsed < next; elapsed++) {
-            value += elapsed == step
+        for (int current = step; current < next; current++) {
+            value += current == step
                     ? goodput.computeIfAbsent(during, split -> goodput(split, step))
-                    : goodput(during, elapsed);
+                    : goodput(during, current);
         }
         return value;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.planning.RoleSplit;
 import org.aspenmoor.internal.planning.WorkCounts;
 
-/** Follows a plan that was made with the whole trace known. */
+/** Follows a plan made with knowledge of the whole trace. */
 public final class ClairvoyantStrategy implements PlanningStrategy {
     private static final double NANOSECONDS = 1e9;
     private static final double STEP_SECONDS = 1;
@@ -43,7 +43,7 @@
 
     @Override
     public void observe(WorkCounts counts) {
-        // It knows the trace already.
+        // The plan is based on the trace, not on counts.
     }
 
     @Override
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
@@ -13,13 +13,13 @@
 import org.aspenmoor.internal.planning.KindDemand;
 import org.aspenmoor.internal.planning.KindWeight;
 
-/** The demand that a trace holds, in steps of time. */
+/** Demand of a trace in time steps. */
 final class DemandSteps {
     private static final double CACHED_PREFIX_FRACTION = 0.8;
 
     private DemandSteps() {}
 
-    /** Returns the mean demand of each step, averaged over so many steps before and after it. */
+    /** Returns the demand of each time step, averaged over a number of steps before and after it. */
     static List<List<KindDemand>> of(
             Fleet fleet, Trace trace, GoodputModel model, double stepSeconds, int smoothingSteps) {
         int steps = (int) Math.ceil(trace.lengthSeconds() / stepSeconds) + 1;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FixedSplit.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FixedSplit.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.planning.RoleSplit;
 import org.aspenmoor.internal.planning.WorkCounts;
 
-/** Never changes a role. */
+/** Keeps the initial split and never changes a role. */
 public final class FixedSplit implements PlanningStrategy {
     private final RoleSplit split;
 
@@ -21,7 +21,7 @@
 
     @Override
     public void observe(WorkCounts counts) {
-        // A fixed split needs no counts.
+        // A fixed split does not depend on counts.
     }
 
     @Override
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FleetLoad.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/FleetLoad.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.bench.policy.strategy;
 
 /**
- * How busy the roles are, as the threshold rule sees it from the last reports.
+ * Current load of the engines by role, the input of the threshold rule.
  *
- * @param prefillWaitSeconds the mean seconds of prompts that wait at an engine that computes prompts
- * @param decodeOccupancy the mean share of the batch in use at an engine that generates
+ * @param prefillWaitSeconds mean time to prefill the prompts queued at an engine that prefills, in seconds
+ * @param decodeOccupancy mean fraction of the batch in use at an engine that decodes
  */
 public record FleetLoad(double prefillWaitSeconds, double decodeOccupancy) {}
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlannerStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlannerStrategy.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.planning.RoleSplit;
 import org.aspenmoor.internal.planning.WorkCounts;
 
-/** The planner that the daemon uses. */
+/** Planning by the planner of the daemon. */
 public final class PlannerStrategy implements PlanningStrategy {
     private final RolePlanner planner;
     private final RoleSplit initialSplit;
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlanningStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/PlanningStrategy.java
@@ -6,14 +6,14 @@
 import org.aspenmoor.internal.planning.RoleSplit;
 import org.aspenmoor.internal.planning.WorkCounts;
 
-/** How roles are planned. */
+/** Plans the roles of the engines. */
 public interface PlanningStrategy {
-    /** Returns the split at the start. */
+    /** Returns the role split at the start of a run. */
     RoleSplit initialSplit();
 
-    /** Takes the counts of one entry. */
+    /** Records the work counts of one entry. */
     void observe(WorkCounts counts);
 
-    /** Returns the changes to order now. */
+    /** Returns the role changes to order now. */
     List<RoleChange> plan(PlanningInput input, FleetLoad load, long now);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.routing.RoutingDecision;
 import org.aspenmoor.internal.routing.RoutingRequest;
 
-/** The router that the daemon uses. */
+/** Routing by the router of the daemon. */
 public final class RouterStrategy implements RoutingStrategy {
     private static final double NANOSECONDS = 1e9;
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RoutingStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RoutingStrategy.java
@@ -10,12 +10,12 @@
 import org.aspenmoor.internal.routing.RoutingDecision;
 import org.aspenmoor.internal.routing.RoutingRequest;
 
-/** How one entry chooses engines. */
+/** Chooses engines for the requests of one entry. */
 public interface RoutingStrategy {
-    /** Learns of an engine. */
+    /** Adds an engine. */
     void engineAdded(String engine, String dataCentre);
 
-    /** Takes a report that is so many seconds old. */
+    /** Records a load report, given its age in seconds. */
     void loadReported(
             String engine,
             EngineLoad load,
@@ -25,15 +25,15 @@
             double ageSeconds,
             long now);
 
-    /** Takes a cache event. */
+    /** Records a change of the prefix cache of an engine. */
     void cacheEventReceived(String engine, long sequence, CacheEvent event);
 
-    /** Chooses. */
+    /** Chooses the engines for a request; empty if no engine can take it. */
     Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long now);
 
-    /** Notes a send. */
+    /** Records that a request was sent. */
     void requestSent(RoutingRequest request, RoutingDecision decision, long now);
 
-    /** Notes the end of a request. */
+    /** Records that a request has ended. */
     void requestEnded(RequestId id, long now);
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ThresholdRule.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ThresholdRule.java
@@ -11,10 +11,11 @@
 import org.aspenmoor.internal.planning.WorkCounts;
 
 /**
- * The usual autoscaling rule: one engine moves to the role that is above its threshold while the other is below.
+ * A common autoscaling rule: one engine changes to the role whose load is above its threshold while that of the other
+ * role is not.
  *
- * <p>Thresholds and the pause were chosen for the best goodput of this rule over the built-in traces; docs/POLICY.md
- * has the figures.
+ * <p>The thresholds and the minimum interval between changes are those with the best goodput of this rule over the
+ * built-in traces; docs/POLICY.md has the figures.
  */
 public final class ThresholdRule implements PlanningStrategy {
     private static final double HIGH_WAIT_SECONDS = 0.2;
@@ -35,7 +36,7 @@
 
     @Override
     public void observe(WorkCounts counts) {
-        // The rule looks at load only.
+        // The rule depends on the load only.
     }
 
     @Override
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/BuiltInTrace.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/BuiltInTrace.java
@@ -4,29 +4,29 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** The traces that come with the bench. */
+/** Built-in traces of the bench. */
 public enum BuiltInTrace {
-    /** Long scripts for short cues, after a mixed start. */
+    /** Mostly requests with long prompts and short answers, after an even mix at the start. */
     LONG_PROMPTS(false),
-    /** Short mixtures with long hazard text, after a mixed start. */
+    /** Mostly requests with short prompts and long answers, after an even mix at the start. */
     LONG_ANSWERS(false),
-    /** The mix drifts from prompts to answers and back. */
+    /** The mix drifts slowly between long prompts and long answers, and back. */
     SLOW_DRIFT(true),
-    /** The mix swings both ways within a minute. */
+    /** The mix switches abruptly between long prompts and long answers, within a minute each time. */
     SUDDEN_SWINGS(true),
-    /** The mix swings faster than a role change pays. */
+    /** The mix switches so fast that role changes do not pay off. */
     FAST_OSCILLATION(false),
-    /** 1.3 times what the fleet can do. */
+    /** Load of 1.3 times the capacity of the fleet. */
     OVERLOAD_1_3(false),
-    /** Twice what the fleet can do. */
+    /** Load of twice the capacity of the fleet. */
     OVERLOAD_2(false),
-    /** Two engines are withdrawn and come back. */
+    /** Two engines are withdrawn and restored later. */
     ENGINE_WITHDRAWN(false),
-    /** Load reports are late by several seconds, while the mix swings. */
+    /** Load reports are several seconds late while the mix switches. */
     LATE_REPORTS(true),
-    /** One team floods the others. */
+    /** One team sends far more requests than the others. */
     TEAM_FLOOD(false),
-    /** Long prompts with shared starts. */
+    /** Long prompts with shared prefixes. */
     PREFIX_HEAVY(false);
 
     private final boolean swings;
@@ -35,7 +35,7 @@
         this.swings = swings;
     }
 
-    /** Says whether following the mix is what this trace is about. */
+    /** Returns whether the purpose of this trace is to test how a policy follows changes of the mix. */
     public boolean swings() {
         return swings;
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/LoadSchedule.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/LoadSchedule.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.bench.policy.trace;
 
-/** The load at each moment, as a share of the engine time the fleet has. */
+/** Load over time, as a fraction of the engine time available in the fleet. */
 @FunctionalInterface
 interface LoadSchedule {
     double at(double seconds);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/MixSchedule.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/MixSchedule.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.bench.policy.trace;
 
-/** The mix at each moment. */
+/** Work mix over time. */
 @FunctionalInterface
 interface MixSchedule {
     WorkMix at(double seconds);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/Trace.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/Trace.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A trace.
+ * A trace of requests, with incidents in the fleet.
  *
- * @param name its name
- * @param requests its requests by arrival
- * @param incidents what happens to the fleet, by time
+ * @param name name of the trace
+ * @param requests requests in order of arrival
+ * @param incidents incidents in order of time
  */
 public record Trace(String name, List<TraceRequest> requests, List<TraceIncident> incidents) {
     public Trace {
@@ -15,7 +15,7 @@
         incidents = List.copyOf(incidents);
     }
 
-    /** Returns when the last request arrives. */
+    /** Returns the arrival time of the last request. */
     public double lengthSeconds() {
         return requests.isEmpty() ? 0 : requests.getLast().arrivalSeconds();
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceGenerator.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceGenerator.java
@@ -10,8 +10,9 @@
 /**
  * Generates the built-in traces for a fleet.
  *
- * <p>Arrivals are Poisson; lengths are log-normal around the kind's typical ones, as published for conversations and
- * code. Load is given as a share of the engine time the fleet has, so that traces press every fleet alike.
+ * <p>Arrivals are a Poisson process; lengths are log-normal around the typical lengths of the kind, as published for
+ * conversations and code. Load is given as a fraction of the engine time available, so that a trace loads every fleet
+ * to the same degree.
  */
 public final class TraceGenerator {
     private static final double TRACE_SECONDS = 240;
@@ -28,7 +29,7 @@
         this.random = random;
     }
 
-    /** Generates one trace. */
+    /** Generates a trace. */
     public Trace generate(BuiltInTrace trace) {
         return switch (trace) {
             case LONG_PROMPTS ->
@@ -71,29 +72,33 @@
         }
         int first = random.nextInt(2);
         return now -> {
-            int phase = (int) phaseEnds.stream().filter(past -> past <= now).count();
+            int phase =
+                    (int) phaseEnds.stream().filter(phaseEnd -> phaseEnd <= now).count();
             return (phase + first) % 2 == 0 ? WorkMix.PROMPT_HEAVY : WorkMix.OUTPUT_HEAVY;
         };
     }
 
-    /** The heaviest kind stays within what the fleet can do; the others swing. */
+    /**
+     * Returns a mix in which the kind with the highest weight stays within the capacity of the fleet and the others
+     * alternate.
+     */
     private MixSchedule overloadMix() {
         boolean promptsAreHeaviest = fleet.kinds().get(0).declaration().weight()
                 > fleet.kinds().get(1).declaration().weight();
-        WorkMix one = promptsAreHeaviest ? new WorkMix(0.3, 0.6, 0.1) : new WorkMix(0.6, 0.3, 0.1);
-        WorkMix other = promptsAreHeaviest ? new WorkMix(0.3, 0.1, 0.6) : new WorkMix(0.1, 0.3, 0.6);
-        MixSchedule swings = swingingMix(60, 90);
-        return now -> swings.at(now).equals(WorkMix.PROMPT_HEAVY) ? one : other;
+        WorkMix firstMix = promptsAreHeaviest ? new WorkMix(0.3, 0.6, 0.1) : new WorkMix(0.6, 0.3, 0.1);
+        WorkMix secondMix = promptsAreHeaviest ? new WorkMix(0.3, 0.1, 0.6) : new WorkMix(0.1, 0.3, 0.6);
+        MixSchedule swingingMix = swingingMix(60, 90);
+        return now -> swingingMix.at(now).equals(WorkMix.PROMPT_HEAVY) ? firstMix : secondMix;
     }
 
     private Trace engineWithdrawn(BuiltInTrace trace) {
-        int one = random.nextInt(fleet.engines().size());
-        int other = (one + 1) % fleet.engines().size();
+        int firstEngine = random.nextInt(fleet.engines().size());
+        int secondEngine = (firstEngine + 1) % fleet.engines().size();
         List<TraceIncident> incidents = List.of(
-                new TraceIncident.Withdrawal(60, one),
-                new TraceIncident.Withdrawal(70, other),
-                new TraceIncident.Return(150, one),
-                new TraceIncident.Return(170, other));
+                new TraceIncident.Withdrawal(60, firstEngine),
+                new TraceIncident.Withdrawal(70, secondEngine),
+                new TraceIncident.Return(150, firstEngine),
+                new TraceIncident.Return(170, secondEngine));
         MixSchedule mix = now -> now < 110 ? WorkMix.PROMPT_HEAVY : WorkMix.EVEN;
         return new Trace(trace.label(), requests("house", mix, now -> 0.75, PREFIXES_PER_KIND, 0.3), incidents);
     }
@@ -123,24 +128,25 @@
     private List<TraceRequest> requests(
             String team, MixSchedule mix, LoadSchedule load, int prefixes, double prefixFraction) {
         List<TraceRequest> requests = new ArrayList<>();
-        double[] nextArrivals = new double[fleet.kinds().size()];
-        for (int kind = 0; kind < nextArrivals.length; kind++) {
-            nextArrivals[kind] = sampleExponential();
+        // A Poisson process with a varying rate: the distances between arrivals are exponential in the integrated rate.
+        double[] remainingToArrival = new double[fleet.kinds().size()];
+        for (int kind = 0; kind < remainingToArrival.length; kind++) {
+            remainingToArrival[kind] = sampleExponential();
         }
         for (double now = 0; now < TRACE_SECONDS; now += STEP_SECONDS) {
-            for (int kind = 0; kind < nextArrivals.length; kind++) {
+            for (int kind = 0; kind < remainingToArrival.length; kind++) {
                 double rate = load.at(now)
                         * mix.at(now).fractionOf(kind)
                         * fleet.maxRequestsPerSecond(fleet.kinds().get(kind));
-                double stepArrivals = rate * STEP_SECONDS;
-                double elapsed = 0;
-                while (nextArrivals[kind] <= stepArrivals - elapsed) {
-                    elapsed += nextArrivals[kind];
-                    double arrival = now + elapsed / rate;
+                double expectedArrivals = rate * STEP_SECONDS;
+                double used = 0;
+                while (remainingToArrival[kind] <= expectedArrivals - used) {
+                    used += remainingToArrival[kind];
+                    double arrival = now + used / rate;
                     requests.add(request(arrival, team, fleet.kinds().get(kind), prefixes, prefixFraction));
-                    nextArrivals[kind] = sampleExponential();
+                    remainingToArrival[kind] = sampleExponential();
                 }
-                nextArrivals[kind] -= stepArrivals - elapsed;
+                remainingToArrival[kind] -= expectedArrivals - used;
             }
         }
         requests.sort((one, other) -> Double.compare(one.arrivalSeconds(), other.arrivalSeconds()));
@@ -148,27 +154,27 @@
     }
 
     private TraceRequest request(double arrival, String team, TraceKind kind, int prefixes, double prefixFraction) {
-        int prompt = sampleLength(kind.typicalPromptTokens());
-        int output = Math.min(kind.declaration().longestOutputTokens(), sampleLength(kind.typicalOutputTokens()));
+        int promptTokens = sampleLength(kind.typicalPromptTokens());
+        int outputTokens = Math.min(kind.declaration().longestOutputTokens(), sampleLength(kind.typicalOutputTokens()));
         String prefix = team + "-" + kind.declaration().name() + "-" + samplePrefix(prefixes);
         int prefixTokens = (int) (prefixFraction * kind.typicalPromptTokens());
         return new TraceRequest(
                 arrival,
                 team,
                 kind.declaration().name(),
-                Math.max(prompt, prefixTokens + 8),
-                output,
+                Math.max(promptTokens, prefixTokens + 8),
+                outputTokens,
                 Optional.of(prefix),
                 prefixTokens);
     }
 
-    /** Draws a prefix; low numbers are drawn more often. */
+    /** Draws the index of a prefix; low indices are drawn more often. */
     private int samplePrefix(int prefixes) {
         return (int) (prefixes * Math.pow(random.nextDouble(), 1.7));
     }
 
-    private int sampleLength(int typical) {
-        return Math.max(4, (int) (typical * Math.exp(LENGTH_LOG_DEVIATION * random.nextGaussian())));
+    private int sampleLength(int typicalTokens) {
+        return Math.max(4, (int) (typicalTokens * Math.exp(LENGTH_LOG_DEVIATION * random.nextGaussian())));
     }
 
     private double sampleExponential() {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceIncident.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceIncident.java
@@ -1,31 +1,31 @@
 package org.aspenmoor.internal.bench.policy.trace;
 
-/** Something that happens to the fleet during a trace. */
+/** An incident in the fleet during a trace. */
 public sealed interface TraceIncident {
-    /** Returns when it happens. */
+    /** Returns the time of the incident, from the start of the trace. */
     double atSeconds();
 
     /**
-     * An engine is withdrawn; what it was working on is lost.
+     * An engine is withdrawn; its work in progress is lost.
      *
-     * @param atSeconds when
-     * @param engine its position in the fleet, from 0
+     * @param atSeconds time of the incident, from the start of the trace
+     * @param engine index of the engine in the fleet, from 0
      */
     record Withdrawal(double atSeconds, int engine) implements TraceIncident {}
 
     /**
-     * A withdrawn engine is back, empty.
+     * A withdrawn engine is restored, without work and cache.
      *
-     * @param atSeconds when
-     * @param engine its position in the fleet, from 0
+     * @param atSeconds time of the incident, from the start of the trace
+     * @param engine index of the engine in the fleet, from 0
      */
     record Return(double atSeconds, int engine) implements TraceIncident {}
 
     /**
-     * From now on load reports arrive this late.
+     * The delay of load reports changes.
      *
-     * @param atSeconds when
-     * @param lagSeconds the new lag
+     * @param atSeconds time of the incident, from the start of the trace
+     * @param lagSeconds new delay of load reports
      */
     record ReportLag(double atSeconds, double lagSeconds) implements TraceIncident {}
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceReader.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.json.FieldReader;
 import org.aspenmoor.internal.json.LocatedJsonParser;
 
-/** Reads a trace file: one JSON object a line. */
+/** Reads a trace file, which has one JSON object per line. */
 public final class TraceReader {
     private static final int MAX_TOKENS = 1_000_000;
     private static final double MAX_SECONDS = 1_000_000;
@@ -24,7 +24,7 @@
         this.fleet = fleet;
     }
 
-    /** Reads a file; all mistakes are reported together. */
+    /** Reads a file. All mistakes in it are reported in one exception. */
     public Trace read(Path file) throws AspenmoorException {
         List<TraceRequest> requests = new ArrayList<>();
         List<TraceIncident> incidents = new ArrayList<>();
@@ -46,7 +46,7 @@
             return Files.readAllLines(file);
         } catch (IOException exception) {
             throw new AspenmoorException(
-                    "The trace could not be read: " + exception.getMessage() + ".",
+                    "Could not read the trace file: " + exception.getMessage() + ".",
                     file.toString(),
                     "Check the path, or name a built-in trace.",
                     exception);
@@ -72,7 +72,10 @@
         boolean known = fleet.kinds().stream()
                 .anyMatch(candidate -> candidate.declaration().name().equals(kind));
         if (!known) {
-            findings.add(reader.placeOf("kind"), "The fleet has no such kind.", "Use a kind of the fleet file.");
+            findings.add(
+                    reader.placeOf("kind"),
+                    "The fleet has no request kind of this name.",
+                    "Use a kind of the fleet file.");
         }
         return new TraceRequest(
                 reader.decimal("arrivalSeconds", 0, MAX_SECONDS, 0),
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceRequest.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/TraceRequest.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * One request of a trace.
+ * A request of a trace.
  *
- * @param arrivalSeconds when it arrives
- * @param team whose share it uses
- * @param kind its kind
- * @param promptTokens the length of its prompt
- * @param outputTokens the length of its answer
- * @param prefix the name of the start that it shares with others
- * @param prefixTokens the length of that start
+ * @param arrivalSeconds arrival time, from the start of the trace
+ * @param team team that the request is counted to
+ * @param kind name of the request kind
+ * @param promptTokens length of the prompt
+ * @param outputTokens length of the answer
+ * @param prefix name of the prefix that it shares with other requests; empty for none
+ * @param prefixTokens length of that prefix
  */
 public record TraceRequest(
         double arrivalSeconds,
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/WorkMix.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/WorkMix.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.bench.policy.trace;
 
 /**
- * The share of engine time that each class of kinds asks for.
+ * The fractions of engine time that the request kinds of a fleet need.
  *
- * @param promptHeavy the fleet's kind with the long prompt
- * @param outputHeavy the fleet's kind with the long answer
- * @param other its third kind
+ * @param promptHeavy fraction of the kind with long prompts
+ * @param outputHeavy fraction of the kind with long answers
+ * @param other fraction of each further kind
  */
 record WorkMix(double promptHeavy, double outputHeavy, double other) {
     static final WorkMix PROMPT_HEAVY = new WorkMix(0.85, 0.05, 0.10);
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/package-info.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/package-info.java
@@ -1,2 +1,2 @@
-/** Traces of requests: read from files or generated from a seed. */
+/** Request traces, read from files or generated from a seed. */
 package org.aspenmoor.internal.bench.policy.trace;
--- a/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/PolicyRegressionTest.java
+++ b/aspenmoor-bench/src/test/java/org/aspenmoor/internal/bench/policy/PolicyRegressionTest.java
@@ -11,7 +11,9 @@
 import org.aspenmoor.internal.bench.policy.trace.TraceGenerator;
 import org.testng.annotations.Test;
 
-/** Bounds below what docs/POLICY.md reports, so that a change that makes the decisions worse is seen at once. */
+/**
+ * Checks bounds somewhat below the results in docs/POLICY.md, so that a change that worsens the decisions is detected.
+ */
 public class PolicyRegressionTest {
     private static final long SEED = 1;
 
@@ -41,7 +43,7 @@
 
         assertTrue(
                 aspenmoor.heaviestInTimeFraction() > 0.97,
-                "heaviest kind in time: " + aspenmoor.heaviestInTimeFraction());
+                "fraction of the heaviest kind answered in time: " + aspenmoor.heaviestInTimeFraction());
     }
 
     @Test
@@ -70,7 +72,7 @@
     }
 
     private static String describe(RunResult aspenmoor, RunResult other) {
-        return "goodput " + aspenmoor.weightedGoodput() + " and " + other.weightedGoodput() + ", role changes "
+        return "weighted goodput " + aspenmoor.weightedGoodput() + " and " + other.weightedGoodput() + ", role changes "
                 + aspenmoor.roleChanges() + " and " + other.roleChanges() + ", first token p95 "
                 + aspenmoor.firstTokenP95Seconds() + " and " + other.firstTokenP95Seconds();
     }
