--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
@@ -86,10 +86,10 @@
         if (fixedSplitResults.isEmpty()) {
             List<RunResult> runs = new ArrayList<>();
             int engines = fleet.engines().size();
-            for (int whole : new int[] {0, engines / 4, engines}) {
-                int paired = engines - whole;
-                for (int prefill = paired == 0 ? 0 : 1; prefill < Math.max(1, paired); prefill++) {
-                    RoleSplit split = new RoleSplit(prefill, paired - prefill, whole);
+            for (int wholeEngines : new int[] {0, engines / 4, engines}) {
+                int pairedEngines = engines - wholeEngines;
+                for (int prefill = pairedEngines == 0 ? 0 : 1; prefill < Math.max(1, pairedEngines); prefill++) {
+                    RoleSplit split = new RoleSplit(prefill, pairedEngines - prefill, wholeEngines);
                     if (split.servesBothStages()) {
                         runs.add(run(new FixedSplit(split), this::router));
                     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
@@ -52,9 +52,9 @@
     public void setUp() {
         planner = new RolePlanner(PlannerSettings.usual());
         List<PlannedEngine> planned = new ArrayList<>();
-        for (int number = 0; number < engines; number++) {
-            EngineRole role = number % 2 == 0 ? EngineRole.PREFILL : EngineRole.DECODE;
-            planned.add(new PlannedEngine("engine-" + number, role, new EngineAvailability.Available(), 8));
+        for (int index = 0; index < engines; index++) {
+            EngineRole role = index % 2 == 0 ? EngineRole.PREFILL : EngineRole.DECODE;
+            planned.add(new PlannedEngine("engine-" + index, role, new EngineAvailability.Available(), 8));
         }
         List<KindWeight> kinds = new ArrayList<>();
         for (int kind = 0; kind < KINDS; kind++) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
@@ -52,13 +52,13 @@
     public void setUp() {
         random = new SplittableRandom(5);
         router = new Router(RouterSettings.usual("one"), random.split());
-        for (int number = 0; number < engines; number++) {
-            String name = "engine-" + number;
-            EngineRole role = EngineRole.values()[number % EngineRole.values().length];
+        for (int index = 0; index < engines; index++) {
+            String name = "engine-" + index;
+            EngineRole role = EngineRole.values()[index % EngineRole.values().length];
             router.added(name, "one");
             EngineLoad load = new EngineLoad(1, random.nextInt(4_000), random.nextInt(24), 32, 96, 96);
             router.reported(name, load, role, true, Set.of(MODEL), Duration.ZERO, 0);
-            router.cacheEvent(name, 1, new CacheEvent.Stored(List.of((long) number % PREFIXES)));
+            router.cacheEvent(name, 1, new CacheEvent.Stored(List.of((long) index % PREFIXES)));
         }
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/report/TimelinePlot.java
@@ -12,14 +12,14 @@
 
     /** Plots the work mix and the roles of the first policy, and the goodput of all policies. */
     public static void write(Path file, List<NamedResult> results) throws AspenmoorException {
-        List<TimelinePoint> first = results.getFirst().result().timeline();
+        List<TimelinePoint> firstTimeline = results.getFirst().result().timeline();
         TimeCharts<TimelinePoint> charts = new TimeCharts<TimelinePoint>(TimelinePoint::seconds)
                 .chart("share of prefill in arriving work")
-                .line("prefill share", first, TimelinePoint::prefillFraction)
+                .line("prefill share", firstTimeline, TimelinePoint::prefillFraction)
                 .chart("ready engines, " + results.getFirst().result().policy())
-                .line("prefill", first, TimelinePoint::prefillEngines)
-                .line("decode", first, TimelinePoint::decodeEngines)
-                .line("whole", first, TimelinePoint::wholeEngines)
+                .line("prefill", firstTimeline, TimelinePoint::prefillEngines)
+                .line("decode", firstTimeline, TimelinePoint::decodeEngines)
+                .line("whole", firstTimeline, TimelinePoint::wholeEngines)
                 .chart("weighted goodput a second");
         results.forEach(result ->
                 charts.line(result.result().policy(), result.result().timeline(), TimelinePoint::weightedGoodput));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/PolicyRun.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/PolicyRun.java
@@ -140,12 +140,12 @@
     }
 
     private void createEngines() {
-        RoleSplit start = policy.planning().initialSplit();
+        RoleSplit initialSplit = policy.planning().initialSplit();
         int index = 0;
         for (FleetEngine engine : fleet.engines()) {
-            EngineRole role = index < start.prefill()
+            EngineRole role = index < initialSplit.prefill()
                     ? EngineRole.PREFILL
-                    : index < start.prefill() + start.decode() ? EngineRole.DECODE : EngineRole.WHOLE;
+                    : index < initialSplit.prefill() + initialSplit.decode() ? EngineRole.DECODE : EngineRole.WHOLE;
             engines.put(
                     engine.name(),
                     new FakeEngine(engine.name(), engine.dataCentre(), fleet.parameters(), role, loop, this));
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/BuiltInTrace.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/trace/BuiltInTrace.java
@@ -12,7 +12,7 @@
     LONG_ANSWERS(false),
     /** The mix drifts slowly between long prompts and long answers, and back. */
     SLOW_DRIFT(true),
-    /** The mix switches abruptly between long prompts and long answers, within a minute each time. */
+    /** The mix switches abruptly between long prompts and long answers, every 40 to 60 seconds. */
     SUDDEN_SWINGS(true),
     /** The mix switches so fast that role changes do not pay off. */
     FAST_OSCILLATION(false),
