--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
@@ -57,9 +57,9 @@
     }
 
     private static Router router(int engines) {
-        Router router = new Router(RouterSettings.usual(DATA_CENTRE), new Random(SEED));
+        Router router = new Router(RouterSettings.defaults(DATA_CENTRE), new Random(SEED));
         for (int number = 0; number < engines; number++) {
-            router.added("engine-" + number, DATA_CENTRE);
+            router.addEngine("engine-" + number, DATA_CENTRE);
             report(router, "engine-" + number, 1, 0);
         }
         return router;
@@ -67,14 +67,14 @@
 
     private static void report(Router router, String backend, long sequence, long now) {
         EngineLoad load = new EngineLoad(sequence, sequence % PROMPT_TOKENS, 20, 64, 700, 2000);
-        router.reported(backend, load, EngineRole.WHOLE, true, Set.of(MODEL), Duration.ofMillis(50), now);
+        router.applyReport(backend, load, EngineRole.WHOLE, true, Set.of(MODEL), Duration.ofMillis(50), now);
     }
 
     private static Object indexed(int pieces) {
         Router router = router(Aim.AGENTS_PER_GROUP);
         for (int piece = 0; piece < pieces; piece++) {
             String backend = "engine-" + piece % Aim.AGENTS_PER_GROUP;
-            router.cacheEvent(backend, piece, new CacheEvent.Stored(List.of((long) piece)));
+            router.applyCacheEvent(backend, piece, new CacheEvent.Stored(List.of((long) piece)));
         }
         return router;
     }
@@ -85,7 +85,7 @@
         Random random = new Random(SEED);
         for (int stream = 0; stream < streams; stream++) {
             RoutingRequest request = request(random);
-            router.sent(request, decision(router, request, 0), 0);
+            router.recordSent(request, decision(router, request, 0), 0);
             AnswerAssembly assembly = new AnswerAssembly();
             assembly.beginAttempt();
             held.add(assembly);
@@ -122,8 +122,8 @@
             for (RoutingRequest request : requests) {
                 now += NANOSECONDS / 12;
                 RoutingDecision decision = decision(router, request, now);
-                router.sent(request, decision, now);
-                router.ended(request.id(), now);
+                router.recordSent(request, decision, now);
+                router.recordEnded(request.id(), now);
                 consumed += decision.cachedTokens();
             }
         };
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
@@ -125,14 +125,14 @@
     }
 
     private RouterSettings routerSettings() {
-        RouterSettings usual = RouterSettings.usual(fleet.engines().getFirst().dataCentre());
+        RouterSettings usual = RouterSettings.defaults(fleet.engines().getFirst().dataCentre());
         return new RouterSettings(
                 fleet.parameters().speed(),
                 usual.dataCentre(),
-                usual.remoteSeconds(),
+                usual.remoteLatencySeconds(),
                 usual.sampledCandidates(),
                 usual.adapterLoadSeconds(),
-                usual.mostIndexedPieces(),
+                usual.maxIndexedBlocks(),
                 fleet.parameters().pieceTokens());
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/engine/FakeEngine.java
@@ -99,7 +99,7 @@
             iterate();
             return;
         }
-        double seconds = parameters.speed().handOverSeconds(job.contextTokens());
+        double seconds = parameters.speed().handoffSeconds(job.contextTokens());
         FakeEngine other = listener.takeOver(this).orElse(this);
         other.expect(job);
         loop.after(seconds, () -> other.handOver(job));
@@ -298,7 +298,7 @@
             return;
         }
         release(job);
-        double seconds = parameters.speed().handOverSeconds(job.contextTokens());
+        double seconds = parameters.speed().handoffSeconds(job.contextTokens());
         loop.after(seconds, () -> job.answerEngine().get().handOver(job));
     }
 
@@ -366,7 +366,7 @@
                 handedOver.removeIf(answer -> answer.job() == job);
                 other.expect(job);
                 double tokens = job.contextTokens() + TAKE_OVER_TOKENS;
-                loop.after(parameters.speed().handOverSeconds(tokens), () -> other.handOver(job));
+                loop.after(parameters.speed().handoffSeconds(tokens), () -> other.handOver(job));
             });
         }
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/EngineParameters.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/fleet/EngineParameters.java
@@ -25,7 +25,7 @@
         double cacheEventLossShare) {
     /** Returns the parameters of the built-in houses. */
     public static EngineParameters usual() {
-        return new EngineParameters(EngineSpeed.usual(), 32, 96, 2_000, 3, 0.5, 0.3, 0.02);
+        return new EngineParameters(EngineSpeed.defaults(), 32, 96, 2_000, 3, 0.5, 0.3, 0.02);
     }
 
     /** Returns the parameters with every time, the mixing slowdown and the lags multiplied. */
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/RoutingBenchmark.java
@@ -51,14 +51,14 @@
     @Setup
     public void fill() {
         random = new SplittableRandom(5);
-        router = new Router(RouterSettings.usual("one"), random.split());
+        router = new Router(RouterSettings.defaults("one"), random.split());
         for (int number = 0; number < engines; number++) {
             String name = "engine-" + number;
             EngineRole role = EngineRole.values()[number % EngineRole.values().length];
-            router.added(name, "one");
+            router.addEngine(name, "one");
             EngineLoad load = new EngineLoad(1, random.nextInt(4_000), random.nextInt(24), 32, 96, 96);
-            router.reported(name, load, role, true, Set.of(MODEL), Duration.ZERO, 0);
-            router.cacheEvent(name, 1, new CacheEvent.Stored(List.of((long) number % PREFIXES)));
+            router.applyReport(name, load, role, true, Set.of(MODEL), Duration.ZERO, 0);
+            router.applyCacheEvent(name, 1, new CacheEvent.Stored(List.of((long) number % PREFIXES)));
         }
     }
 
@@ -77,8 +77,8 @@
                 Long.MAX_VALUE,
                 "one");
         Optional<RoutingDecision> decision = router.choose(request, backend -> true, now);
-        router.sent(request, decision.orElseThrow(), now);
-        router.ended(request.id(), now);
+        router.recordSent(request, decision.orElseThrow(), now);
+        router.recordEnded(request.id(), now);
         return decision;
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
@@ -112,7 +112,7 @@
     void ended(EngineJob job, BenchRequest request, boolean answered) {
         RoutingDecision decision = sent.remove(job.id());
         routing.ended(job.id(), loop.now());
-        outstanding.merge(decision.backend(), -1, Integer::sum);
+        outstanding.merge(decision.engine(), -1, Integer::sum);
         Optional<String> unfinished = prefilling.remove(job.id());
         if (unfinished != null) {
             unfinished.ifPresent(prefill -> outstanding.merge(prefill, -1, Integer::sum));
@@ -171,19 +171,19 @@
         request.sentWith(decision.cachedTokens());
         routing.sent(routed, decision, loop.now());
         sent.put(request.id(), decision);
-        outstanding.merge(decision.backend(), 1, Integer::sum);
-        prefilling.put(request.id(), decision.prefillBackend());
-        decision.prefillBackend().ifPresent(prefill -> outstanding.merge(prefill, 1, Integer::sum));
+        outstanding.merge(decision.engine(), 1, Integer::sum);
+        prefilling.put(request.id(), decision.prefillEngine());
+        decision.prefillEngine().ifPresent(prefill -> outstanding.merge(prefill, 1, Integer::sum));
         EngineJob job = new EngineJob(
                 request.id(),
                 request.weight(),
                 request.promptTokens(),
                 request.outputTokens(),
                 request.prefix(),
-                decision.prefillBackend().map(prefill -> engines.get(decision.backend())),
+                decision.prefillEngine().map(prefill -> engines.get(decision.engine())),
                 request.deadlineSeconds() - work.serviceSeconds());
         job.answerEngine().ifPresent(answerEngine -> answerEngine.expect(job));
-        FakeEngine engine = engines.get(decision.promptBackend());
+        FakeEngine engine = engines.get(decision.engineForPrefill());
         loop.after(0.0005, () -> engine.submit(job));
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/RouterStrategy.java
@@ -24,7 +24,7 @@
 
     @Override
     public void added(String backend, String dataCentre) {
-        router.added(backend, dataCentre);
+        router.addEngine(backend, dataCentre);
     }
 
     @Override
@@ -36,12 +36,12 @@
             Set<String> loaded,
             double ageSeconds,
             long now) {
-        router.reported(backend, load, role, ready, loaded, Duration.ofNanos((long) (ageSeconds * NANOSECONDS)), now);
+        router.applyReport(backend, load, role, ready, loaded, Duration.ofNanos((long) (ageSeconds * NANOSECONDS)), now);
     }
 
     @Override
     public void cacheEvent(String backend, long sequence, CacheEvent event) {
-        router.cacheEvent(backend, sequence, event);
+        router.applyCacheEvent(backend, sequence, event);
     }
 
     @Override
@@ -51,11 +51,11 @@
 
     @Override
     public void sent(RoutingRequest request, RoutingDecision decision, long now) {
-        router.sent(request, decision, now);
+        router.recordSent(request, decision, now);
     }
 
     @Override
     public void ended(RequestId id, long now) {
-        router.ended(id, now);
+        router.recordEnded(id, now);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannerSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannerSettings.java
@@ -28,7 +28,7 @@
     /** Returns the settings that the policy bench was tuned with. */
     public static PlannerSettings usual() {
         return new PlannerSettings(
-                EngineSpeed.usual(),
+                EngineSpeed.defaults(),
                 USUAL_BATCH,
                 USUAL_UTILISATION,
                 USUAL_HORIZON_SECONDS,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/SequenceState.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEventSequence.java
@@ -1,12 +1,12 @@
 package org.aspenmoor.internal.routing;
 
 /** How far one engine's cache events were followed, and how much of what was noted may still be believed. */
-final class SequenceState {
+final class CacheEventSequence {
     private long lastSequence = -1;
     private long generation;
-    private long oldestBelieved;
+    private long oldestTrustedGeneration;
 
-    boolean isOld(long sequence) {
+    boolean isStale(long sequence) {
         return lastSequence >= 0 && sequence <= lastSequence;
     }
 
@@ -15,22 +15,22 @@
         boolean gap = lastSequence >= 0 && sequence > lastSequence + 1;
         lastSequence = sequence;
         if (gap) {
-            oldestBelieved = generation;
+            oldestTrustedGeneration = generation;
             generation++;
         }
         return gap;
     }
 
-    void forgetAll() {
+    void invalidateAll() {
         generation++;
-        oldestBelieved = generation;
+        oldestTrustedGeneration = generation;
     }
 
     long generation() {
         return generation;
     }
 
-    boolean believes(long entryGeneration) {
-        return entryGeneration >= oldestBelieved;
+    boolean trusts(long entryGeneration) {
+        return entryGeneration >= oldestTrustedGeneration;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CandidateFilter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CandidateFilter.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface CandidateFilter {
     /** Says whether the engine may be chosen. */
-    boolean accepts(String backend);
+    boolean accepts(String engine);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EnginePool.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EnginePool.java
@@ -34,7 +34,7 @@
         return engines.size();
     }
 
-    EngineView at(int position) {
+    EngineView get(int position) {
         return engines.get(position);
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeed.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeed.java
@@ -21,7 +21,7 @@
         double transferTokensPerSecond) {
 
     /** Returns figures in the middle of what is published for a 13-billion-parameter model on one accelerator. */
-    public static EngineSpeed usual() {
+    public static EngineSpeed defaults() {
         return new EngineSpeed(8_000, 0.012, 0.000_35, 0.25, 512, 0.008, 120_000);
     }
 
@@ -44,7 +44,7 @@
     }
 
     /** Returns the seconds that handing over the cache of a prompt takes. */
-    public double handOverSeconds(double tokens) {
+    public double handoffSeconds(double tokens) {
         return transferSeconds + tokens / transferTokensPerSecond;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
@@ -16,25 +16,25 @@
  * each report differs from what the report before and the own sends had predicted.
  */
 final class EngineView {
-    private static final double NANOSECONDS = 1e9;
-    private static final int MOST_OWN_SENDS = 512;
-    private static final double LEARNING_SHARE = 0.3;
-    private static final double LONGEST_EXTRAPOLATION_SECONDS = 2;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+    private static final int MAX_LOCAL_CHANGES = 512;
+    private static final double SMOOTHING_WEIGHT = 0.3;
+    private static final double MAX_EXTRAPOLATION_SECONDS = 2;
 
     private final String name;
     private final String dataCentre;
     private final EngineSpeed speed;
-    private final Deque<OwnSend> ownSends = new ArrayDeque<>();
+    private final Deque<LocalLoadChange> localChanges = new ArrayDeque<>();
     private EngineRole role = EngineRole.WHOLE;
     private boolean ready;
     private Set<String> loaded = Set.of();
     private EngineLoad load = new EngineLoad(-1, 0, 0, 1, 0, 0);
-    private long reportTakenAt;
+    private long reportMeasuredAt;
     private double backlogTokens;
     private long backlogAt;
     private int sequences;
-    private double othersTokensPerSecond;
-    private double othersSequencesPerSecond;
+    private double peerTokensPerSecond;
+    private double peerSequencesPerSecond;
 
     EngineView(String name, String dataCentre, EngineSpeed speed) {
         this.name = name;
@@ -43,43 +43,43 @@
     }
 
     /** Takes a report; an older one than the last is dropped and answered with {@code false}. */
-    boolean report(EngineLoad newLoad, EngineRole newRole, boolean newReady, Set<String> newLoaded, long takenAt) {
-        if (newLoad.sequence() < load.sequence() && takenAt <= reportTakenAt) {
+    boolean applyReport(EngineLoad newLoad, EngineRole newRole, boolean newReady, Set<String> newLoaded, long measuredAt) {
+        if (newLoad.sequence() < load.sequence() && measuredAt <= reportMeasuredAt) {
             return false;
         }
         if (newRole == role && ready && newReady) {
-            learnOthers(newLoad, takenAt);
+            updatePeerRates(newLoad, measuredAt);
         } else {
-            othersTokensPerSecond = 0;
-            othersSequencesPerSecond = 0;
+            peerTokensPerSecond = 0;
+            peerSequencesPerSecond = 0;
         }
         load = newLoad;
         role = newRole;
         ready = newReady;
         loaded = newLoaded;
-        reportTakenAt = takenAt;
-        replayOwnSends();
+        reportMeasuredAt = measuredAt;
+        replayLocalChanges();
         return true;
     }
 
-    void record(OwnSend send) {
-        if (ownSends.size() >= MOST_OWN_SENDS) {
-            ownSends.removeFirst();
+    void addLocalChange(LocalLoadChange change) {
+        if (localChanges.size() >= MAX_LOCAL_CHANGES) {
+            localChanges.removeFirst();
         }
-        ownSends.addLast(send);
-        apply(send);
+        localChanges.addLast(change);
+        apply(change);
     }
 
     double backlogTokens(long now) {
-        double elapsed = Math.max(0, now - backlogAt) / NANOSECONDS;
-        double drained = elapsed * prefillTokensPerSecond();
-        double others = Math.min(elapsed, LONGEST_EXTRAPOLATION_SECONDS) * othersTokensPerSecond;
-        return Math.max(0, backlogTokens - drained + others);
+        double elapsed = Math.max(0, now - backlogAt) / NANOSECONDS_PER_SECOND;
+        double drainedTokens = elapsed * prefillTokensPerSecond();
+        double peerTokens = Math.min(elapsed, MAX_EXTRAPOLATION_SECONDS) * peerTokensPerSecond;
+        return Math.max(0, backlogTokens - drainedTokens + peerTokens);
     }
 
     double sequences(long now) {
-        double elapsed = Math.min(LONGEST_EXTRAPOLATION_SECONDS, reportAgeSeconds(now));
-        return Math.max(0, sequences + elapsed * othersSequencesPerSecond);
+        double elapsed = Math.min(MAX_EXTRAPOLATION_SECONDS, reportAgeSeconds(now));
+        return Math.max(0, sequences + elapsed * peerSequencesPerSecond);
     }
 
     /** Returns the prompt tokens the engine computes a second with the batch it has. */
@@ -114,43 +114,43 @@
     }
 
     double reportAgeSeconds(long now) {
-        return Math.max(0, now - reportTakenAt) / NANOSECONDS;
+        return Math.max(0, now - reportMeasuredAt) / NANOSECONDS_PER_SECOND;
     }
 
-    private void learnOthers(EngineLoad newLoad, long takenAt) {
-        double seconds = (takenAt - reportTakenAt) / NANOSECONDS;
+    private void updatePeerRates(EngineLoad newLoad, long measuredAt) {
+        double seconds = (measuredAt - reportMeasuredAt) / NANOSECONDS_PER_SECOND;
         if (seconds <= 0) {
             return;
         }
-        double ownTokens = 0;
-        int ownSequences = 0;
-        for (OwnSend send : ownSends) {
-            if (send.atNanoseconds() <= takenAt) {
-                ownTokens += send.prefillTokens();
-                ownSequences += send.sequences();
+        double localTokens = 0;
+        int localSequences = 0;
+        for (LocalLoadChange change : localChanges) {
+            if (change.atNanoseconds() <= measuredAt) {
+                localTokens += change.prefillTokens();
+                localSequences += change.sequences();
             }
         }
-        double drained = seconds * prefillTokensPerSecond();
-        double predicted = Math.max(0, load.queuedPrefillTokens() + ownTokens - drained);
-        double tokens = Math.max(0, newLoad.queuedPrefillTokens() - predicted) / seconds;
-        double started = (newLoad.runningSequences() - load.runningSequences() - ownSequences) / seconds;
-        othersTokensPerSecond += LEARNING_SHARE * (tokens - othersTokensPerSecond);
-        othersSequencesPerSecond += LEARNING_SHARE * (started - othersSequencesPerSecond);
+        double drainedTokens = seconds * prefillTokensPerSecond();
+        double predictedTokens = Math.max(0, load.queuedPrefillTokens() + localTokens - drainedTokens);
+        double tokensPerSecond = Math.max(0, newLoad.queuedPrefillTokens() - predictedTokens) / seconds;
+        double sequencesPerSecond = (newLoad.runningSequences() - load.runningSequences() - localSequences) / seconds;
+        peerTokensPerSecond += SMOOTHING_WEIGHT * (tokensPerSecond - peerTokensPerSecond);
+        peerSequencesPerSecond += SMOOTHING_WEIGHT * (sequencesPerSecond - peerSequencesPerSecond);
     }
 
-    private void replayOwnSends() {
-        while (!ownSends.isEmpty() && ownSends.peekFirst().atNanoseconds() <= reportTakenAt) {
-            ownSends.removeFirst();
+    private void replayLocalChanges() {
+        while (!localChanges.isEmpty() && localChanges.peekFirst().atNanoseconds() <= reportMeasuredAt) {
+            localChanges.removeFirst();
         }
         backlogTokens = load.queuedPrefillTokens();
-        backlogAt = reportTakenAt;
+        backlogAt = reportMeasuredAt;
         sequences = load.runningSequences();
-        ownSends.forEach(this::apply);
+        localChanges.forEach(this::apply);
     }
 
-    private void apply(OwnSend send) {
-        backlogTokens = backlogTokens(send.atNanoseconds()) + send.prefillTokens();
-        backlogAt = Math.max(backlogAt, send.atNanoseconds());
-        sequences += send.sequences();
+    private void apply(LocalLoadChange change) {
+        backlogTokens = backlogTokens(change.atNanoseconds()) + change.prefillTokens();
+        backlogAt = Math.max(backlogAt, change.atNanoseconds());
+        sequences += change.sequences();
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/OwnSend.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/LocalLoadChange.java
@@ -7,4 +7,4 @@
  * @param prefillTokens prompt tokens added to its queue
  * @param sequences sequences added to its batch; negative where one ended
  */
-record OwnSend(long atNanoseconds, double prefillTokens, int sequences) {}
+record LocalLoadChange(long atNanoseconds, double prefillTokens, int sequences) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
@@ -34,13 +34,13 @@
     }
 
     /** Returns the hash of one piece. */
-    public long hash(int piece) {
-        return hashes[piece];
+    public long hash(int block) {
+        return hashes[block];
     }
 
     /** Returns how many tokens the first pieces cover. */
-    public int tokensCovered(int pieces, int pieceTokens) {
-        return pieces >= hashes.length ? tokens : Math.min(tokens, pieces * pieceTokens);
+    public int tokensCovered(int blocks, int blockTokens) {
+        return blocks >= hashes.length ? tokens : Math.min(tokens, blocks * blockTokens);
     }
 
     @Override
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
@@ -14,112 +14,112 @@
  * snapshot or an own send renews them. A second gap forgets them.
  */
 final class PrefixIndex {
-    private final int mostPieces;
-    private final Map<String, SequenceState> states = new HashMap<>();
-    private final LinkedHashMap<Long, PieceHolders> pieces = new LinkedHashMap<>(16, 0.75F, true);
+    private final int maxBlocks;
+    private final Map<String, CacheEventSequence> states = new HashMap<>();
+    private final LinkedHashMap<Long, BlockHolders> holdersByBlock = new LinkedHashMap<>(16, 0.75F, true);
 
     private PrefixChain lastPrefix;
-    private PieceHolders lastFirstHolders;
+    private BlockHolders lastFirstBlockHolders;
 
-    PrefixIndex(int mostPieces) {
-        this.mostPieces = mostPieces;
+    PrefixIndex(int maxBlocks) {
+        this.maxBlocks = maxBlocks;
     }
 
     /** Applies an event; answers whether a gap showed before it, so that a snapshot is worth asking for. */
-    boolean apply(String backend, long sequence, CacheEvent event) {
-        SequenceState state = states.computeIfAbsent(backend, name -> new SequenceState());
-        if (state.isOld(sequence)) {
+    boolean apply(String engine, long sequence, CacheEvent event) {
+        CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
+        if (state.isStale(sequence)) {
             return false;
         }
         boolean gap = state.advanceTo(sequence);
         switch (event) {
-            case CacheEvent.Stored stored -> stored.hashes().forEach(hash -> hold(hash, backend, state.generation()));
-            case CacheEvent.Removed removed -> removed.hashes().forEach(hash -> drop(hash, backend));
-            case CacheEvent.Cleared cleared -> state.forgetAll();
+            case CacheEvent.Stored stored -> stored.hashes().forEach(hash -> addHolder(hash, engine, state.generation()));
+            case CacheEvent.Removed removed -> removed.hashes().forEach(hash -> removeHolder(hash, engine));
+            case CacheEvent.Cleared cleared -> state.invalidateAll();
         }
         return gap;
     }
 
     /** Notes that a request with this prefix was sent to the engine, which will then hold it. */
-    void sent(String backend, PrefixChain prefix) {
-        SequenceState state = states.computeIfAbsent(backend, name -> new SequenceState());
-        for (int piece = 0; piece < prefix.length(); piece++) {
-            hold(prefix.hash(piece), backend, state.generation());
+    void recordSent(String engine, PrefixChain prefix) {
+        CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
+        for (int block = 0; block < prefix.length(); block++) {
+            addHolder(prefix.hash(block), engine, state.generation());
         }
     }
 
-    void forget(String backend) {
-        states.remove(backend);
+    void removeEngine(String engine) {
+        states.remove(engine);
     }
 
     /** Returns the engines that may hold the longest known part of the prefix. */
     List<String> holders(PrefixChain prefix) {
-        for (int piece = prefix.length() - 1; piece >= 0; piece--) {
-            PieceHolders holders = pieces.get(prefix.hash(piece));
-            if (holders != null && !holders.names().isEmpty()) {
-                return holders.names();
+        for (int block = prefix.length() - 1; block >= 0; block--) {
+            BlockHolders holders = holdersByBlock.get(prefix.hash(block));
+            if (holders != null && !holders.engines().isEmpty()) {
+                return holders.engines();
             }
         }
         return List.of();
     }
 
     /** Returns how many tokens of the prefix the engine is believed to hold; aged belief counts for half. */
-    int cachedTokens(String backend, PrefixChain prefix, int pieceTokens) {
-        if (!mayHoldFirstPiece(backend, prefix)) {
+    int cachedTokens(String engine, PrefixChain prefix, int blockTokens) {
+        if (!mayHoldFirstBlock(engine, prefix)) {
             return 0;
         }
-        SequenceState state = states.get(backend);
+        CacheEventSequence state = states.get(engine);
         if (state == null) {
             return 0;
         }
-        int held = 0;
+        int heldBlocks = 0;
         boolean aged = false;
-        while (held < prefix.length()) {
-            PieceHolders holders = pieces.get(prefix.hash(held));
-            long generation = holders == null ? -1 : holders.generationOf(backend);
-            if (!state.believes(generation)) {
+        while (heldBlocks < prefix.length()) {
+            BlockHolders holders = holdersByBlock.get(prefix.hash(heldBlocks));
+            long generation = holders == null ? -1 : holders.generationOf(engine);
+            if (!state.trusts(generation)) {
                 break;
             }
             aged |= generation < state.generation();
-            held++;
+            heldBlocks++;
         }
-        int tokens = held == 0 ? 0 : prefix.tokensCovered(held, pieceTokens);
+        int tokens = heldBlocks == 0 ? 0 : prefix.tokensCovered(heldBlocks, blockTokens);
         return aged ? tokens / 2 : tokens;
     }
 
     /** Most candidates hold nothing of a prefix; one look at its first piece, kept between candidates, tells. */
-    private boolean mayHoldFirstPiece(String backend, PrefixChain prefix) {
+    private boolean mayHoldFirstBlock(String engine, PrefixChain prefix) {
         if (prefix.length() == 0) {
             return false;
         }
         if (prefix != lastPrefix) {
             lastPrefix = prefix;
-            lastFirstHolders = pieces.get(prefix.hash(0));
+            lastFirstBlockHolders = holdersByBlock.get(prefix.hash(0));
         }
-        return lastFirstHolders != null && lastFirstHolders.generationOf(backend) >= 0;
+        return lastFirstBlockHolders != null && lastFirstBlockHolders.generationOf(engine) >= 0;
     }
 
     int size() {
-        return pieces.size();
+        return holdersByBlock.size();
     }
 
-    private void hold(long hash, String backend, long generation) {
+    private void addHolder(long hash, String engine, long generation) {
         lastPrefix = null;
-        pieces.computeIfAbsent(hash, unknown -> new PieceHolders()).put(backend, generation);
-        if (pieces.size() > mostPieces) {
-            pieces.pollFirstEntry();
+        holdersByBlock.computeIfAbsent(hash, unknown -> new BlockHolders()).put(engine, generation);
+        if (holdersByBlock.size() > maxBlocks) {
+            holdersByBlock.pollFirstEntry();
         }
     }
 
-    private void drop(long hash, String backend) {
+    private void removeHolder(long hash, String engine) {
         lastPrefix = null;
-        PieceHolders holders = pieces.get(hash);
+        BlockHolders holders = holdersByBlock.get(hash);
         if (holders == null) {
             return;
         }
-        holders.remove(backend);
-        if (holders.names().isEmpty()) {
-            pieces.remove(hash);
+        holders.remove(engine);
+        if (holders.engines().isEmpty()) {
+            holdersByBlock.remove(hash);
         }
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
@@ -26,48 +26,48 @@
     private final RouterSettings settings;
     private final RandomGenerator random;
     private final PrefixIndex prefixes;
-    private final HeaviestWeight heaviest = new HeaviestWeight();
+    private final MaxRecentWeight maxRecentWeight = new MaxRecentWeight();
     private final StageEstimator estimator;
     private final Map<String, EngineView> engines = new LinkedHashMap<>();
     private final Map<PoolKey, EnginePool> pools = new HashMap<>();
-    private final Map<RequestId, SentRequest> sent = new HashMap<>();
+    private final Map<RequestId, OutstandingRequest> outstanding = new HashMap<>();
 
     // Candidates of the decision being made; kept, since a list for each decision was most of what one allocated.
-    private final List<EngineView> wholeEngines = new ArrayList<>();
+    private final List<EngineView> combinedEngines = new ArrayList<>();
     private final List<EngineView> prefillEngines = new ArrayList<>();
     private final List<EngineView> decodeEngines = new ArrayList<>();
 
     public Router(RouterSettings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
-        this.prefixes = new PrefixIndex(settings.mostIndexedPieces());
-        this.estimator = new StageEstimator(settings, prefixes, heaviest);
+        this.prefixes = new PrefixIndex(settings.maxIndexedBlocks());
+        this.estimator = new StageEstimator(settings, prefixes, maxRecentWeight);
     }
 
     /** Learns of an engine; it is chosen once it has reported that it is ready. */
-    public void added(String backend, String dataCentre) {
-        engines.computeIfAbsent(backend, name -> new EngineView(name, dataCentre, settings.speed()));
+    public void addEngine(String engineName, String dataCentre) {
+        engines.computeIfAbsent(engineName, name -> new EngineView(name, dataCentre, settings.speed()));
     }
 
     /** Forgets an engine. */
-    public void removed(String backend) {
-        EngineView engine = engines.remove(backend);
+    public void removeEngine(String engineName) {
+        EngineView engine = engines.remove(engineName);
         if (engine != null) {
-            leavePools(engine);
-            prefixes.forget(backend);
+            removeFromPools(engine);
+            prefixes.removeEngine(engineName);
         }
     }
 
     /** Takes an engine's report, which was taken {@code age} ago. */
-    public void reported(
-            String backend,
+    public void applyReport(
+            String engineName,
             EngineLoad load,
             EngineRole role,
             boolean ready,
             Set<String> loaded,
             Duration age,
             long nowNanoseconds) {
-        EngineView engine = engines.get(backend);
+        EngineView engine = engines.get(engineName);
         if (engine == null) {
             return;
         }
@@ -75,17 +75,17 @@
                 && engine.role() == role
                 && engine.loaded().equals(loaded);
         if (samePools) {
-            engine.report(load, role, ready, loaded, nowNanoseconds - age.toNanos());
+            engine.applyReport(load, role, ready, loaded, nowNanoseconds - age.toNanos());
             return;
         }
-        leavePools(engine);
-        engine.report(load, role, ready, loaded, nowNanoseconds - age.toNanos());
-        enterPools(engine);
+        removeFromPools(engine);
+        engine.applyReport(load, role, ready, loaded, nowNanoseconds - age.toNanos());
+        addToPools(engine);
     }
 
     /** Takes a cache event; answers whether events before it were missed, so that a snapshot is worth asking for. */
-    public boolean cacheEvent(String backend, long sequence, CacheEvent event) {
-        return engines.containsKey(backend) && prefixes.apply(backend, sequence, event);
+    public boolean applyCacheEvent(String engineName, long sequence, CacheEvent event) {
+        return engines.containsKey(engineName) && prefixes.apply(engineName, sequence, event);
     }
 
     /**
@@ -93,67 +93,67 @@
      * whole requests may also take one stage of a pair.
      */
     public Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long nowNanoseconds) {
-        heaviest.seen(request.weight(), nowNanoseconds);
-        findCandidates(request, EngineRole.WHOLE, filter, wholeEngines);
+        maxRecentWeight.observe(request.weight(), nowNanoseconds);
+        findCandidates(request, EngineRole.WHOLE, filter, combinedEngines);
         findCandidates(request, EngineRole.PREFILL, filter, prefillEngines);
         findCandidates(request, EngineRole.DECODE, filter, decodeEngines);
-        StageEstimate whole = null;
+        StageEstimate combined = null;
         StageEstimate prefill = null;
         StageEstimate decode = null;
-        for (EngineView engine : wholeEngines) {
-            whole = earlier(whole, estimator.whole(engine, request, nowNanoseconds));
+        for (EngineView engine : combinedEngines) {
+            combined = better(combined, estimator.combined(engine, request, nowNanoseconds));
             prefill = decodeEngines.isEmpty()
                     ? prefill
-                    : earlier(prefill, estimator.prefill(engine, request, nowNanoseconds));
+                    : better(prefill, estimator.prefill(engine, request, nowNanoseconds));
             decode = prefillEngines.isEmpty()
                     ? decode
-                    : earlier(decode, estimator.decode(engine, request, nowNanoseconds));
+                    : better(decode, estimator.decode(engine, request, nowNanoseconds));
         }
         for (EngineView engine : prefillEngines) {
-            prefill = earlier(prefill, estimator.prefill(engine, request, nowNanoseconds));
+            prefill = better(prefill, estimator.prefill(engine, request, nowNanoseconds));
         }
         for (EngineView engine : decodeEngines) {
-            decode = earlier(decode, estimator.decode(engine, request, nowNanoseconds));
+            decode = better(decode, estimator.decode(engine, request, nowNanoseconds));
         }
-        return DecisionMaker.decide(
-                Optional.ofNullable(whole), Optional.ofNullable(prefill), Optional.ofNullable(decode));
+        return DisaggregationPolicy.decide(
+                Optional.ofNullable(combined), Optional.ofNullable(prefill), Optional.ofNullable(decode));
     }
 
-    private static StageEstimate earlier(StageEstimate best, StageEstimate other) {
+    private static StageEstimate better(StageEstimate best, StageEstimate other) {
         return best == null || other.score() < best.score() ? other : best;
     }
 
     /** Notes that the request was sent as decided. */
-    public void sent(RoutingRequest request, RoutingDecision decision, long nowNanoseconds) {
-        int tokens = request.promptTokens() - decision.cachedTokens();
-        EngineView prompt = engines.get(decision.promptBackend());
-        if (prompt != null) {
-            prompt.record(new OwnSend(
-                    nowNanoseconds, tokens, decision.prefillBackend().isPresent() ? 0 : 1));
-            prefixes.sent(prompt.name(), request.prefix());
+    public void recordSent(RoutingRequest request, RoutingDecision decision, long nowNanoseconds) {
+        int uncachedTokens = request.promptTokens() - decision.cachedTokens();
+        EngineView prefillEngine = engines.get(decision.engineForPrefill());
+        if (prefillEngine != null) {
+            prefillEngine.addLocalChange(new LocalLoadChange(
+                    nowNanoseconds, uncachedTokens, decision.prefillEngine().isPresent() ? 0 : 1));
+            prefixes.recordSent(prefillEngine.name(), request.prefix());
         }
-        EngineView answer = engines.get(decision.backend());
-        if (answer != null && decision.prefillBackend().isPresent()) {
-            answer.record(new OwnSend(nowNanoseconds, 0, 1));
+        EngineView decodeEngine = engines.get(decision.engine());
+        if (decodeEngine != null && decision.prefillEngine().isPresent()) {
+            decodeEngine.addLocalChange(new LocalLoadChange(nowNanoseconds, 0, 1));
         }
-        sent.put(request.id(), new SentRequest(decision.backend()));
+        outstanding.put(request.id(), new OutstandingRequest(decision.engine()));
     }
 
     /** Notes that the request has ended in whatever way. */
-    public void ended(RequestId id, long nowNanoseconds) {
-        SentRequest ended = sent.remove(id);
-        if (ended == null) {
+    public void recordEnded(RequestId id, long nowNanoseconds) {
+        OutstandingRequest request = outstanding.remove(id);
+        if (request == null) {
             return;
         }
-        EngineView engine = engines.get(ended.backend());
+        EngineView engine = engines.get(request.engine());
         if (engine != null) {
-            engine.record(new OwnSend(nowNanoseconds, 0, -1));
+            engine.addLocalChange(new LocalLoadChange(nowNanoseconds, 0, -1));
         }
     }
 
     /** Returns how many requests are out. */
-    public int outstanding() {
-        return sent.size();
+    public int outstandingRequests() {
+        return outstanding.size();
     }
 
     private void findCandidates(
@@ -167,37 +167,37 @@
                 }
             }
         }
-        request.adapter().ifPresent(adapter -> draw(new PoolKey(adapter, role), filter, candidates));
-        draw(new PoolKey(request.model(), role), filter, candidates);
+        request.adapter().ifPresent(adapter -> sampleCandidates(new PoolKey(adapter, role), filter, candidates));
+        sampleCandidates(new PoolKey(request.model(), role), filter, candidates);
     }
 
-    private void draw(PoolKey key, CandidateFilter filter, List<EngineView> candidates) {
+    private void sampleCandidates(PoolKey key, CandidateFilter filter, List<EngineView> candidates) {
         EnginePool pool = pools.get(key);
         if (pool == null) {
             return;
         }
-        int wanted = Math.min(settings.sampledCandidates(), pool.size());
-        int taken = 0;
-        for (int draws = 0; draws < wanted * DRAWS_PER_CANDIDATE && taken < wanted; draws++) {
-            EngineView engine = pool.at(random.nextInt(pool.size()));
+        int sampleSize = Math.min(settings.sampledCandidates(), pool.size());
+        int accepted = 0;
+        for (int draws = 0; draws < sampleSize * DRAWS_PER_CANDIDATE && accepted < sampleSize; draws++) {
+            EngineView engine = pool.get(random.nextInt(pool.size()));
             if (!candidates.contains(engine) && filter.accepts(engine.name())) {
                 candidates.add(engine);
-                taken++;
+                accepted++;
             }
         }
         if (candidates.isEmpty()) {
-            scan(pool, filter, candidates);
+            addFirstAccepted(pool, filter, candidates);
         }
     }
 
     /** Where every draw was refused, looks for the one engine that is not, from a random place on. */
-    private void scan(EnginePool pool, CandidateFilter filter, List<EngineView> candidates) {
+    private void addFirstAccepted(EnginePool pool, CandidateFilter filter, List<EngineView> candidates) {
         if (pool.size() == 0) {
             return;
         }
         int start = random.nextInt(pool.size());
         for (int step = 0; step < pool.size(); step++) {
-            EngineView engine = pool.at((start + step) % pool.size());
+            EngineView engine = pool.get((start + step) % pool.size());
             if (filter.accepts(engine.name())) {
                 candidates.add(engine);
                 return;
@@ -209,7 +209,7 @@
         return engine.ready() && engine.role() == role && engine.loaded().contains(request.model());
     }
 
-    private void enterPools(EngineView engine) {
+    private void addToPools(EngineView engine) {
         if (!engine.ready()) {
             return;
         }
@@ -219,7 +219,7 @@
         }
     }
 
-    private void leavePools(EngineView engine) {
+    private void removeFromPools(EngineView engine) {
         for (String name : engine.loaded()) {
             EnginePool pool = pools.get(new PoolKey(name, engine.role()));
             if (pool != null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
@@ -5,23 +5,23 @@
  *
  * @param engine the engine
  * @param waitSeconds waiting before it is worked on
- * @param promptSeconds until the prompt is computed, waiting included
+ * @param prefillFinishSeconds until the prompt is computed, waiting included
  * @param answerSeconds from then until the last token
  * @param cachedTokens prompt tokens that need no computing
- * @param harmSeconds what the work costs the answers that the engine generates already
+ * @param interferenceSeconds what the work costs the answers that the engine generates already
  */
 record StageEstimate(
         EngineView engine,
         double waitSeconds,
-        double promptSeconds,
+        double prefillFinishSeconds,
         double answerSeconds,
         int cachedTokens,
-        double harmSeconds) {
+        double interferenceSeconds) {
     double finishSeconds() {
-        return promptSeconds + answerSeconds;
+        return prefillFinishSeconds + answerSeconds;
     }
 
     double score() {
-        return finishSeconds() + harmSeconds;
+        return finishSeconds() + interferenceSeconds;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -64,7 +64,7 @@
     static double transferSeconds(
             PlacementSettings settings, int tokens, String sourceDataCentre, ServerEstimate target) {
         double factor = target.server().dataCentre().equals(sourceDataCentre) ? 1 : REMOTE_TRANSFER_FACTOR;
-        return factor * settings.engineSpeed().handOverSeconds(tokens);
+        return factor * settings.engineSpeed().handoffSeconds(tokens);
     }
 
     /** Returns the engine that has the longest prefix of the prompt cached. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
@@ -111,7 +111,7 @@
     private double handoffSeconds(PlacementRequest request, Prompt prompt, boolean queuedAtEntry) {
         return queuedAtEntry
                 ? speeds.handoffSeconds(request.service())
-                : DEFAULT_HANDOFF_SECONDS + settings.engineSpeed().handOverSeconds(prompt.promptTokens());
+                : DEFAULT_HANDOFF_SECONDS + settings.engineSpeed().handoffSeconds(prompt.promptTokens());
     }
 
     private static boolean computesPrompts(ServerEstimate engine, long now) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/PrefixIndexTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/PrefixIndexTest.java
@@ -8,79 +8,79 @@
 import org.testng.annotations.Test;
 
 public class PrefixIndexTest {
-    private static final int PIECE = 2_000;
-    private static final PrefixChain TWO_PIECES = PrefixChain.of(3_500, 1, 2);
+    private static final int BLOCK_TOKENS = 2_000;
+    private static final PrefixChain TWO_BLOCKS = PrefixChain.of(3_500, 1, 2);
 
     private PrefixIndex index;
 
     @BeforeMethod
-    public void start() {
+    public void createIndex() {
         index = new PrefixIndex(100);
     }
 
     @Test
-    public void should_know_the_first_pieces_only_where_a_later_one_is_missing() {
+    public void should_count_only_leading_blocks_when_a_later_one_is_missing() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L)));
 
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 2_000);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 2_000);
     }
 
     @Test
-    public void should_count_the_whole_prefix_where_all_pieces_are_held() {
+    public void should_count_the_complete_prefix_when_all_blocks_are_held() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L, 2L)));
 
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 3_500);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 3_500);
     }
 
     @Test
-    public void should_know_nothing_of_pieces_that_were_dropped() {
+    public void should_count_no_tokens_when_the_first_block_was_removed() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L, 2L)));
         index.apply("a", 2, new CacheEvent.Removed(List.of(1L)));
 
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 0);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 0);
     }
 
     // Cache events get lost on their way. The engine may have dropped the pieces in a lost event, so that requests
     // routed to it for its cache compute their whole prompt there.
     @Test
-    public void should_believe_old_entries_by_half_after_a_gap_and_not_at_all_after_two() {
+    public void should_halve_cached_tokens_when_one_gap_occurred_and_ignore_them_when_two_did() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L, 2L)));
 
         assertTrue(index.apply("a", 3, new CacheEvent.Stored(List.of(9L))));
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 1_750);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 1_750);
 
         assertTrue(index.apply("a", 5, new CacheEvent.Stored(List.of(10L))));
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 0);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 0);
     }
 
     @Test
-    public void should_be_repaired_by_the_next_send() {
+    public void should_count_the_complete_prefix_when_a_request_was_sent_after_a_gap() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L, 2L)));
         index.apply("a", 5, new CacheEvent.Stored(List.of(9L)));
 
-        index.sent("a", TWO_PIECES);
+        index.recordSent("a", TWO_BLOCKS);
 
-        assertEquals(index.cachedTokens("a", TWO_PIECES, PIECE), 3_500);
+        assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 3_500);
     }
 
     @Test
-    public void should_ignore_events_that_were_overtaken() {
+    public void should_ignore_an_event_when_a_later_one_was_applied() {
         index.apply("a", 5, new CacheEvent.Stored(List.of(1L)));
         index.apply("a", 4, new CacheEvent.Removed(List.of(1L)));
 
-        assertEquals(index.cachedTokens("a", PrefixChain.of(500, 1), PIECE), 500);
+        assertEquals(index.cachedTokens("a", PrefixChain.of(500, 1), BLOCK_TOKENS), 500);
     }
 
     @Test
-    public void should_forget_everything_of_a_cleared_engine() {
+    public void should_count_no_tokens_when_the_cache_was_cleared() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L)));
         index.apply("a", 2, new CacheEvent.Cleared());
 
-        assertEquals(index.cachedTokens("a", PrefixChain.of(500, 1), PIECE), 0);
+        assertEquals(index.cachedTokens("a", PrefixChain.of(500, 1), BLOCK_TOKENS), 0);
     }
 
     @Test
-    public void should_stay_within_its_bound() {
+    public void should_evict_blocks_when_the_index_is_full() {
         for (long hash = 0; hash < 1_000; hash++) {
             index.apply("a", hash, new CacheEvent.Stored(List.of(hash)));
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
@@ -25,13 +25,13 @@
     private Router router;
 
     @BeforeMethod
-    public void start() {
+    public void createRouter() {
         random = new SplittableRandom(7);
-        router = router(1);
+        router = newRouter(1);
     }
 
     @Test
-    public void should_choose_nothing_where_no_engine_has_the_model() {
+    public void should_choose_no_engine_when_none_has_the_model() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
 
         assertTrue(
@@ -39,14 +39,14 @@
     }
 
     @Test
-    public void should_choose_nothing_where_no_engine_is_accepted() {
+    public void should_choose_no_engine_when_the_filter_accepts_none() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
 
         assertTrue(router.choose(request(MODEL, 100, 10), backend -> false, 0).isEmpty());
     }
 
     @Test
-    public void should_find_the_one_engine_that_is_accepted_among_many() {
+    public void should_choose_the_accepted_engine_when_the_filter_accepts_one_of_many() {
         for (int number = 0; number < 200; number++) {
             report(router, "engine-" + number, EngineRole.WHOLE, 1, 0, 0, 0);
         }
@@ -54,13 +54,13 @@
         Optional<RoutingDecision> decision =
                 router.choose(request(MODEL, 100, 10), backend -> backend.equals("engine-137"), 0);
 
-        assertEquals(decision.orElseThrow().backend(), "engine-137");
+        assertEquals(decision.orElseThrow().engine(), "engine-137");
     }
 
     // Load reports arrive seconds late. A router that only believed them would send every request of a burst to the
     // engine that looked idle in the last report, and its users would wait while other engines stand idle.
     @Test
-    public void should_count_its_own_sends_until_a_report_shows_them() {
+    public void should_count_its_own_requests_when_no_report_includes_them_yet() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         report(router, "b", EngineRole.WHOLE, 1, 0, 0, 0);
         Map<String, Integer> sent = new HashMap<>();
@@ -69,8 +69,8 @@
             RoutingRequest request = request(MODEL, 4_000, 10);
             RoutingDecision decision =
                     router.choose(request, backend -> true, SECOND).orElseThrow();
-            router.sent(request, decision, SECOND);
-            sent.merge(decision.backend(), 1, Integer::sum);
+            router.recordSent(request, decision, SECOND);
+            sent.merge(decision.engine(), 1, Integer::sum);
         }
 
         assertEquals(sent.get("a") + sent.get("b"), 20);
@@ -80,65 +80,65 @@
     // Many entries hold the same old report in which one engine looks idle. If each chose the best engine of all, they
     // would all choose that one, and its queue would grow by the work of the whole fleet within one report interval.
     @Test
-    public void should_not_herd_with_other_entries_that_have_the_same_report() {
+    public void should_spread_requests_when_many_entries_have_the_same_report() {
         Map<String, Integer> sent = new HashMap<>();
         for (int entry = 0; entry < 100; entry++) {
-            Router own = router(entry);
+            Router entryRouter = newRouter(entry);
             for (int number = 0; number < 50; number++) {
-                report(own, "engine-" + number, EngineRole.WHOLE, 1, number == 0 ? 0 : 2_000, 4, 0);
+                report(entryRouter, "engine-" + number, EngineRole.WHOLE, 1, number == 0 ? 0 : 2_000, 4, 0);
             }
             RoutingDecision decision =
-                    own.choose(request(MODEL, 1_000, 50), backend -> true, 0).orElseThrow();
-            sent.merge(decision.backend(), 1, Integer::sum);
+                    entryRouter.choose(request(MODEL, 1_000, 50), backend -> true, 0).orElseThrow();
+            sent.merge(decision.engine(), 1, Integer::sum);
         }
 
-        int most = sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(most < 25, "one engine was given " + most + " of 100 requests");
+        int maxRequests = sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        assertTrue(maxRequests < 25, "one engine was given " + maxRequests + " of 100 requests");
     }
 
     @Test
-    public void should_go_where_the_prefix_is_cached() {
+    public void should_choose_the_engine_with_the_cached_prefix_when_engines_are_idle() {
         for (int number = 0; number < 50; number++) {
             report(router, "engine-" + number, EngineRole.WHOLE, 1, 0, 0, 0);
         }
-        router.cacheEvent("engine-31", 1, new CacheEvent.Stored(List.of(11L, 12L)));
+        router.applyCacheEvent("engine-31", 1, new CacheEvent.Stored(List.of(11L, 12L)));
 
         RoutingDecision decision = router.choose(
                         request(MODEL, 4_100, 20, PrefixChain.of(4_000, 11, 12)), backend -> true, 0)
                 .orElseThrow();
 
-        assertEquals(decision.backend(), "engine-31");
+        assertEquals(decision.engine(), "engine-31");
         assertEquals(decision.cachedTokens(), 4_000);
     }
 
     @Test
-    public void should_leave_the_cached_prefix_where_its_engine_is_overloaded() {
+    public void should_choose_an_idle_engine_when_the_engine_with_the_cached_prefix_is_overloaded() {
         report(router, "holder", EngineRole.WHOLE, 1, 80_000, 30, 0);
         report(router, "idle", EngineRole.WHOLE, 1, 0, 0, 0);
-        router.cacheEvent("holder", 1, new CacheEvent.Stored(List.of(11L)));
+        router.applyCacheEvent("holder", 1, new CacheEvent.Stored(List.of(11L)));
 
         RoutingDecision decision = router.choose(
                         request(MODEL, 2_100, 20, PrefixChain.of(2_000, 11)), backend -> true, 0)
                 .orElseThrow();
 
-        assertEquals(decision.backend(), "idle");
+        assertEquals(decision.engine(), "idle");
     }
 
     @Test
-    public void should_serve_in_two_stages_where_only_such_engines_are_open() {
+    public void should_disaggregate_when_only_prefill_and_decode_engines_are_available() {
         report(router, "p", EngineRole.PREFILL, 1, 0, 0, 0);
         report(router, "d", EngineRole.DECODE, 1, 0, 0, 0);
 
         RoutingDecision decision =
                 router.choose(request(MODEL, 1_000, 20), backend -> true, 0).orElseThrow();
 
-        assertEquals(decision.promptBackend(), "p");
-        assertEquals(decision.backend(), "d");
+        assertEquals(decision.engineForPrefill(), "p");
+        assertEquals(decision.engine(), "d");
         assertTrue(decision.reason().contains("the other way is not open"), decision.reason());
     }
 
     @Test
-    public void should_serve_on_one_engine_where_the_pair_is_slower() {
+    public void should_choose_a_single_engine_when_disaggregation_is_slower() {
         report(router, "p", EngineRole.PREFILL, 1, 40_000, 0, 0);
         report(router, "d", EngineRole.DECODE, 1, 0, 30, 0);
         report(router, "w", EngineRole.WHOLE, 1, 0, 0, 0);
@@ -146,20 +146,20 @@
         RoutingDecision decision =
                 router.choose(request(MODEL, 1_000, 20), backend -> true, 0).orElseThrow();
 
-        assertEquals(decision.backend(), "w");
-        assertTrue(decision.prefillBackend().isEmpty());
+        assertEquals(decision.engine(), "w");
+        assertTrue(decision.prefillEngine().isEmpty());
     }
 
     @Test
-    public void should_not_choose_an_engine_that_has_left() {
+    public void should_not_choose_an_engine_when_it_was_removed() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
-        router.removed("a");
+        router.removeEngine("a");
 
         assertTrue(router.choose(request(MODEL, 100, 10), backend -> true, 0).isEmpty());
     }
 
     @Test
-    public void should_follow_an_engine_to_its_new_role() {
+    public void should_use_the_new_role_when_an_engine_changed_its_role() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         report(router, "a", EngineRole.DECODE, 2, 0, 0, SECOND);
 
@@ -170,9 +170,9 @@
     // The network may deliver two reports of one engine in the wrong order. An older one that was believed would bring
     // back a queue that is long worked off, and requests would avoid an idle engine.
     @Test
-    public void should_drop_a_report_that_was_overtaken() {
+    public void should_ignore_a_report_when_a_later_one_was_applied() {
         report(router, "a", EngineRole.WHOLE, 5, 0, 0, 3 * SECOND);
-        router.reported(
+        router.applyReport(
                 "a", load(4, 90_000, 0), EngineRole.WHOLE, true, Set.of(MODEL), Duration.ofSeconds(2), 3 * SECOND);
 
         RoutingDecision decision = router.choose(request(MODEL, 100, 10), backend -> true, 3 * SECOND)
@@ -182,37 +182,37 @@
     }
 
     @Test
-    public void should_forget_requests_that_have_ended() {
+    public void should_not_count_a_request_as_outstanding_when_it_has_ended() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         RoutingRequest request = request(MODEL, 100, 10);
-        router.sent(request, router.choose(request, backend -> true, 0).orElseThrow(), 0);
+        router.recordSent(request, router.choose(request, backend -> true, 0).orElseThrow(), 0);
 
-        router.ended(request.id(), SECOND);
+        router.recordEnded(request.id(), SECOND);
 
-        assertEquals(router.outstanding(), 0);
+        assertEquals(router.outstandingRequests(), 0);
     }
 
     @Test
-    public void should_say_when_cache_events_were_missed() {
-        router.added("a", "one");
+    public void should_report_a_gap_when_cache_events_were_missed() {
+        router.addEngine("a", "one");
 
-        assertFalse(router.cacheEvent("a", 1, new CacheEvent.Stored(List.of(1L))));
-        assertTrue(router.cacheEvent("a", 3, new CacheEvent.Stored(List.of(2L))));
-        assertFalse(router.cacheEvent("unknown", 3, new CacheEvent.Cleared()));
+        assertFalse(router.applyCacheEvent("a", 1, new CacheEvent.Stored(List.of(1L))));
+        assertTrue(router.applyCacheEvent("a", 3, new CacheEvent.Stored(List.of(2L))));
+        assertFalse(router.applyCacheEvent("unknown", 3, new CacheEvent.Cleared()));
     }
 
-    private static Router router(int seed) {
-        return new Router(RouterSettings.usual("one"), new SplittableRandom(seed));
+    private static Router newRouter(int seed) {
+        return new Router(RouterSettings.defaults("one"), new SplittableRandom(seed));
     }
 
     private static void report(
-            Router router, String backend, EngineRole role, long sequence, long queued, int running, long now) {
-        router.added(backend, "one");
-        router.reported(backend, load(sequence, queued, running), role, true, Set.of(MODEL), Duration.ZERO, now);
+            Router router, String backend, EngineRole role, long sequence, long queuedTokens, int runningSequences, long now) {
+        router.addEngine(backend, "one");
+        router.applyReport(backend, load(sequence, queuedTokens, runningSequences), role, true, Set.of(MODEL), Duration.ZERO, now);
     }
 
-    private static EngineLoad load(long sequence, long queued, int running) {
-        return new EngineLoad(sequence, queued, running, 32, 96, 96);
+    private static EngineLoad load(long sequence, long queuedTokens, int runningSequences) {
+        return new EngineLoad(sequence, queuedTokens, runningSequences, 32, 96, 96);
     }
 
     private RoutingRequest request(String model, int promptTokens, int outputTokens) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AttemptDriver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AttemptDriver.java
@@ -148,9 +148,9 @@
             RoutingDecision decision,
             Set<String> closedBreakers,
             long now) {
-        Optional<AgentPeer> peer = directory.find(decision.backend()).filter(AttemptDriver::passesBreaker);
+        Optional<AgentPeer> peer = directory.find(decision.engine()).filter(AttemptDriver::passesBreaker);
         if (peer.isEmpty()) {
-            closedBreakers.add(decision.backend());
+            closedBreakers.add(decision.engine());
             return;
         }
         serviceQueue.sent(request, decision, now);
@@ -256,7 +256,7 @@
                 .or(() -> serviceQueue.decideAgain(request, backend -> isOpen(backend, passedOver), now));
         decision.ifPresent(
                 decided -> serviceQueue.router().sent(request, serviceQueue.estimate(request), decided, now));
-        return decision.flatMap(decided -> directory.find(decided.backend()));
+        return decision.flatMap(decided -> directory.find(decided.engine()));
     }
 
     private Optional<AgentPeer> chooseLeastBusy(ActiveRequest request, Set<String> passedOver) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
@@ -42,8 +42,8 @@
         LoadReport report = peer.load().get();
         Set<String> loaded = loadedOf(report, document);
         loadedByBackend.put(peer.backend(), loaded);
-        router.added(peer.backend(), peer.registration().dataCentre());
-        router.reported(
+        router.addEngine(peer.backend(), peer.registration().dataCentre());
+        router.applyReport(
                 peer.backend(),
                 loadOf(report),
                 EngineRole.valueOf(report.getRole()),
@@ -55,7 +55,7 @@
 
     void gone(AgentPeer peer) {
         loadedByBackend.remove(peer.backend());
-        router.removed(peer.backend());
+        router.removeEngine(peer.backend());
     }
 
     Optional<RoutingDecision> decide(ActiveRequest request, LengthEstimate estimate, Predicate<String> open, long now) {
@@ -64,23 +64,23 @@
                 .flatMap(Optional::stream)
                 .map(routed -> router.choose(routed, open::test, now))
                 .flatMap(Optional::stream)
-                .filter(decision -> decision.prefillBackend().isEmpty())
+                .filter(decision -> decision.prefillEngine().isEmpty())
                 .min(Comparator.comparingDouble(RoutingDecision::finishSeconds));
     }
 
     void sent(ActiveRequest request, LengthEstimate estimate, RoutingDecision decision, long now) {
         String label = labelsFor(request).stream()
                 .filter(candidate -> loadedByBackend
-                        .getOrDefault(decision.backend(), Set.of())
+                        .getOrDefault(decision.engine(), Set.of())
                         .contains(candidate))
                 .findFirst()
                 .orElse("");
         request.runsUnder(label);
-        routingRequest(request, label, estimate).ifPresent(routed -> router.sent(routed, decision, now));
+        routingRequest(request, label, estimate).ifPresent(routed -> router.recordSent(routed, decision, now));
     }
 
     void ended(ActiveRequest request, long now) {
-        router.ended(request.id(), now);
+        router.recordEnded(request.id(), now);
     }
 
     /**
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -198,15 +198,15 @@
     }
 
     private static RouterSettings routerSettings(EntrySettings settings) {
-        RouterSettings usual = RouterSettings.usual(settings.process().dataCentre());
+        RouterSettings usual = RouterSettings.defaults(settings.process().dataCentre());
         return new RouterSettings(
                 settings.engineSpeed(),
                 usual.dataCentre(),
-                usual.remoteSeconds(),
+                usual.remoteLatencySeconds(),
                 usual.sampledCandidates(),
                 usual.adapterLoadSeconds(),
-                usual.mostIndexedPieces(),
-                usual.pieceTokens());
+                usual.maxIndexedBlocks(),
+                usual.blockTokens());
     }
 
     @Override
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
@@ -72,7 +72,7 @@
     EventLoopFixture() {
         EntrySettings settings = settings();
         DocumentRegistry registry = new DocumentRegistry(time);
-        ServiceQueues serviceQueues = new ServiceQueues(registry, RouterSettings.usual("almaty-1"), 16, random);
+        ServiceQueues serviceQueues = new ServiceQueues(registry, RouterSettings.defaults("almaty-1"), 16, random);
         AgentDirectory directory = new AgentDirectory(
                 network,
                 new MembershipView(MembershipBounds.of(settings.leavingBound()), time),
@@ -243,7 +243,7 @@
                 new CallerLimits(1024, 1024, 1024, 16, 8),
                 Duration.ofSeconds(3),
                 Duration.ofSeconds(5),
-                EngineSpeed.usual(),
+                EngineSpeed.defaults(),
                 List.of());
     }
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -75,7 +75,7 @@
         this.configurations = configurations;
         this.servers = servers;
         InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        PlacementSettings placement = new PlacementSettings(HERE, EngineSpeed.usual(), 0.5, 0);
+        PlacementSettings placement = new PlacementSettings(HERE, EngineSpeed.defaults(), 0.5, 0);
         GatewaySettings settings = new GatewaySettings(
                 process,
                 free,
