--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/PolicyRunner.java
@@ -64,7 +64,7 @@
 
     private PlanningStrategy planner() {
         return new PlannerStrategy(
-                new RolePlanner(plannerSettings(PlannerSettings.usual().utilisation())), start);
+                new RolePlanner(plannerSettings(PlannerSettings.defaults().utilisation())), start);
     }
 
     private RoutingStrategy router(int entry) {
@@ -113,14 +113,14 @@
     }
 
     private PlannerSettings plannerSettings(double utilisation) {
-        PlannerSettings usual = PlannerSettings.usual();
+        PlannerSettings usual = PlannerSettings.defaults();
         EngineParameters parameters = fleet.parameters();
         return new PlannerSettings(
                 parameters.speed(),
                 parameters.mostSequences(),
                 utilisation,
                 usual.horizonSeconds(),
-                usual.mostAwayShare(),
+                usual.maxUnavailableFraction(),
                 usual.staleSeconds());
     }
 
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/jmh/PlanningBenchmark.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.planning.EngineAvailability;
 import org.aspenmoor.internal.planning.KindCount;
-import org.aspenmoor.internal.planning.KindWeight;
+import org.aspenmoor.internal.planning.KindObjective;
 import org.aspenmoor.internal.planning.PlannedEngine;
 import org.aspenmoor.internal.planning.PlannerSettings;
 import org.aspenmoor.internal.planning.PlanningInput;
@@ -50,15 +50,15 @@
     /** Counts three minutes, planning each second. */
     @Setup
     public void fill() {
-        planner = new RolePlanner(PlannerSettings.usual());
+        planner = new RolePlanner(PlannerSettings.defaults());
         List<PlannedEngine> planned = new ArrayList<>();
         for (int number = 0; number < engines; number++) {
             EngineRole role = number % 2 == 0 ? EngineRole.PREFILL : EngineRole.DECODE;
             planned.add(new PlannedEngine("engine-" + number, role, new EngineAvailability.Available(), 8));
         }
-        List<KindWeight> kinds = new ArrayList<>();
+        List<KindObjective> kinds = new ArrayList<>();
         for (int kind = 0; kind < KINDS; kind++) {
-            kinds.add(new KindWeight("kind-" + kind, 1 + kind, 20));
+            kinds.add(new KindObjective("kind-" + kind, 1 + kind, 20));
         }
         input = new PlanningInput(planned, kinds, new RoleChangeCosts(3, 0.3, 5));
         for (int second = 0; second < COUNTED_SECONDS; second++) {
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/FleetView.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.planning.EngineAvailability;
-import org.aspenmoor.internal.planning.KindWeight;
+import org.aspenmoor.internal.planning.KindObjective;
 import org.aspenmoor.internal.planning.PlannedEngine;
 import org.aspenmoor.internal.planning.PlanningInput;
 import org.aspenmoor.internal.planning.RoleChangeCosts;
@@ -32,8 +32,8 @@
                 .map(engine -> new PlannedEngine(
                         engine.name(), engine.plannedRole(), availability(engine), engine.runningSequences()))
                 .toList();
-        List<KindWeight> kinds = fleet.kinds().stream()
-                .map(kind -> new KindWeight(
+        List<KindObjective> kinds = fleet.kinds().stream()
+                .map(kind -> new KindObjective(
                         kind.declaration().name(),
                         kind.declaration().weight(),
                         kind.declaration().deadline().toMillis() / 1000.0))
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantPlanner.java
@@ -66,7 +66,7 @@
             int step,
             List<Map<RoleSplit, Double>> worth,
             Map<RoleSplit, Double> goodput) {
-        RoleSplit during = from.during(to);
+        RoleSplit during = from.duringChangeTo(to);
         if (!from.equals(to) && !during.servesBothStages()) {
             return Double.NEGATIVE_INFINITY;
         }
@@ -81,7 +81,7 @@
     }
 
     private double goodput(RoleSplit split, int step) {
-        return stepSeconds * model.perSecond(split, demands.get(step));
+        return stepSeconds * model.goodputPerSecond(split, demands.get(step));
     }
 
     private static List<RoleSplit> splits(int engines) {
@@ -89,7 +89,7 @@
         for (int prefill = 0; prefill <= engines; prefill++) {
             for (int decode = 0; decode <= engines - prefill; decode++) {
                 RoleSplit split = new RoleSplit(prefill, decode, engines - prefill - decode);
-                if (split.servesBothStages() && split.isPaired()) {
+                if (split.servesBothStages() && split.hasNoIdleStage()) {
                     splits.add(split);
                 }
             }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/ClairvoyantStrategy.java
@@ -49,7 +49,7 @@
     public List<RoleChange> plan(PlanningInput input, FleetLoad load, long now) {
         RoleSplit current = new RoleSplit(0, 0, 0);
         for (PlannedEngine engine : input.engines()) {
-            current = engine.counts() ? current.plus(engine.role(), 1) : current;
+            current = engine.countsTowardSplit() ? current.plus(engine.role(), 1) : current;
         }
         if (current.total() == 0) {
             return List.of();
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/strategy/DemandSteps.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.bench.policy.trace.TraceRequest;
 import org.aspenmoor.internal.planning.GoodputModel;
 import org.aspenmoor.internal.planning.KindDemand;
-import org.aspenmoor.internal.planning.KindWeight;
+import org.aspenmoor.internal.planning.KindObjective;
 
 /** The demand that a trace holds, in steps of time. */
 final class DemandSteps {
@@ -55,7 +55,7 @@
                 total[2] += own[2];
             }
             if (total[0] > 0) {
-                KindWeight weight = new KindWeight(
+                KindObjective weight = new KindObjective(
                         kind.declaration().name(),
                         kind.declaration().weight(),
                         kind.declaration().deadline().toMillis() / 1000.0);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
@@ -11,7 +11,7 @@
  */
 final class ChangePointDetector {
     private static final double THRESHOLD = 10;
-    private static final int LEAST_BUCKETS = 2;
+    private static final int MIN_BUCKETS = 2;
 
     private ChangePointDetector() {}
 
@@ -22,18 +22,18 @@
      *
      * @param counts for each bucket, newest first, the requests of each kind
      */
-    static int presentLength(List<double[]> counts) {
-        for (int length = 2 * LEAST_BUCKETS; length < counts.size(); length += Math.max(2, length / 2)) {
-            int present = lastChange(counts.subList(0, length));
-            if (present < length) {
-                return present;
+    static int currentMixLength(List<double[]> counts) {
+        for (int length = 2 * MIN_BUCKETS; length < counts.size(); length += Math.max(2, length / 2)) {
+            int mixLength = lastChange(counts.subList(0, length));
+            if (mixLength < length) {
+                return mixLength;
             }
         }
         return lastChange(counts);
     }
 
     private static int lastChange(List<double[]> counts) {
-        if (counts.size() < 2 * LEAST_BUCKETS) {
+        if (counts.size() < 2 * MIN_BUCKETS) {
             return counts.size();
         }
         int kinds = counts.getFirst().length;
@@ -42,12 +42,12 @@
         double[] recent = new double[kinds];
         int best = counts.size();
         double bestRatio = THRESHOLD;
-        for (int length = 1; length <= counts.size() - LEAST_BUCKETS; length++) {
+        for (int length = 1; length <= counts.size() - MIN_BUCKETS; length++) {
             addTo(recent, counts.get(length - 1));
-            if (length < LEAST_BUCKETS) {
+            if (length < MIN_BUCKETS) {
                 continue;
             }
-            double ratio = ratio(recent, length, total, counts.size());
+            double ratio = logLikelihoodRatio(recent, length, total, counts.size());
             if (ratio > bestRatio) {
                 bestRatio = ratio;
                 best = length;
@@ -56,17 +56,17 @@
         return best;
     }
 
-    private static double ratio(double[] recent, int recentLength, double[] total, int totalLength) {
+    private static double logLikelihoodRatio(double[] recent, int recentLength, double[] total, int totalLength) {
         double ratio = 0;
         for (int kind = 0; kind < total.length; kind++) {
-            ratio += likelihood(recent[kind], recentLength)
-                    + likelihood(total[kind] - recent[kind], totalLength - recentLength)
-                    - likelihood(total[kind], totalLength);
+            ratio += logLikelihood(recent[kind], recentLength)
+                    + logLikelihood(total[kind] - recent[kind], totalLength - recentLength)
+                    - logLikelihood(total[kind], totalLength);
         }
         return ratio;
     }
 
-    private static double likelihood(double count, double seconds) {
+    private static double logLikelihood(double count, double seconds) {
         return count <= 0 ? 0 : count * Math.log(count / seconds);
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
@@ -11,63 +11,63 @@
  * that has seen one mix for long stick to it.
  */
 final class ContinuationValue {
-    private static final double NOTICE_SECONDS = 2;
-    private static final int LEAST_SEEN = 2;
+    private static final double DETECTION_SECONDS = 2;
+    private static final int MIN_PAST_PERIODS = 2;
 
     private final GoodputModel model;
-    private final MoveCost moveCost;
-    private final List<Segment> past;
+    private final TransitionCost transitionCost;
+    private final List<MixPeriod> past;
     private final double seconds;
-    private final double followingPerSecond;
+    private final double adaptiveGoodputPerSecond;
     private double pastSeconds;
 
-    ContinuationValue(GoodputModel model, MoveCost moveCost, List<Segment> past, double seconds) {
+    ContinuationValue(GoodputModel model, TransitionCost transitionCost, List<MixPeriod> past, double seconds) {
         this.model = model;
-        this.moveCost = moveCost;
+        this.transitionCost = transitionCost;
         this.past = past;
         this.seconds = seconds;
-        for (Segment segment : past) {
-            pastSeconds += segment.seconds();
+        for (MixPeriod period : past) {
+            pastSeconds += period.seconds();
         }
-        this.followingPerSecond = past.isEmpty() ? 0 : following() / pastSeconds;
+        this.adaptiveGoodputPerSecond = past.isEmpty() ? 0 : adaptiveGoodput() / pastSeconds;
     }
 
-    double of(RoleSplit split) {
-        if (past.size() < LEAST_SEEN) {
+    double value(RoleSplit split) {
+        if (past.size() < MIN_PAST_PERIODS) {
             return 0;
         }
-        double keeping = 0;
-        double firstMove = 0;
-        for (int number = 0; number < past.size(); number++) {
-            Segment segment = past.get(number);
-            double share = segment.seconds() / pastSeconds;
-            keeping += share * model.perSecond(split, segment.demands());
-            firstMove += moveLoss(split, segment.ideal(), segment) / past.size();
+        double fixedGoodputPerSecond = 0;
+        double firstTransitionLoss = 0;
+        for (int index = 0; index < past.size(); index++) {
+            MixPeriod period = past.get(index);
+            double fraction = period.seconds() / pastSeconds;
+            fixedGoodputPerSecond += fraction * model.goodputPerSecond(split, period.demands());
+            firstTransitionLoss += transitionLoss(split, period.bestSplit(), period) / past.size();
         }
-        return Math.max(keeping * seconds, followingPerSecond * seconds - firstMove);
+        return Math.max(fixedGoodputPerSecond * seconds, adaptiveGoodputPerSecond * seconds - firstTransitionLoss);
     }
 
-    private double following() {
+    private double adaptiveGoodput() {
         double sum = 0;
-        for (int number = 0; number < past.size(); number++) {
-            Segment segment = past.get(number);
-            RoleSplit before =
-                    past.get(number == 0 ? past.size() - 1 : number - 1).ideal();
-            double best = model.perSecond(segment.ideal(), segment.demands()) * segment.seconds();
-            sum += best - moveLoss(before, segment.ideal(), segment);
+        for (int index = 0; index < past.size(); index++) {
+            MixPeriod period = past.get(index);
+            RoleSplit previous =
+                    past.get(index == 0 ? past.size() - 1 : index - 1).bestSplit();
+            double goodput = model.goodputPerSecond(period.bestSplit(), period.demands()) * period.seconds();
+            sum += goodput - transitionLoss(previous, period.bestSplit(), period);
         }
         return sum;
     }
 
-    private double moveLoss(RoleSplit from, RoleSplit to, Segment segment) {
+    private double transitionLoss(RoleSplit from, RoleSplit to, MixPeriod period) {
         if (from.equals(to)) {
             return 0;
         }
-        double most = model.perSecond(to, segment.demands());
-        double unnoticed = Math.min(NOTICE_SECONDS, segment.seconds());
-        double stretch = Math.min(moveCost.awaySeconds(), segment.seconds() - unnoticed);
-        return (most - model.perSecond(from, segment.demands())) * unnoticed
-                + (most - model.perSecond(from.during(to), segment.demands())) * stretch
-                + moveCost.price(from, to);
+        double targetGoodputPerSecond = model.goodputPerSecond(to, period.demands());
+        double undetectedSeconds = Math.min(DETECTION_SECONDS, period.seconds());
+        double transitionSeconds = Math.min(transitionCost.unavailableSeconds(), period.seconds() - undetectedSeconds);
+        return (targetGoodputPerSecond - model.goodputPerSecond(from, period.demands())) * undetectedSeconds
+                + (targetGoodputPerSecond - model.goodputPerSecond(from.duringChangeTo(to), period.demands())) * transitionSeconds
+                + transitionCost.price(from, to);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
@@ -5,27 +5,27 @@
 
 /** What arrived during one second, by kind. */
 final class CountBucket {
-    private final long number;
-    private final Map<String, KindTotals> kinds = new HashMap<>();
+    private final long second;
+    private final Map<String, KindTotals> totalsByKind = new HashMap<>();
 
     CountBucket(long number) {
-        this.number = number;
+        this.second = number;
     }
 
     long number() {
-        return number;
+        return second;
     }
 
     void add(WorkCounts counts) {
         for (KindCount count : counts.kinds()) {
-            kinds.merge(
+            totalsByKind.merge(
                     count.kind(),
                     new KindTotals(count.requests(), count.promptTokens(), count.outputTokens()),
                     KindTotals::plus);
         }
     }
 
-    KindTotals of(String kind) {
-        return kinds.getOrDefault(kind, KindTotals.NONE);
+    KindTotals totals(String kind) {
+        return totalsByKind.getOrDefault(kind, KindTotals.NONE);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
@@ -9,24 +9,24 @@
 /** The counts of the last minutes in buckets of one second, summed over all entries. */
 final class CountWindow {
     private static final long BUCKET_NANOSECONDS = 1_000_000_000L;
-    private static final int MOST_BUCKETS = 180;
+    private static final int MAX_BUCKETS = 180;
 
     private final Deque<CountBucket> buckets = new ArrayDeque<>();
-    private final Map<String, Long> sequences = new HashMap<>();
+    private final Map<String, Long> lastSequences = new HashMap<>();
     private final Map<String, Long> reportedUntil = new HashMap<>();
 
     /** Adds a report; one that came before, or that makes no sense, is dropped. */
     boolean add(WorkCounts counts) {
-        boolean makesSense = counts.toNanoseconds() > counts.fromNanoseconds()
-                && counts.kinds().stream().allMatch(CountWindow::makesSense);
-        long last = sequences.getOrDefault(counts.source(), -1L);
-        if (!makesSense || counts.sequence() <= last) {
+        boolean valid = counts.toNanoseconds() > counts.fromNanoseconds()
+                && counts.kinds().stream().allMatch(CountWindow::isValid);
+        long lastSequence = lastSequences.getOrDefault(counts.source(), -1L);
+        if (!valid || counts.sequence() <= lastSequence) {
             return false;
         }
-        sequences.put(counts.source(), counts.sequence());
+        lastSequences.put(counts.source(), counts.sequence());
         reportedUntil.merge(counts.source(), counts.toNanoseconds(), Math::max);
-        long middle = counts.fromNanoseconds() + (counts.toNanoseconds() - counts.fromNanoseconds()) / 2;
-        bucketAt(Math.floorDiv(middle, BUCKET_NANOSECONDS)).ifPresent(bucket -> bucket.add(counts));
+        long midpoint = counts.fromNanoseconds() + (counts.toNanoseconds() - counts.fromNanoseconds()) / 2;
+        bucketAt(Math.floorDiv(midpoint, BUCKET_NANOSECONDS)).ifPresent(bucket -> bucket.add(counts));
         return true;
     }
 
@@ -45,21 +45,21 @@
         return buckets::descendingIterator;
     }
 
-    private Optional<CountBucket> bucketAt(long number) {
-        if (buckets.isEmpty() || number > buckets.getLast().number()) {
-            long next = buckets.isEmpty() ? number : Math.max(buckets.getLast().number() + 1, number - MOST_BUCKETS);
-            for (long fill = next; fill <= number; fill++) {
-                buckets.addLast(new CountBucket(fill));
+    private Optional<CountBucket> bucketAt(long second) {
+        if (buckets.isEmpty() || second > buckets.getLast().number()) {
+            long next = buckets.isEmpty() ? second : Math.max(buckets.getLast().number() + 1, second - MAX_BUCKETS);
+            for (long missingSecond = next; missingSecond <= second; missingSecond++) {
+                buckets.addLast(new CountBucket(missingSecond));
             }
-            while (buckets.size() > MOST_BUCKETS) {
+            while (buckets.size() > MAX_BUCKETS) {
                 buckets.removeFirst();
             }
             return Optional.of(buckets.getLast());
         }
-        return buckets.stream().filter(bucket -> bucket.number() == number).findFirst();
+        return buckets.stream().filter(bucket -> bucket.number() == second).findFirst();
     }
 
-    private static boolean makesSense(KindCount count) {
+    private static boolean isValid(KindCount count) {
         return count.requests() >= 0
                 && count.promptTokens() >= 0
                 && count.outputTokens() >= 0
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
@@ -9,9 +9,9 @@
 final class DemandForecast {
     private static final long BUCKET_NANOSECONDS = 1_000_000_000L;
 
-    private static final double SETTLED_SECONDS = 30;
-    private static final double LEAST_GAIN = 0.05;
-    private static final double LEAST_GAIN_OVER_A_MEAN = 0.1;
+    private static final double MIN_MEAN_SECONDS = 30;
+    private static final double MIN_GAIN_FRACTION = 0.05;
+    private static final double MIN_GAIN_FRACTION_FOR_MEAN = 0.1;
 
     private final GoodputModel model;
     private final CountWindow window = new CountWindow();
@@ -35,29 +35,29 @@
      * <p>Mixes that usually end before a change pays are taken together: their mean is what the engines see, since
      * queues level them out. A mean over little time is lopsided, so that nothing is expected of it.
      */
-    Optional<Outlook> outlook(
-            List<KindWeight> kinds,
+    Optional<WorkloadForecast> forecast(
+            List<KindObjective> kinds,
             long completeUntilNanoseconds,
-            double shortestPayingSeconds,
+            double minPaybackSeconds,
             SplitSearch.Factory search) {
         List<CountBucket> buckets = completeBuckets(completeUntilNanoseconds);
         if (buckets.isEmpty()) {
             return Optional.empty();
         }
-        int length = ChangePointDetector.presentLength(
+        int length = ChangePointDetector.currentMixLength(
                 buckets.stream().map(bucket -> requests(bucket, kinds)).toList());
-        Segment present = segment(buckets.subList(0, length), kinds, search);
-        if (present.demands().isEmpty()) {
+        MixPeriod currentPeriod = mixPeriod(buckets.subList(0, length), kinds, search);
+        if (currentPeriod.demands().isEmpty()) {
             return Optional.empty();
         }
-        history.observe(present);
-        if (history.isShorterThan(shortestPayingSeconds)) {
-            Segment mean = segment(buckets, kinds, search);
-            double remaining = mean.seconds() < SETTLED_SECONDS ? 0 : mean.seconds();
-            return Optional.of(new Outlook(mean, remaining, 0, LEAST_GAIN_OVER_A_MEAN, List.of()));
+        history.observe(currentPeriod);
+        if (history.isTypicallyShorterThan(minPaybackSeconds)) {
+            MixPeriod mean = mixPeriod(buckets, kinds, search);
+            double remaining = mean.seconds() < MIN_MEAN_SECONDS ? 0 : mean.seconds();
+            return Optional.of(new WorkloadForecast(mean, remaining, 0, MIN_GAIN_FRACTION_FOR_MEAN, List.of()));
         }
-        return Optional.of(new Outlook(
-                history.present(), history.remainingSeconds(), history.seenSeconds(), LEAST_GAIN, history.past()));
+        return Optional.of(new WorkloadForecast(
+                history.currentPeriod(), history.remainingSeconds(), history.observedSeconds(), MIN_GAIN_FRACTION, history.pastPeriods()));
     }
 
     private List<CountBucket> completeBuckets(long completeUntilNanoseconds) {
@@ -71,24 +71,24 @@
         return buckets;
     }
 
-    private Segment segment(List<CountBucket> buckets, List<KindWeight> kinds, SplitSearch.Factory search) {
+    private MixPeriod mixPeriod(List<CountBucket> buckets, List<KindObjective> kinds, SplitSearch.Factory search) {
         List<KindDemand> demands = demands(buckets, kinds);
-        RoleSplit ideal = search.best(split -> model.perSecond(split, demands));
-        return new Segment(buckets.getLast().number(), buckets.size(), buckets.size(), demands, ideal);
+        RoleSplit ideal = search.best(split -> model.goodputPerSecond(split, demands));
+        return new MixPeriod(buckets.getLast().number(), buckets.size(), buckets.size(), demands, ideal);
     }
 
-    private static double[] requests(CountBucket bucket, List<KindWeight> kinds) {
+    private static double[] requests(CountBucket bucket, List<KindObjective> kinds) {
         return kinds.stream()
-                .mapToDouble(kind -> bucket.of(kind.kind()).requests())
+                .mapToDouble(kind -> bucket.totals(kind.kind()).requests())
                 .toArray();
     }
 
-    private List<KindDemand> demands(List<CountBucket> buckets, List<KindWeight> kinds) {
+    private List<KindDemand> demands(List<CountBucket> buckets, List<KindObjective> kinds) {
         List<KindDemand> demands = new ArrayList<>();
-        for (KindWeight kind : kinds) {
+        for (KindObjective kind : kinds) {
             KindTotals totals = KindTotals.NONE;
             for (CountBucket bucket : buckets) {
-                totals = totals.plus(bucket.of(kind.kind()));
+                totals = totals.plus(bucket.totals(kind.kind()));
             }
             if (totals.requests() > 0) {
                 demands.add(model.demand(
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
@@ -11,10 +11,10 @@
  * by the heavier ones reach.
  */
 public final class GoodputModel {
-    private static final double USABLE_DEADLINE_SHARE = 0.7;
+    private static final double USABLE_DEADLINE_FRACTION = 0.7;
 
     // An engine that does both also runs its decode steps over smaller batches, which costs about as much again.
-    private static final double MIXING_LOSSES = 2;
+    private static final double MIXING_PENALTY_FACTOR = 2;
 
     private final PlannerSettings settings;
 
@@ -34,31 +34,31 @@
     }
 
     /** Returns the demand of one kind with so many requests a second of these mean lengths. */
-    public KindDemand demand(KindWeight kind, double requestsPerSecond, double promptTokens, double outputTokens) {
+    public KindDemand demand(KindObjective kind, double requestsPerSecond, double promptTokens, double outputTokens) {
         double answerSeconds = outputTokens * settings.speed().stepSeconds(settings.decodeBatch());
-        double usable = USABLE_DEADLINE_SHARE * kind.deadlineSeconds();
+        double usableSeconds = USABLE_DEADLINE_FRACTION * kind.deadlineSeconds();
         return new KindDemand(
                 kind.weight(),
                 requestsPerSecond,
                 prefillSeconds(promptTokens),
                 decodeSeconds(outputTokens),
-                Math.max(0, 1 - answerSeconds / usable));
+                Math.max(0, 1 - answerSeconds / usableSeconds));
     }
 
     /** Returns the weighted goodput a second; the demand must be sorted by falling weight. */
-    public double perSecond(RoleSplit split, List<KindDemand> demands) {
+    public double goodputPerSecond(RoleSplit split, List<KindDemand> demands) {
         double prefill = split.prefill() * settings.utilisation();
         double decode = split.decode() * settings.utilisation();
-        double whole = split.whole() * settings.utilisation();
-        double wholePrompts = whole * mostMixedShare(demands);
+        double combined = split.combined() * settings.utilisation();
+        double combinedPrefill = combined * maxPrefillFraction(demands);
         double goodput = 0;
         for (KindDemand demand : demands) {
             double served =
-                    Math.min(served(demand, prefill, decode, whole), promptLimit(demand, prefill, wholePrompts));
+                    Math.min(servedPerSecond(demand, prefill, decode, combined), maxPrefillRate(demand, prefill, combinedPrefill));
             double prefillWork = served * demand.prefillSeconds();
             double decodeWork = served * demand.decodeSeconds();
-            wholePrompts = Math.max(0, wholePrompts - wholeWork(prefillWork - prefill, 0));
-            whole = Math.max(0, whole - wholeWork(prefillWork - prefill, decodeWork - decode));
+            combinedPrefill = Math.max(0, combinedPrefill - combinedWork(prefillWork - prefill, 0));
+            combined = Math.max(0, combined - combinedWork(prefillWork - prefill, decodeWork - decode));
             prefill = Math.max(0, prefill - prefillWork);
             decode = Math.max(0, decode - decodeWork);
             goodput += served * demand.weight();
@@ -67,50 +67,50 @@
     }
 
     /** Prompts computed on an engine slow every answer that it generates, so the most urgent kind sets the bound. */
-    private static double mostMixedShare(List<KindDemand> demands) {
-        double least = 1;
+    private static double maxPrefillFraction(List<KindDemand> demands) {
+        double minFraction = 1;
         for (KindDemand demand : demands) {
-            least = Math.min(least, demand.mostMixedShare());
+            minFraction = Math.min(minFraction, demand.maxPrefillFraction());
         }
-        return least;
+        return minFraction;
     }
 
-    private double promptLimit(KindDemand demand, double prefill, double wholePrompts) {
+    private double maxPrefillRate(KindDemand demand, double prefill, double combinedPrefill) {
         if (demand.prefillSeconds() <= 0) {
             return Double.POSITIVE_INFINITY;
         }
-        return (prefill + wholePrompts / mixedWorkFactor()) / demand.prefillSeconds();
+        return (prefill + combinedPrefill / mixedWorkFactor()) / demand.prefillSeconds();
     }
 
     private double mixedWorkFactor() {
-        return 1 + MIXING_LOSSES * settings.speed().mixingSlowdown();
+        return 1 + MIXING_PENALTY_FACTOR * settings.speed().mixingSlowdown();
     }
 
-    private double wholeWork(double prefillOver, double decodeOver) {
-        double work = Math.max(0, prefillOver) + Math.max(0, decodeOver);
+    private double combinedWork(double excessPrefill, double excessDecode) {
+        double work = Math.max(0, excessPrefill) + Math.max(0, excessDecode);
         return work * mixedWorkFactor();
     }
 
-    private double served(KindDemand demand, double prefill, double decode, double whole) {
-        double wanted = demand.requestsPerSecond();
-        if (need(demand, wanted, prefill, decode) <= whole) {
-            return wanted;
+    private double servedPerSecond(KindDemand demand, double prefill, double decode, double combined) {
+        double requested = demand.requestsPerSecond();
+        if (requiredCombined(demand, requested, prefill, decode) <= combined) {
+            return requested;
         }
-        double prefillLimit = demand.prefillSeconds() > 0 ? prefill / demand.prefillSeconds() : wanted;
-        double decodeLimit = demand.decodeSeconds() > 0 ? decode / demand.decodeSeconds() : wanted;
+        double prefillLimit = demand.prefillSeconds() > 0 ? prefill / demand.prefillSeconds() : requested;
+        double decodeLimit = demand.decodeSeconds() > 0 ? decode / demand.decodeSeconds() : requested;
         double low = Math.min(prefillLimit, decodeLimit);
         double high = Math.max(prefillLimit, decodeLimit);
-        double slowing = mixedWorkFactor();
-        double needAtHigh = need(demand, high, prefill, decode);
-        if (needAtHigh >= whole) {
-            double slope = (prefillLimit < decodeLimit ? demand.prefillSeconds() : demand.decodeSeconds()) * slowing;
-            return slope > 0 ? Math.min(wanted, low + whole / slope) : wanted;
+        double workFactor = mixedWorkFactor();
+        double requiredAtHigh = requiredCombined(demand, high, prefill, decode);
+        if (requiredAtHigh >= combined) {
+            double slope = (prefillLimit < decodeLimit ? demand.prefillSeconds() : demand.decodeSeconds()) * workFactor;
+            return slope > 0 ? Math.min(requested, low + combined / slope) : requested;
         }
-        double slope = (demand.prefillSeconds() + demand.decodeSeconds()) * slowing;
-        return Math.min(wanted, high + (whole - needAtHigh) / slope);
+        double slope = (demand.prefillSeconds() + demand.decodeSeconds()) * workFactor;
+        return Math.min(requested, high + (combined - requiredAtHigh) / slope);
     }
 
-    private double need(KindDemand demand, double served, double prefill, double decode) {
-        return wholeWork(served * demand.prefillSeconds() - prefill, served * demand.decodeSeconds() - decode);
+    private double requiredCombined(KindDemand demand, double served, double prefill, double decode) {
+        return combinedWork(served * demand.prefillSeconds() - prefill, served * demand.decodeSeconds() - decode);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindDemand.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindDemand.java
@@ -7,13 +7,13 @@
  * @param requestsPerSecond how many arrive
  * @param prefillSeconds engine-seconds of prefill of one request
  * @param decodeSeconds engine-seconds of decode of one request
- * @param mostMixedShare the greatest share of its time that an engine may compute prompts while it generates an answer
+ * @param maxPrefillFraction the greatest share of its time that an engine may compute prompts while it generates an answer
  *     of this kind, so that the answer still comes in time
  */
 public record KindDemand(
-        double weight, double requestsPerSecond, double prefillSeconds, double decodeSeconds, double mostMixedShare) {
+        double weight, double requestsPerSecond, double prefillSeconds, double decodeSeconds, double maxPrefillFraction) {
     /** Returns the same kind arriving more or less often. */
     public KindDemand scaled(double factor) {
-        return new KindDemand(weight, requestsPerSecond * factor, prefillSeconds, decodeSeconds, mostMixedShare);
+        return new KindDemand(weight, requestsPerSecond * factor, prefillSeconds, decodeSeconds, maxPrefillFraction);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindWeight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindObjective.java
@@ -7,4 +7,4 @@
  * @param weight how much one completed request counts
  * @param deadlineSeconds within which the whole answer is useful
  */
-public record KindWeight(String kind, double weight, double deadlineSeconds) {}
+public record KindObjective(String kind, double weight, double deadlineSeconds) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
@@ -15,80 +15,80 @@
  * not a row of short ones that will come back.
  */
 final class MixHistory {
-    private static final int MOST_SEGMENTS = 8;
-    private static final int SAME_CHANGE_BUCKETS = 3;
-    private static final double MOST_DRIFT = 0.2;
-    private static final double SETTLED_SECONDS = 8;
+    private static final int MAX_PAST_PERIODS = 8;
+    private static final int CHANGE_TOLERANCE_SECONDS = 3;
+    private static final double MAX_PREFILL_FRACTION_DRIFT = 0.2;
+    private static final double MIN_COUNTED_SECONDS = 8;
 
-    private final Deque<Segment> past = new ArrayDeque<>();
-    private Segment present = new Segment(Long.MIN_VALUE, 0, 0, List.of(), new RoleSplit(0, 0, 0));
+    private final Deque<MixPeriod> pastPeriods = new ArrayDeque<>();
+    private MixPeriod currentPeriod = new MixPeriod(Long.MIN_VALUE, 0, 0, List.of(), new RoleSplit(0, 0, 0));
 
     /** Notes the present mix; a much later first second than before means that the one before has ended. */
-    void observe(Segment segment) {
-        boolean later = segment.firstBucket() > present.firstBucket() + SAME_CHANGE_BUCKETS;
-        if (present.seconds() > 0 && later) {
-            if (Math.abs(present.prefillShare() - segment.prefillShare()) <= MOST_DRIFT) {
-                present = continued(segment);
+    void observe(MixPeriod period) {
+        boolean later = period.firstSecond() > currentPeriod.firstSecond() + CHANGE_TOLERANCE_SECONDS;
+        if (currentPeriod.seconds() > 0 && later) {
+            if (Math.abs(currentPeriod.prefillFraction() - period.prefillFraction()) <= MAX_PREFILL_FRACTION_DRIFT) {
+                currentPeriod = extendCurrent(period);
                 return;
             }
-            double lasted = segment.firstBucket() - present.firstBucket();
-            past.addLast(new Segment(
-                    present.firstBucket(), lasted, present.countedSeconds(), present.demands(), present.ideal()));
+            double durationSeconds = period.firstSecond() - currentPeriod.firstSecond();
+            pastPeriods.addLast(new MixPeriod(
+                    currentPeriod.firstSecond(), durationSeconds, currentPeriod.countedSeconds(), currentPeriod.demands(), currentPeriod.bestSplit()));
         }
-        while (!past.isEmpty() && segment.firstBucket() <= past.getLast().firstBucket() + SAME_CHANGE_BUCKETS) {
-            past.removeLast();
+        while (!pastPeriods.isEmpty() && period.firstSecond() <= pastPeriods.getLast().firstSecond() + CHANGE_TOLERANCE_SECONDS) {
+            pastPeriods.removeLast();
         }
-        if (past.size() > MOST_SEGMENTS) {
-            past.removeFirst();
+        if (pastPeriods.size() > MAX_PAST_PERIODS) {
+            pastPeriods.removeFirst();
         }
-        present = segment;
+        currentPeriod = period;
     }
 
     /** The demand of a mix that goes on moves only once it was counted for some seconds: few counts are mostly noise. */
-    private Segment continued(Segment segment) {
-        double lasted = segment.firstBucket() - present.firstBucket() + segment.seconds();
-        Segment counted = segment.seconds() < SETTLED_SECONDS ? present : segment;
-        return new Segment(present.firstBucket(), lasted, counted.countedSeconds(), counted.demands(), counted.ideal());
+    private MixPeriod extendCurrent(MixPeriod period) {
+        double durationSeconds = period.firstSecond() - currentPeriod.firstSecond() + period.seconds();
+        MixPeriod demandSource = period.seconds() < MIN_COUNTED_SECONDS ? currentPeriod : period;
+        return new MixPeriod(currentPeriod.firstSecond(), durationSeconds, demandSource.countedSeconds(), demandSource.demands(), demandSource.bestSplit());
     }
 
-    Segment present() {
-        return present;
+    MixPeriod currentPeriod() {
+        return currentPeriod;
     }
 
     /** Returns the mixes before the present one, oldest first. */
-    List<Segment> past() {
-        return List.copyOf(past);
+    List<MixPeriod> pastPeriods() {
+        return List.copyOf(pastPeriods);
     }
 
     /** Says whether mixes usually end before so many seconds. */
-    boolean isShorterThan(double seconds) {
-        return past.size() > 1 && usualSeconds() < seconds;
+    boolean isTypicallyShorterThan(double seconds) {
+        return pastPeriods.size() > 1 && typicalSeconds() < seconds;
     }
 
     /** Returns over how many seconds mixes have been seen. */
-    double seenSeconds() {
-        double seen = present.seconds();
-        for (Segment segment : past) {
-            seen += segment.seconds();
+    double observedSeconds() {
+        double observed = currentPeriod.seconds();
+        for (MixPeriod period : pastPeriods) {
+            observed += period.seconds();
         }
-        return seen;
+        return observed;
     }
 
     /** Returns how many seconds the present mix will probably last on. */
     double remainingSeconds() {
-        double age = present.seconds();
-        if (past.isEmpty()) {
+        double age = currentPeriod.seconds();
+        if (pastPeriods.isEmpty()) {
             return age;
         }
-        double usual = usualSeconds();
-        return Math.max(usual - age, Math.max(usual, age) / 2);
+        double typical = typicalSeconds();
+        return Math.max(typical - age, Math.max(typical, age) / 2);
     }
 
-    private double usualSeconds() {
-        double logarithms = 0;
-        for (Segment segment : past) {
-            logarithms += Math.log(segment.seconds());
+    private double typicalSeconds() {
+        double logSum = 0;
+        for (MixPeriod period : pastPeriods) {
+            logSum += Math.log(period.seconds());
         }
-        return Math.exp(logarithms / past.size());
+        return Math.exp(logSum / pastPeriods.size());
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/Segment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixPeriod.java
@@ -5,19 +5,19 @@
 /**
  * A stretch of time over which the mix did not change.
  *
- * @param firstBucket the first second of it
+ * @param firstSecond the first second of it
  * @param seconds how long it is
  * @param countedSeconds over how many of these seconds the demand was counted
  * @param demands its demand, by falling weight
- * @param ideal the split that suits it best, costs aside
+ * @param bestSplit the split that suits it best, costs aside
  */
-record Segment(long firstBucket, double seconds, double countedSeconds, List<KindDemand> demands, RoleSplit ideal) {
-    Segment {
+record MixPeriod(long firstSecond, double seconds, double countedSeconds, List<KindDemand> demands, RoleSplit bestSplit) {
+    MixPeriod {
         demands = List.copyOf(demands);
     }
 
     /** Returns the share of prefill in the work. */
-    double prefillShare() {
+    double prefillFraction() {
         double prefill = 0;
         double work = 0;
         for (KindDemand demand : demands) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
@@ -17,7 +17,7 @@
     }
 
     /** Says whether the engine works now or will after its change. */
-    public boolean counts() {
+    public boolean countsTowardSplit() {
         return !(availability instanceof EngineAvailability.Withdrawn);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlanningInput.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlanningInput.java
@@ -9,7 +9,7 @@
  * @param kinds the kinds of the team's document with their weights
  * @param costs what a change takes
  */
-public record PlanningInput(List<PlannedEngine> engines, List<KindWeight> kinds, RoleChangeCosts costs) {
+public record PlanningInput(List<PlannedEngine> engines, List<KindObjective> kinds, RoleChangeCosts costs) {
     public PlanningInput {
         engines = List.copyOf(engines);
         kinds = List.copyOf(kinds);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
@@ -19,21 +19,21 @@
             missing.put(role, to.count(role) - from.count(role));
         }
         List<RoleChange> changes = new ArrayList<>();
-        List<PlannedEngine> easiestFirst = engines.stream()
+        List<PlannedEngine> fewestSequencesFirst = engines.stream()
                 .filter(PlannedEngine::isAvailable)
                 .sorted(Comparator.comparingInt(PlannedEngine::runningSequences).thenComparing(PlannedEngine::name))
                 .toList();
-        for (PlannedEngine engine : easiestFirst) {
-            Optional<EngineRole> wanted = missing.entrySet().stream()
+        for (PlannedEngine engine : fewestSequencesFirst) {
+            Optional<EngineRole> target = missing.entrySet().stream()
                     .filter(entry -> entry.getValue() > 0)
                     .map(Map.Entry::getKey)
                     .findFirst();
-            if (wanted.isEmpty() || missing.get(engine.role()) >= 0) {
+            if (target.isEmpty() || missing.get(engine.role()) >= 0) {
                 continue;
             }
             missing.merge(engine.role(), 1, Integer::sum);
-            missing.merge(wanted.get(), -1, Integer::sum);
-            changes.add(new RoleChange(engine.name(), engine.role(), wanted.get()));
+            missing.merge(target.get(), -1, Integer::sum);
+            changes.add(new RoleChange(engine.name(), engine.role(), target.get()));
         }
         return changes;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChangeCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChangeCosts.java
@@ -3,8 +3,8 @@
 /**
  * What a role change takes.
  *
- * @param secondsAway how long the engine is away
+ * @param unavailableSeconds how long the engine is away
  * @param drainSeconds how long it serves less before, while its answers end or move
  * @param price the team's own price for one change, in weighted completed requests
  */
-public record RoleChangeCosts(double secondsAway, double drainSeconds, double price) {}
+public record RoleChangeCosts(double unavailableSeconds, double drainSeconds, double price) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
@@ -15,11 +15,11 @@
  * counts costs seconds of an engine twice, there and back.
  */
 public final class RolePlanner {
-    private static final double NANOSECONDS = 1e9;
-    private static final double SHORTEST_PAYING_TIMES_AWAY = 3;
-    private static final double LEAST_GAIN_SHARE_OF_PRICE = 0.5;
-    private static final double MOST_ANSWERS_FOR_A_PLACE = 1.6;
-    private static final long FORGET_SOURCE_AFTER_NANOSECONDS = 30_000_000_000L;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+    private static final double MIN_PAYBACK_FACTOR = 3;
+    private static final double MIN_GAIN_FRACTION_OF_PRICE = 0.5;
+    private static final double MAX_SEQUENCES_PER_BATCH_SLOT = 1.6;
+    private static final long SOURCE_EXPIRY_NANOSECONDS = 30_000_000_000L;
 
     private final PlannerSettings settings;
     private final GoodputModel model;
@@ -38,43 +38,43 @@
 
     /** Plans the roles from what was observed so far. */
     public RolePlan plan(PlanningInput input, long nowNanoseconds) {
-        long completeUntil = forecast.completeUntil(nowNanoseconds, FORGET_SOURCE_AFTER_NANOSECONDS);
+        long completeUntil = forecast.completeUntil(nowNanoseconds, SOURCE_EXPIRY_NANOSECONDS);
         if (completeUntil == Long.MIN_VALUE) {
-            return standStill(input, "No counts have come in.");
+            return keepRoles(input, "No counts have come in.");
         }
-        double age = (nowNanoseconds - completeUntil) / NANOSECONDS;
+        double age = (nowNanoseconds - completeUntil) / NANOSECONDS_PER_SECOND;
         if (age > settings.staleSeconds()) {
-            return standStill(input, String.format(Locale.ROOT, "The counts are %.1f s old.", age));
+            return keepRoles(input, String.format(Locale.ROOT, "The counts are %.1f s old.", age));
         }
-        RoleSplit movable = split(input, false);
+        RoleSplit available = split(input, false);
         RoleSplit current = split(input, true);
-        if (movable.total() == 0) {
-            return standStill(input, "No engine is available.");
+        if (available.total() == 0) {
+            return keepRoles(input, "No engine is available.");
         }
         SplitSearch.Factory ideal = splitValue ->
-                new SplitSearch(split -> split.servesBothStages() && split.isPaired(), splitValue).best(current);
-        double shortestPaying = SHORTEST_PAYING_TIMES_AWAY
-                * (input.costs().secondsAway() + input.costs().drainSeconds());
-        return forecast.outlook(input.kinds(), completeUntil, shortestPaying, ideal)
-                .map(outlook -> search(input, outlook, movable, current))
-                .orElseGet(() -> standStill(input, "No work has arrived."));
+                new SplitSearch(split -> split.servesBothStages() && split.hasNoIdleStage(), splitValue).best(current);
+        double minPaybackSeconds = MIN_PAYBACK_FACTOR
+                * (input.costs().unavailableSeconds() + input.costs().drainSeconds());
+        return forecast.forecast(input.kinds(), completeUntil, minPaybackSeconds, ideal)
+                .map(workload -> search(input, workload, available, current))
+                .orElseGet(() -> keepRoles(input, "No work has arrived."));
     }
 
-    private RolePlan search(PlanningInput input, Outlook outlook, RoleSplit movable, RoleSplit current) {
-        MoveCost moveCost = new MoveCost(model, input.costs());
-        double remaining = Math.min(settings.horizonSeconds(), outlook.remainingSeconds());
-        double after = Math.min(settings.horizonSeconds() - remaining, outlook.afterSeconds());
-        ContinuationValue continuation = new ContinuationValue(model, moveCost, outlook.past(), after);
-        SplitValue value = new SplitValue(moveCost, current, outlook.present(), remaining, continuation);
-        SplitSearch search = new SplitSearch(allowed(input, movable, current), value::of);
+    private RolePlan search(PlanningInput input, WorkloadForecast workload, RoleSplit available, RoleSplit current) {
+        TransitionCost transitionCost = new TransitionCost(model, input.costs());
+        double remainingSeconds = Math.min(settings.horizonSeconds(), workload.remainingSeconds());
+        double continuationSeconds = Math.min(settings.horizonSeconds() - remainingSeconds, workload.continuationSeconds());
+        ContinuationValue continuation = new ContinuationValue(model, transitionCost, workload.pastPeriods(), continuationSeconds);
+        SplitValue value = new SplitValue(transitionCost, current, workload.currentPeriod(), remainingSeconds, continuation);
+        SplitSearch search = new SplitSearch(allowed(input, available, current), value::value);
         RoleSplit best = search.best(current);
-        double gain = value.of(best) - value.of(current);
-        double least = outlook.leastGainShare()
-                        * model.perSecond(current, outlook.present().demands())
-                        * remaining
-                + LEAST_GAIN_SHARE_OF_PRICE * moveCost.price(current, best);
-        if (best.equals(current) || gain <= least) {
-            return standStill(input, "No change pays for itself; " + current + ".");
+        double gain = value.value(best) - value.value(current);
+        double minGain = workload.minGainFraction()
+                        * model.goodputPerSecond(current, workload.currentPeriod().demands())
+                        * remainingSeconds
+                + MIN_GAIN_FRACTION_OF_PRICE * transitionCost.price(current, best);
+        if (best.equals(current) || gain <= minGain) {
+            return keepRoles(input, "No change pays for itself; " + current + ".");
         }
         String reason = String.format(
                 Locale.ROOT,
@@ -83,66 +83,66 @@
                 current,
                 best,
                 gain,
-                outlook.present().seconds(),
-                remaining);
+                workload.currentPeriod().seconds(),
+                remainingSeconds);
         return changeTo(input, current, best, reason);
     }
 
-    private Predicate<RoleSplit> allowed(PlanningInput input, RoleSplit movable, RoleSplit current) {
-        int running = input.engines().stream()
+    private Predicate<RoleSplit> allowed(PlanningInput input, RoleSplit available, RoleSplit current) {
+        int runningSequences = input.engines().stream()
                 .mapToInt(PlannedEngine::runningSequences)
                 .sum();
-        int away = current.total() - movable.total();
-        int mostAway = (int) Math.ceil(settings.mostAwayShare() * current.total()) - away;
+        int unavailable = current.total() - available.total();
+        int maxUnavailable = (int) Math.ceil(settings.maxUnavailableFraction() * current.total()) - unavailable;
         return split -> split.servesBothStages()
-                && split.isPaired()
-                && current.changesTo(split) <= mostAway
-                && leavesNoRoleEmpty(movable, current, split)
-                && holdsRunningAnswers(running, current, split);
+                && split.hasNoIdleStage()
+                && current.changesTo(split) <= maxUnavailable
+                && keepsBothStagesServed(available, current, split)
+                && canRunCurrentSequences(runningSequences, current, split);
     }
 
     /** While engines change, those that stay and work must still serve both stages. */
-    private static boolean leavesNoRoleEmpty(RoleSplit movable, RoleSplit current, RoleSplit split) {
-        RoleSplit staying = movable;
+    private static boolean keepsBothStagesServed(RoleSplit available, RoleSplit current, RoleSplit split) {
+        RoleSplit remaining = available;
         for (EngineRole role : EngineRole.values()) {
-            int leaving = Math.max(0, current.count(role) - split.count(role));
-            if (leaving > movable.count(role)) {
+            int changing = Math.max(0, current.count(role) - split.count(role));
+            if (changing > available.count(role)) {
                 return false;
             }
-            staying = staying.plus(role, -leaving);
+            remaining = remaining.plus(role, -changing);
         }
-        return staying.servesBothStages() || !movable.servesBothStages();
+        return remaining.servesBothStages() || !available.servesBothStages();
     }
 
     /** Answers that run must be taken over by engines that stay; a few may wait, since their deadlines leave slack. */
-    private boolean holdsRunningAnswers(int running, RoleSplit current, RoleSplit split) {
-        RoleSplit during = current.during(split);
-        boolean fewer = during.decode() + during.whole() < current.decode() + current.whole();
-        double places = (double) (during.decode() + during.whole()) * settings.decodeBatch();
-        return !fewer || running <= MOST_ANSWERS_FOR_A_PLACE * places;
+    private boolean canRunCurrentSequences(int running, RoleSplit current, RoleSplit split) {
+        RoleSplit during = current.duringChangeTo(split);
+        boolean fewer = during.decode() + during.combined() < current.decode() + current.combined();
+        double batchSlots = (double) (during.decode() + during.combined()) * settings.decodeBatch();
+        return !fewer || running <= MAX_SEQUENCES_PER_BATCH_SLOT * batchSlots;
     }
 
     private static RolePlan changeTo(PlanningInput input, RoleSplit current, RoleSplit best, String reason) {
-        Map<String, EngineRole> roles = rolesNow(input);
+        Map<String, EngineRole> roles = currentRoles(input);
         List<RoleChange> changes = RoleAssignment.changes(input.engines(), current, best);
         changes.forEach(change -> roles.put(change.engine(), change.to()));
         return new RolePlan(roles, changes, reason);
     }
 
-    private static RolePlan standStill(PlanningInput input, String reason) {
-        return new RolePlan(rolesNow(input), List.of(), reason);
+    private static RolePlan keepRoles(PlanningInput input, String reason) {
+        return new RolePlan(currentRoles(input), List.of(), reason);
     }
 
-    private static Map<String, EngineRole> rolesNow(PlanningInput input) {
+    private static Map<String, EngineRole> currentRoles(PlanningInput input) {
         Map<String, EngineRole> roles = new HashMap<>();
         input.engines().forEach(engine -> roles.put(engine.name(), engine.role()));
         return roles;
     }
 
-    private static RoleSplit split(PlanningInput input, boolean withChanging) {
+    private static RoleSplit split(PlanningInput input, boolean includeChanging) {
         RoleSplit split = new RoleSplit(0, 0, 0);
         for (PlannedEngine engine : input.engines()) {
-            if (engine.isAvailable() || (withChanging && engine.counts())) {
+            if (engine.isAvailable() || (includeChanging && engine.countsTowardSplit())) {
                 split = split.plus(engine.role(), 1);
             }
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleSplit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleSplit.java
@@ -7,12 +7,12 @@
  *
  * @param prefill engines that compute prompts
  * @param decode engines that generate answers
- * @param whole engines that do both
+ * @param combined engines that do both
  */
-public record RoleSplit(int prefill, int decode, int whole) {
+public record RoleSplit(int prefill, int decode, int combined) {
     /** Returns how many engines there are. */
     public int total() {
-        return prefill + decode + whole;
+        return prefill + decode + combined;
     }
 
     /** Returns how many engines have a role. */
@@ -20,16 +20,16 @@
         return switch (role) {
             case PREFILL -> prefill;
             case DECODE -> decode;
-            case WHOLE -> whole;
+            case WHOLE -> combined;
         };
     }
 
     /** Returns the split with more or fewer engines of a role. */
     public RoleSplit plus(EngineRole role, int engines) {
         return switch (role) {
-            case PREFILL -> new RoleSplit(prefill + engines, decode, whole);
-            case DECODE -> new RoleSplit(prefill, decode + engines, whole);
-            case WHOLE -> new RoleSplit(prefill, decode, whole + engines);
+            case PREFILL -> new RoleSplit(prefill + engines, decode, combined);
+            case DECODE -> new RoleSplit(prefill, decode + engines, combined);
+            case WHOLE -> new RoleSplit(prefill, decode, combined + engines);
         };
     }
 
@@ -37,27 +37,27 @@
     public int changesTo(RoleSplit other) {
         return Math.max(0, other.prefill - prefill)
                 + Math.max(0, other.decode - decode)
-                + Math.max(0, other.whole - whole);
+                + Math.max(0, other.combined - combined);
     }
 
     /** Returns what works while the engines that change are away. */
-    public RoleSplit during(RoleSplit other) {
+    public RoleSplit duringChangeTo(RoleSplit other) {
         return new RoleSplit(
-                Math.min(prefill, other.prefill), Math.min(decode, other.decode), Math.min(whole, other.whole));
+                Math.min(prefill, other.prefill), Math.min(decode, other.decode), Math.min(combined, other.combined));
     }
 
     /** Says whether both stages of a request can run. */
     public boolean servesBothStages() {
-        return whole > 0 || (prefill > 0 && decode > 0);
+        return combined > 0 || (prefill > 0 && decode > 0);
     }
 
     /** Says whether no engine waits for a stage that nobody does. */
-    public boolean isPaired() {
-        return (prefill == 0) == (decode == 0) || whole > 0;
+    public boolean hasNoIdleStage() {
+        return (prefill == 0) == (decode == 0) || combined > 0;
     }
 
     @Override
     public String toString() {
-        return prefill + " prefill, " + decode + " decode, " + whole + " whole";
+        return prefill + " prefill, " + decode + " decode, " + combined + " whole";
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
@@ -9,7 +9,7 @@
  * as long as that helps.
  */
 final class SplitSearch {
-    private static final int MOST_ENGINES_EXHAUSTIVELY = 16;
+    private static final int MAX_ENGINES_EXHAUSTIVE = 16;
     private static final EngineRole[] ROLES = EngineRole.values();
 
     /** Finds the best split of a fleet for any value. */
@@ -27,10 +27,10 @@
     }
 
     RoleSplit best(RoleSplit current) {
-        return current.total() <= MOST_ENGINES_EXHAUSTIVELY ? bestOfAll(current) : bestByMoves(current);
+        return current.total() <= MAX_ENGINES_EXHAUSTIVE ? searchExhaustively(current) : searchLocally(current);
     }
 
-    private RoleSplit bestOfAll(RoleSplit current) {
+    private RoleSplit searchExhaustively(RoleSplit current) {
         RoleSplit best = current;
         double bestValue = value.applyAsDouble(current);
         int total = current.total();
@@ -50,7 +50,7 @@
         return best;
     }
 
-    private RoleSplit bestByMoves(RoleSplit current) {
+    private RoleSplit searchLocally(RoleSplit current) {
         RoleSplit best = current;
         double bestValue = value.applyAsDouble(current);
         for (int step = Integer.highestOneBit(current.total()); step >= 1; step /= 2) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
@@ -10,44 +10,44 @@
  * exact mean does not win.
  */
 final class SplitValue {
-    private static final double DEVIATIONS = 1.2;
+    private static final double STANDARD_DEVIATIONS = 1.2;
 
-    private final MoveCost moveCost;
+    private final TransitionCost transitionCost;
     private final RoleSplit current;
     private final ContinuationValue continuation;
-    private final double presentSeconds;
-    private final List<KindDemand> present;
-    private final List<KindDemand> higher;
-    private final List<KindDemand> lower;
+    private final double currentMixSeconds;
+    private final List<KindDemand> meanDemands;
+    private final List<KindDemand> higherDemands;
+    private final List<KindDemand> lowerDemands;
 
     SplitValue(
-            MoveCost moveCost,
+            TransitionCost transitionCost,
             RoleSplit current,
-            Segment segment,
-            double presentSeconds,
+            MixPeriod period,
+            double currentMixSeconds,
             ContinuationValue continuation) {
-        this.moveCost = moveCost;
+        this.transitionCost = transitionCost;
         this.current = current;
         this.continuation = continuation;
-        this.presentSeconds = presentSeconds;
-        this.present = segment.demands();
-        this.higher = shifted(segment, DEVIATIONS);
-        this.lower = shifted(segment, -DEVIATIONS);
+        this.currentMixSeconds = currentMixSeconds;
+        this.meanDemands = period.demands();
+        this.higherDemands = shifted(period, STANDARD_DEVIATIONS);
+        this.lowerDemands = shifted(period, -STANDARD_DEVIATIONS);
     }
 
-    double of(RoleSplit split) {
-        double goodput = (2 * moveCost.goodput(current, split, present, presentSeconds)
-                        + moveCost.goodput(current, split, higher, presentSeconds)
-                        + moveCost.goodput(current, split, lower, presentSeconds))
+    double value(RoleSplit split) {
+        double goodput = (2 * transitionCost.goodput(current, split, meanDemands, currentMixSeconds)
+                        + transitionCost.goodput(current, split, higherDemands, currentMixSeconds)
+                        + transitionCost.goodput(current, split, lowerDemands, currentMixSeconds))
                 / 4;
-        return goodput - moveCost.price(current, split) + continuation.of(split);
+        return goodput - transitionCost.price(current, split) + continuation.value(split);
     }
 
-    private static List<KindDemand> shifted(Segment segment, double deviations) {
-        return segment.demands().stream()
+    private static List<KindDemand> shifted(MixPeriod period, double deviations) {
+        return period.demands().stream()
                 .map(demand -> {
-                    double counted = Math.max(1, demand.requestsPerSecond() * segment.countedSeconds());
-                    return demand.scaled(Math.max(0, 1 + deviations / Math.sqrt(counted)));
+                    double countedRequests = Math.max(1, demand.requestsPerSecond() * period.countedSeconds());
+                    return demand.scaled(Math.max(0, 1 + deviations / Math.sqrt(countedRequests)));
                 })
                 .toList();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MoveCost.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/TransitionCost.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /** What moving from one split to another loses, in weighted completed requests. */
-final class MoveCost {
+final class TransitionCost {
     private final GoodputModel model;
     private final RoleChangeCosts costs;
 
-    MoveCost(GoodputModel model, RoleChangeCosts costs) {
+    TransitionCost(GoodputModel model, RoleChangeCosts costs) {
         this.model = model;
         this.costs = costs;
     }
 
-    double awaySeconds() {
-        return costs.drainSeconds() + costs.secondsAway();
+    double unavailableSeconds() {
+        return costs.drainSeconds() + costs.unavailableSeconds();
     }
 
     double price(RoleSplit from, RoleSplit to) {
@@ -22,8 +22,8 @@
 
     /** Returns the goodput of a stretch of time that begins with the move. */
     double goodput(RoleSplit from, RoleSplit to, List<KindDemand> demands, double seconds) {
-        double away = from.equals(to) ? 0 : Math.min(seconds, awaySeconds());
-        double goodput = model.perSecond(to, demands) * (seconds - away);
-        return away > 0 ? goodput + model.perSecond(from.during(to), demands) * away : goodput;
+        double unavailable = from.equals(to) ? 0 : Math.min(seconds, unavailableSeconds());
+        double goodput = model.goodputPerSecond(to, demands) * (seconds - unavailable);
+        return unavailable > 0 ? goodput + model.goodputPerSecond(from.duringChangeTo(to), demands) * unavailable : goodput;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/WantedLoads.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/DesiredLoads.java
@@ -11,11 +11,11 @@
 import org.aspenmoor.internal.engine.EngineOrder;
 
 /** What every engine of a service should hold, and the order that loads each part. */
-final class WantedLoads {
+final class DesiredLoads {
     private final List<ModelDeclaration> models;
     private final Map<String, EngineOrder> orders = new LinkedHashMap<>();
 
-    WantedLoads(ServiceDocument document) {
+    DesiredLoads(ServiceDocument document) {
         this.models = document.models();
         for (ModelDeclaration model : models) {
             String name = model.name();
@@ -45,7 +45,7 @@
                 if (item.startsWith(prefix)) {
                     String adapter = item.substring(prefix.length(), item.lastIndexOf('@'));
                     boolean declared = model.adapters().stream()
-                            .anyMatch(known -> known.name().equals(adapter));
+                            .anyMatch(declaration -> declaration.name().equals(adapter));
                     if (!declared) {
                         return Optional.of(new EngineOrder.UnloadAdapter(model.name(), adapter));
                     }
@@ -56,7 +56,7 @@
     }
 
     /** Returns the declared models of which an engine holds any version. */
-    List<String> modelsServedBy(RolloutEngine engine) {
+    List<String> declaredModelsOn(RolloutEngine engine) {
         return models.stream()
                 .map(ModelDeclaration::name)
                 .filter(engine::holdsModel)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
@@ -12,8 +12,8 @@
 public final class LoadBudget {
     private final TokenBucket bucket;
 
-    public LoadBudget(TimeSource timeSource, double loadsPerSecond, double mostSaved) {
-        this.bucket = new TokenBucket(timeSource, loadsPerSecond, mostSaved);
+    public LoadBudget(TimeSource timeSource, double loadsPerSecond, double burst) {
+        this.bucket = new TokenBucket(timeSource, loadsPerSecond, burst);
     }
 
     /** Takes one load if there is room for it now. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutDecision.java
@@ -20,7 +20,7 @@
      * @param engine the engine
      * @param order what to load or unload
      */
-    record GiveOrder(String engine, EngineOrder order) implements RolloutDecision {}
+    record SendOrder(String engine, EngineOrder order) implements RolloutDecision {}
 
     /**
      * Let it take work again.
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
@@ -22,8 +22,8 @@
         loaded = Set.copyOf(loaded);
     }
 
-    boolean is(EngineAvailability wanted) {
-        return availability == wanted;
+    boolean hasAvailability(EngineAvailability expected) {
+        return availability == expected;
     }
 
     /** Says whether it holds any version of a model. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
@@ -24,7 +24,7 @@
  * </ul>
  */
 public final class RolloutPolicy {
-    private static final Comparator<RolloutEngine> LEAST_LOSS_FIRST = Comparator.comparingInt(
+    private static final Comparator<RolloutEngine> SMALLEST_CAPACITY_LOSS_FIRST = Comparator.comparingInt(
                     (RolloutEngine engine) -> engine.loaded().size())
             .thenComparingInt(RolloutEngine::runningStreams)
             .thenComparing(RolloutEngine::name);
@@ -39,91 +39,91 @@
 
     /** Returns what to do with each engine that does not hold what the document declares, or may serve again. */
     public List<RolloutDecision> decide(ServiceDocument document, List<RolloutEngine> engines) {
-        Round round = new Round(new WantedLoads(document), engines);
-        engines.stream().sorted(LEAST_LOSS_FIRST).forEach(round::decide);
-        return round.decisions;
+        Pass pass = new Pass(new DesiredLoads(document), engines);
+        engines.stream().sorted(SMALLEST_CAPACITY_LOSS_FIRST).forEach(pass::decide);
+        return pass.decisions;
     }
 
     /** One look at all engines. */
-    private final class Round {
-        private final WantedLoads wanted;
+    private final class Pass {
+        private final DesiredLoads desired;
         private final List<RolloutEngine> engines;
         private final List<RolloutDecision> decisions = new ArrayList<>();
-        private final Set<String> takenAway = new HashSet<>();
+        private final Set<String> unavailable = new HashSet<>();
 
-        Round(WantedLoads wanted, List<RolloutEngine> engines) {
-            this.wanted = wanted;
+        Pass(DesiredLoads desired, List<RolloutEngine> engines) {
+            this.desired = desired;
             this.engines = engines;
             engines.stream()
-                    .filter(engine -> engine.is(EngineAvailability.DRAINING) || engine.is(EngineAvailability.LOADING))
-                    .forEach(engine -> takenAway.add(engine.name()));
+                    .filter(engine -> engine.hasAvailability(EngineAvailability.DRAINING) || engine.hasAvailability(EngineAvailability.LOADING))
+                    .forEach(engine -> unavailable.add(engine.name()));
         }
 
         void decide(RolloutEngine engine) {
-            if (engine.is(EngineAvailability.LOADING) || engine.is(EngineAvailability.GONE)) {
+            if (engine.hasAvailability(EngineAvailability.LOADING) || engine.hasAvailability(EngineAvailability.GONE)) {
                 return;
             }
-            Optional<String> missing = wanted.firstMissing(engine.loaded());
-            Optional<EngineOrder> order = missing.map(wanted::order).or(() -> wanted.firstUnload(engine.loaded()));
+            Optional<String> missingItem = desired.firstMissing(engine.loaded());
+            Optional<EngineOrder> order = missingItem.map(desired::order).or(() -> desired.firstUnload(engine.loaded()));
             if (order.isEmpty()) {
-                if (engine.is(EngineAvailability.DRAINING)) {
+                if (engine.hasAvailability(EngineAvailability.DRAINING)) {
                     decisions.add(new RolloutDecision.Resume(engine.name()));
                 }
                 return;
             }
-            Optional<String> obstacle = obstacle(engine, missing);
+            Optional<String> obstacle = obstacle(engine, missingItem);
             if (obstacle.isPresent()) {
-                giveBack(engine, obstacle.get());
+                resumeOrHold(engine, obstacle.get());
                 return;
             }
-            takenAway.add(engine.name());
-            proceed(engine, order.get());
+            unavailable.add(engine.name());
+            advance(engine, order.get());
         }
 
-        private Optional<String> obstacle(RolloutEngine engine, Optional<String> missing) {
-            if (missing.isPresent() && isKnownToFail(missing.get(), engine)) {
-                return Optional.of(missing.get() + " failed to load on another engine and is held by none");
+        private Optional<String> obstacle(RolloutEngine engine, Optional<String> missingItem) {
+            if (missingItem.isPresent() && isKnownToFail(missingItem.get(), engine)) {
+                return Optional.of(missingItem.get() + " failed to load on another engine and is held by none");
             }
-            if (engine.is(EngineAvailability.DRAINING)) {
+            if (engine.hasAvailability(EngineAvailability.DRAINING)) {
                 return Optional.empty();
             }
-            if (takenAway.size() >= limits.mostAway()) {
+            if (unavailable.size() >= limits.maxUnavailable()) {
                 return Optional.of("as many engines as allowed are away");
             }
-            return wanted.modelsServedBy(engine).stream()
+            return desired.declaredModelsOn(engine).stream()
                     .filter(model -> !isServedWithout(engine, model))
                     .findFirst()
                     .map(model -> "no other engine serves " + model + " now");
         }
 
-        private boolean isKnownToFail(String item, RolloutEngine self) {
+        private boolean isKnownToFail(String item, RolloutEngine candidate) {
             boolean failedElsewhere = engines.stream()
-                    .filter(engine -> !engine.name().equals(self.name()))
+                    .filter(engine -> !engine.name().equals(candidate.name()))
                     .anyMatch(engine -> engine.failedLoad().equals(Optional.of(item)));
-            boolean failedHere = self.failedLoad().equals(Optional.of(item));
+            boolean failedHere = candidate.failedLoad().equals(Optional.of(item));
             return failedElsewhere
                     && !failedHere
                     && engines.stream().noneMatch(engine -> engine.loaded().contains(item));
         }
 
-        private boolean isServedWithout(RolloutEngine leaving, String model) {
+        private boolean isServedWithout(RolloutEngine candidate, String model) {
             return engines.stream()
-                    .filter(engine -> !engine.name().equals(leaving.name()))
-                    .filter(engine -> engine.is(EngineAvailability.SERVING))
-                    .filter(engine -> !takenAway.contains(engine.name()))
+                    .filter(engine -> !engine.name().equals(candidate.name()))
+                    .filter(engine -> engine.hasAvailability(EngineAvailability.SERVING))
+                    .filter(engine -> !unavailable.contains(engine.name()))
                     .anyMatch(engine -> engine.holdsModel(model));
         }
 
-        private void giveBack(RolloutEngine engine, String reason) {
-            if (engine.is(EngineAvailability.DRAINING)) {
+        private void resumeOrHold(RolloutEngine engine, String reason) {
+            if (engine.hasAvailability(EngineAvailability.DRAINING)) {
                 decisions.add(new RolloutDecision.Resume(engine.name()));
             } else {
                 decisions.add(new RolloutDecision.Hold(engine.name(), reason));
             }
         }
 
-        private void proceed(RolloutEngine engine, EngineOrder order) {
-            if (engine.is(EngineAvailability.SERVING) && !engine.loaded().isEmpty()) {
+        private void advance(RolloutEngine engine, EngineOrder order) {
+            if (engine.hasAvailability(EngineAvailability.SERVING) && !engine.loaded().isEmpty()) {
                 // Also without a stream: one may be on its way until entries know that the engine is being drained.
                 decisions.add(new RolloutDecision.Drain(engine.name()));
             } else if (engine.runningStreams() > 0) {
@@ -131,7 +131,7 @@
             } else if (!budget.take()) {
                 decisions.add(new RolloutDecision.Hold(engine.name(), "the weight store's rate is used up"));
             } else {
-                decisions.add(new RolloutDecision.GiveOrder(engine.name(), order));
+                decisions.add(new RolloutDecision.SendOrder(engine.name(), order));
             }
         }
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
@@ -15,7 +15,7 @@
 
     public VersionCandidates(List<RolloutEngine> engines) {
         this.serving = engines.stream()
-                .filter(engine -> engine.is(EngineAvailability.SERVING))
+                .filter(engine -> engine.hasAvailability(EngineAvailability.SERVING))
                 .toList();
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/ChangePointDetectorTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/ChangePointDetectorTest.java
@@ -13,28 +13,28 @@
     private SplittableRandom random;
 
     @BeforeMethod
-    public void start() {
+    public void createRandom() {
         random = new SplittableRandom(11);
     }
 
     @Test
-    public void should_take_all_counts_where_nothing_changed() {
-        int alarms = 0;
+    public void should_use_all_counts_when_the_mix_did_not_change() {
+        int falseAlarms = 0;
         for (int run = 0; run < 100; run++) {
             List<double[]> counts = counts(60, 10, 5);
-            alarms += ChangePointDetector.presentLength(counts) < counts.size() ? 1 : 0;
+            falseAlarms += ChangePointDetector.currentMixLength(counts) < counts.size() ? 1 : 0;
         }
 
-        assertTrue(alarms <= 5, alarms + " false alarms in 100 runs");
+        assertTrue(falseAlarms <= 5, falseAlarms + " false alarms in 100 runs");
     }
 
     @Test
-    public void should_find_a_swing_within_three_seconds() {
+    public void should_detect_a_change_when_it_is_three_seconds_old() {
         int found = 0;
         for (int run = 0; run < 100; run++) {
             List<double[]> counts = new ArrayList<>(counts(3, 2, 12));
             counts.addAll(counts(50, 12, 2));
-            int length = ChangePointDetector.presentLength(counts);
+            int length = ChangePointDetector.currentMixLength(counts);
             found += length >= 2 && length <= 4 ? 1 : 0;
         }
 
@@ -42,12 +42,12 @@
     }
 
     @Test
-    public void should_find_the_last_of_several_changes() {
+    public void should_find_the_last_change_when_there_are_several() {
         List<double[]> counts = new ArrayList<>(counts(10, 12, 2));
         counts.addAll(counts(40, 2, 12));
         counts.addAll(counts(40, 12, 2));
 
-        assertEquals(ChangePointDetector.presentLength(counts), 10, 1);
+        assertEquals(ChangePointDetector.currentMixLength(counts), 10, 1);
     }
 
     private List<double[]> counts(int seconds, double one, double other) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/RolePlannerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/RolePlannerTest.java
@@ -12,21 +12,21 @@
 
 public class RolePlannerTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final List<KindWeight> KINDS = List.of(new KindWeight("cue", 10, 4), new KindWeight("note", 6, 20));
+    private static final List<KindObjective> KINDS = List.of(new KindObjective("cue", 10, 4), new KindObjective("note", 6, 20));
     private static final RoleChangeCosts CHEAP = new RoleChangeCosts(3, 0.3, 1);
-    private static final RoleChangeCosts DEAR = new RoleChangeCosts(3, 0.3, 100_000);
+    private static final RoleChangeCosts EXPENSIVE = new RoleChangeCosts(3, 0.3, 100_000);
 
     private RolePlanner planner;
     private long sequence;
 
     @BeforeMethod
-    public void start() {
-        planner = new RolePlanner(PlannerSettings.usual());
+    public void createPlanner() {
+        planner = new RolePlanner(PlannerSettings.defaults());
         sequence = 0;
     }
 
     @Test
-    public void should_stand_still_without_counts() {
+    public void should_keep_roles_when_no_counts_were_received() {
         RolePlan plan = planner.plan(input(engines(4, 4), CHEAP), SECOND);
 
         assertTrue(plan.changes().isEmpty());
@@ -36,7 +36,7 @@
     // An entry that is cut off sends no counts. What it counted before says nothing about now, and a change made on it
     // would take engines away for a mix that may be over.
     @Test
-    public void should_stand_still_where_counts_are_old() {
+    public void should_keep_roles_when_counts_are_stale() {
         count(0, 30, 14, 1);
 
         RolePlan plan = planner.plan(input(engines(2, 6), CHEAP), 40 * SECOND);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void should_refuse_counts_that_make_no_sense() {
+    public void should_reject_counts_when_they_are_invalid() {
         assertFalse(
                 planner.observe(new WorkCounts("entry", 1, 0, SECOND, List.of(new KindCount("cue", -3, 10, 10, 0)))));
         assertFalse(planner.observe(
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void should_drop_counts_that_came_before() {
+    public void should_ignore_counts_when_they_were_already_applied() {
         WorkCounts counts = new WorkCounts("entry", 1, 0, SECOND, List.of(new KindCount("cue", 3, 10, 10, 0)));
 
         assertTrue(planner.observe(counts));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    public void should_move_several_engines_together_where_that_pays() {
+    public void should_change_several_engines_at_once_when_the_gain_exceeds_the_cost() {
         count(0, 30, 14, 1);
 
         RolePlan plan = planner.plan(input(engines(2, 6), CHEAP), 30 * SECOND + SECOND / 2);
@@ -72,10 +72,10 @@
     }
 
     @Test
-    public void should_stand_still_where_the_price_is_above_the_gain() {
+    public void should_keep_roles_when_the_price_exceeds_the_gain() {
         count(0, 30, 14, 1);
 
-        RolePlan plan = planner.plan(input(engines(2, 6), DEAR), 30 * SECOND + SECOND / 2);
+        RolePlan plan = planner.plan(input(engines(2, 6), EXPENSIVE), 30 * SECOND + SECOND / 2);
 
         assertTrue(plan.changes().isEmpty(), plan.reason());
     }
@@ -83,13 +83,13 @@
     // The mix swings faster than an engine can change. A planner that follows it has its engines away most of the time
     // and always in the role that was needed before.
     @Test
-    public void should_not_chase_a_mix_that_swings_faster_than_a_change_pays() {
+    public void should_keep_roles_when_the_mix_changes_faster_than_a_role_change_pays_off() {
         int changes = 0;
-        RoleChangeCosts seitkali = new RoleChangeCosts(3, 0.3, 60);
+        RoleChangeCosts moderate = new RoleChangeCosts(3, 0.3, 60);
         for (int second = 0; second < 120; second++) {
             boolean prompts = second / 4 % 2 == 0;
             count(second, second + 1, prompts ? 12 : 2, prompts ? 1 : 11);
-            changes += planner.plan(input(engines(4, 4), seitkali), (second + 1) * SECOND + SECOND / 2)
+            changes += planner.plan(input(engines(4, 4), moderate), (second + 1) * SECOND + SECOND / 2)
                     .changes()
                     .size();
         }
@@ -98,7 +98,7 @@
     }
 
     @Test
-    public void should_never_leave_a_role_empty_that_has_work() {
+    public void should_keep_an_engine_for_decode_when_prefill_dominates() {
         count(0, 60, 30, 0);
 
         RolePlan plan = planner.plan(input(engines(7, 1), CHEAP), 60 * SECOND + SECOND / 2);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    public void should_plan_without_withdrawn_engines_and_leave_changing_ones_alone() {
+    public void should_not_change_an_engine_when_it_is_withdrawn_or_already_changing() {
         count(0, 30, 14, 1);
         List<PlannedEngine> engines = new ArrayList<>(engines(2, 4));
         engines.add(new PlannedEngine("gone", EngineRole.DECODE, new EngineAvailability.Withdrawn(), 0));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
@@ -19,7 +19,7 @@
 
 public class RolloutPolicyTest {
     private static final double LOADS_PER_SECOND = 0.5;
-    private static final double SAVED_LOADS = 2;
+    private static final double LOAD_BURST = 2;
 
     @DataProvider
     public Object[][] seeds() {
@@ -31,23 +31,23 @@
     }
 
     @Test(dataProvider = "seeds")
-    public void should_roll_out_and_back_without_cutting_a_stream_or_leaving_the_service_alone(int seed) {
+    public void should_keep_streams_and_the_service_running_when_a_rollout_is_rolled_back(int seed) {
         // Streams begin and end at random, engines vanish and return, planners take over halfway, and the version is
         // taken back before it is out
         // everywhere. A user would notice a cut draft, or a refusal because every engine was loading at once.
         Rollout rollout = new Rollout(2 + seed % 7, seed);
 
-        rollout.unsteady = true;
+        rollout.failuresEnabled = true;
         rollout.run(document("4", "1"), 5 + seed % 20);
         rollout.run(document("3", "1"), 5);
-        rollout.calmDown();
+        rollout.stopFailures();
         rollout.runUntilDone(document("4", "2"));
 
-        assertTrue(rollout.mostLoadsInTenSeconds <= SAVED_LOADS + 10 * LOADS_PER_SECOND);
+        assertTrue(rollout.maxLoadsInTenSeconds <= LOAD_BURST + 10 * LOADS_PER_SECOND);
     }
 
     @Test
-    public void should_not_take_the_only_engine_away() {
+    public void should_hold_the_engine_when_no_other_engine_serves_the_model() {
         Rollout rollout = new Rollout(1, 3);
 
         List<RolloutDecision> decisions = rollout.decide(document("4", "1"));
@@ -56,10 +56,10 @@
     }
 
     @Test
-    public void should_stop_at_a_version_that_cannot_be_loaded() {
+    public void should_stop_the_rollout_when_a_version_cannot_be_loaded() {
         // The weight store holds a broken version. Were the rollout to go on, each engine would lose the model in turn.
         Rollout rollout = new Rollout(8, 9);
-        rollout.broken = Set.of("m@4");
+        rollout.unloadableItems = Set.of("m@4");
 
         rollout.run(document("4", "1"), 300);
 
@@ -68,7 +68,7 @@
     }
 
     @Test
-    public void should_try_a_version_that_failed_on_no_other_engine() {
+    public void should_hold_other_engines_when_a_version_failed_to_load() {
         RolloutEngine failed = new RolloutEngine("a", EngineAvailability.DRAINING, Set.of(), 0, Optional.of("m@4"));
         RolloutPolicy policy = new RolloutPolicy(new RolloutLimits(2), new LoadBudget(new ManualTimeSource(), 1, 5));
 
@@ -80,13 +80,13 @@
         assertEquals(
                 decisions,
                 List.of(
-                        new RolloutDecision.GiveOrder("a", new EngineOrder.LoadModel("m", "4")),
+                        new RolloutDecision.SendOrder("a", new EngineOrder.LoadModel("m", "4")),
                         new RolloutDecision.Hold("b", reason),
                         new RolloutDecision.Hold("c", reason)));
     }
 
     @Test
-    public void should_unload_an_adapter_that_is_no_longer_declared() {
+    public void should_unload_an_adapter_when_it_is_no_longer_declared() {
         Rollout rollout = new Rollout(3, 5);
         ServiceDocument without = document(List.of(new ModelDeclaration("m", "3", List.of())));
 
@@ -97,16 +97,16 @@
     }
 
     @Test
-    public void should_go_on_when_an_engine_vanishes_in_the_middle() {
+    public void should_complete_the_rollout_when_an_engine_becomes_unreachable() {
         Rollout rollout = new Rollout(4, 13);
         rollout.run(document("4", "1"), 8);
-        rollout.engines.getLast().vanish();
+        rollout.engines.getLast().disconnect();
 
         rollout.runUntilDone(document("4", "1"));
     }
 
     @Test
-    public void should_keep_a_started_stream_with_its_version() {
+    public void should_keep_the_version_of_a_stream_when_two_versions_are_loaded() {
         RolloutEngine old = engine("a", "m@3");
         RolloutEngine current = engine("b", "m@4");
         VersionCandidates candidates = new VersionCandidates(List.of(old, current));
@@ -129,17 +129,17 @@
 
     /** Runs decisions on simulated engines and checks after each step what must always hold. */
     private static final class Rollout {
-        private static final int MOST_STEPS = 2000;
-        private static final int WINDOW = 10;
+        private static final int MAX_STEPS = 2000;
+        private static final int WINDOW_STEPS = 10;
 
         private final ManualTimeSource timeSource = new ManualTimeSource();
         private final Random random;
         private final List<SimulatedEngine> engines = new ArrayList<>();
-        private final LoadBudget budget = new LoadBudget(timeSource, LOADS_PER_SECOND, SAVED_LOADS);
-        private final List<Integer> loadsOfSecond = new ArrayList<>();
-        private Set<String> broken = Set.of();
-        private boolean unsteady;
-        private int mostLoadsInTenSeconds;
+        private final LoadBudget budget = new LoadBudget(timeSource, LOADS_PER_SECOND, LOAD_BURST);
+        private final List<Integer> loadsPerStep = new ArrayList<>();
+        private Set<String> unloadableItems = Set.of();
+        private boolean failuresEnabled;
+        private int maxLoadsInTenSeconds;
 
         Rollout(int count, int seed) {
             random = new Random(seed);
@@ -165,30 +165,30 @@
         }
 
         void runUntilDone(ServiceDocument document) {
-            for (int step = 0; step < MOST_STEPS; step++) {
+            for (int step = 0; step < MAX_STEPS; step++) {
                 step(document);
                 if (isDone(document)) {
                     return;
                 }
             }
-            throw new AssertionError("not done after " + MOST_STEPS + " steps: " + snapshots());
+            throw new AssertionError("not done after " + MAX_STEPS + " steps: " + snapshots());
         }
 
         /** No engine vanishes any more, and those that had vanished are back; a lone engine is rightly held for ever. */
-        void calmDown() {
-            unsteady = false;
+        void stopFailures() {
+            failuresEnabled = false;
             engines.stream()
                     .filter(engine -> engine.availability() == EngineAvailability.GONE)
-                    .forEach(SimulatedEngine::vanishOrReturn);
+                    .forEach(SimulatedEngine::toggleConnection);
         }
 
         private boolean isDone(ServiceDocument document) {
-            WantedLoads wanted = new WantedLoads(document);
+            DesiredLoads desired = new DesiredLoads(document);
             return engines.stream()
                     .filter(engine -> engine.availability() != EngineAvailability.GONE)
                     .allMatch(engine -> engine.isServing()
-                            && wanted.firstMissing(engine.snapshot().loaded()).isEmpty()
-                            && wanted.firstUnload(engine.snapshot().loaded()).isEmpty());
+                            && desired.firstMissing(engine.snapshot().loaded()).isEmpty()
+                            && desired.firstUnload(engine.snapshot().loaded()).isEmpty());
         }
 
         private void step(ServiceDocument document) {
@@ -199,37 +199,37 @@
                         .filter(candidate -> candidate.name().equals(decision.engine()))
                         .findFirst()
                         .orElseThrow();
-                if (decision instanceof RolloutDecision.GiveOrder) {
+                if (decision instanceof RolloutDecision.SendOrder) {
                     assertEquals(engine.streams(), 0, "an order would cut a stream of " + engine.name());
                     loads++;
                 }
-                engine.carryOut(decision, 1 + random.nextInt(4));
+                engine.execute(decision, 1 + random.nextInt(4));
             }
-            count(loads);
+            countLoads(loads);
             assertTrue(isServed() || !servedBefore, "the rollout left no engine serving: " + snapshots());
-            engines.forEach(engine -> engine.step(broken));
-            moveStreams();
+            engines.forEach(engine -> engine.step(unloadableItems));
+            simulateEvents();
             timeSource.advance(Duration.ofSeconds(1));
         }
 
         private boolean isServed() {
             return snapshots().stream()
-                    .anyMatch(engine -> engine.is(EngineAvailability.SERVING) && engine.holdsModel("m"));
+                    .anyMatch(engine -> engine.hasAvailability(EngineAvailability.SERVING) && engine.holdsModel("m"));
         }
 
-        private void count(int loads) {
-            loadsOfSecond.add(loads);
-            int from = Math.max(0, loadsOfSecond.size() - WINDOW);
-            int recent = loadsOfSecond.subList(from, loadsOfSecond.size()).stream()
+        private void countLoads(int loads) {
+            loadsPerStep.add(loads);
+            int from = Math.max(0, loadsPerStep.size() - WINDOW_STEPS);
+            int recent = loadsPerStep.subList(from, loadsPerStep.size()).stream()
                     .mapToInt(Integer::intValue)
                     .sum();
-            mostLoadsInTenSeconds = Math.max(mostLoadsInTenSeconds, recent);
+            maxLoadsInTenSeconds = Math.max(maxLoadsInTenSeconds, recent);
         }
 
-        private void moveStreams() {
+        private void simulateEvents() {
             for (SimulatedEngine engine : engines) {
-                if (unsteady && random.nextInt(20) == 0) {
-                    engine.vanishOrReturn();
+                if (failuresEnabled && random.nextInt(20) == 0) {
+                    engine.toggleConnection();
                 }
                 if (engine.isServing() && random.nextInt(3) == 0) {
                     engine.startStream();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/SimulatedEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/SimulatedEngine.java
@@ -12,7 +12,7 @@
     private EngineAvailability availability = EngineAvailability.SERVING;
     private Optional<EngineOrder> order = Optional.empty();
     private Optional<String> failedLoad = Optional.empty();
-    private int stepsLeft;
+    private int remainingSteps;
     private int streams;
 
     SimulatedEngine(String name, Set<String> loaded) {
@@ -48,60 +48,60 @@
         streams = Math.max(0, streams - 1);
     }
 
-    void vanish() {
+    void disconnect() {
         availability = EngineAvailability.GONE;
         streams = 0;
     }
 
     /** Is cut off, or comes back as it was: whether the rollout had drained it is not remembered. */
-    void vanishOrReturn() {
+    void toggleConnection() {
         if (availability == EngineAvailability.GONE) {
             availability = EngineAvailability.SERVING;
         } else if (availability == EngineAvailability.SERVING) {
-            vanish();
+            disconnect();
         }
     }
 
-    void carryOut(RolloutDecision decision, int steps) {
+    void execute(RolloutDecision decision, int steps) {
         switch (decision) {
             case RolloutDecision.Drain drain -> availability = EngineAvailability.DRAINING;
             case RolloutDecision.Resume resume -> availability = EngineAvailability.SERVING;
             case RolloutDecision.Hold hold -> {}
-            case RolloutDecision.GiveOrder given -> {
+            case RolloutDecision.SendOrder given -> {
                 availability = EngineAvailability.LOADING;
                 order = Optional.of(given.order());
-                stepsLeft = steps;
+                remainingSteps = steps;
             }
         }
     }
 
     /** Goes on with a running order; a load of a broken version fails and leaves the engine without the model. */
-    void step(Set<String> brokenItems) {
+    void step(Set<String> unloadableItems) {
         if (availability != EngineAvailability.LOADING) {
             return;
         }
-        stepsLeft--;
-        if (stepsLeft == 0) {
-            finish(order.orElseThrow(), brokenItems);
+        remainingSteps--;
+        if (remainingSteps == 0) {
+            finish(order.orElseThrow(), unloadableItems);
         }
     }
 
-    private void finish(EngineOrder finished, Set<String> brokenItems) {
+    private void finish(EngineOrder finished, Set<String> unloadableItems) {
         availability = EngineAvailability.DRAINING;
         switch (finished) {
-            case EngineOrder.LoadModel load -> replace(load.model(), load.version(), brokenItems);
+            case EngineOrder.LoadModel load -> replace(load.model(), load.version(), unloadableItems);
             case EngineOrder.LoadAdapter load ->
-                replace(load.model() + ":" + load.adapter(), load.version(), brokenItems);
+                replace(load.model() + ":" + load.adapter(), load.version(), unloadableItems);
             case EngineOrder.UnloadAdapter unload ->
                 loaded.removeIf(item -> item.startsWith(unload.model() + ":" + unload.adapter() + "@"));
             case EngineOrder.ChangeRole role -> throw new AssertionError("a rollout changes no role");
         }
     }
 
-    private void replace(String loadedName, String version, Set<String> brokenItems) {
+    private void replace(String loadedName, String version, Set<String> unloadableItems) {
         loaded.removeIf(item -> item.startsWith(loadedName + "@"));
         String item = loadedName + "@" + version;
-        if (brokenItems.contains(item)) {
+        if (unloadableItems.contains(item)) {
             failedLoad = Optional.of(item);
         } else {
             loaded.add(item);
