--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
@@ -139,7 +139,7 @@
     }
 
     private static AdmissionQueue queue(int teams) {
-        AdmissionQueue queue = new AdmissionQueue(AdmissionSettings.usual(Aim.ENGINES));
+        AdmissionQueue queue = new AdmissionQueue(AdmissionSettings.defaults(Aim.ENGINES));
         Random random = new Random(SEED);
         for (int team = 0; team < teams; team++) {
             queue.offer(work(random, team), 0);
@@ -153,8 +153,8 @@
         return () -> {
             for (int number = 0; number < ADMISSIONS; number++) {
                 queue.offer(work(random, number % teams), 0);
-                consumed += queue.displaced(0).size();
-                queue.next().ifPresent(work -> queue.take(work, 0));
+                consumed += queue.evict(0).size();
+                queue.next().ifPresent(work -> queue.markDispatched(work, 0));
             }
         };
     }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
@@ -10,8 +10,8 @@
 import org.aspenmoor.internal.admission.AdmissionQueue;
 import org.aspenmoor.internal.admission.AdmissionSettings;
 import org.aspenmoor.internal.admission.DispatchPolicy;
-import org.aspenmoor.internal.admission.DispatchVerdict;
-import org.aspenmoor.internal.admission.Displaced;
+import org.aspenmoor.internal.admission.DispatchDecision;
+import org.aspenmoor.internal.admission.EvictedWork;
 import org.aspenmoor.internal.admission.LengthEstimate;
 import org.aspenmoor.internal.admission.LengthEstimator;
 import org.aspenmoor.internal.admission.WaitingWork;
@@ -41,7 +41,7 @@
     private final Tally tally;
     private final int credit;
     private final AdmissionQueue queue;
-    private final DispatchPolicy dispatch = DispatchPolicy.usual();
+    private final DispatchPolicy dispatch = DispatchPolicy.defaults();
     private final LengthEstimator lengths = new LengthEstimator();
     private final Map<RequestId, BenchRequest> waiting = new HashMap<>();
     private final Map<RequestId, RoutingDecision> sent = new HashMap<>();
@@ -69,7 +69,7 @@
         this.tally = tally;
         this.credit = (int) Math.ceil(CREDIT_SHARE * fleet.parameters().mostSequences() / fleet.entries());
         this.queue = new AdmissionQueue(
-                AdmissionSettings.usual((double) fleet.engines().size() / fleet.entries()));
+                AdmissionSettings.defaults((double) fleet.engines().size() / fleet.entries()));
     }
 
     RoutingStrategy routing() {
@@ -79,7 +79,7 @@
     void arrive(BenchRequest request) {
         tally.arrived(request);
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
-        long uncovered = Math.round(request.promptTokens() * (1 - estimate.cachedShare()));
+        long uncovered = Math.round(request.promptTokens() * (1 - estimate.cachedFraction()));
         counts.merge(
                 request.kind(),
                 new KindCount(request.kind(), 1, uncovered, Math.round(estimate.outputTokens()), 0),
@@ -93,7 +93,7 @@
         if (decision instanceof AdmissionDecision.Refused) {
             refuse(request.id());
         }
-        for (Displaced displaced : queue.displaced(loop.now())) {
+        for (EvictedWork displaced : queue.evict(loop.now())) {
             refuse(displaced.work().id());
         }
         pump();
@@ -119,7 +119,7 @@
         }
         job.answerEngine().ifPresent(answerEngine -> answerEngine.forget(job));
         if (answered) {
-            lengths.seen(request.kind(), request.promptTokens(), request.cachedTokens(), request.outputTokens());
+            lengths.observe(request.kind(), request.promptTokens(), request.cachedTokens(), request.outputTokens());
             tally.finished(request, loop.nowSeconds());
         } else {
             offer(request);
@@ -149,13 +149,13 @@
             BenchRequest request = waiting.get(work.id());
             RoutingRequest routed = routed(request, work);
             Optional<RoutingDecision> decision = routing.choose(routed, this::hasCredit, loop.now());
-            switch (dispatch.judge(work, decision, loop.now())) {
-                case DispatchVerdict.Send send -> send(work, routed, send.decision());
-                case DispatchVerdict.GiveUp giveUp -> {
-                    queue.giveUp(work, loop.now());
+            switch (dispatch.decide(work, decision, loop.now())) {
+                case DispatchDecision.Send send -> send(work, routed, send.decision());
+                case DispatchDecision.Refuse giveUp -> {
+                    queue.removeRefused(work, loop.now());
                     refuse(work.id());
                 }
-                case DispatchVerdict.Wait wait -> {
+                case DispatchDecision.Wait wait -> {
                     blocked = work.id();
                     askAgainAt = loop.now() + ASK_AGAIN_NANOSECONDS;
                     planRetry();
@@ -166,7 +166,7 @@
     }
 
     private void send(WaitingWork work, RoutingRequest routed, RoutingDecision decision) {
-        queue.take(work, loop.now());
+        queue.markDispatched(work, loop.now());
         BenchRequest request = waiting.remove(work.id());
         request.sentWith(decision.cachedTokens());
         routing.sent(routed, decision, loop.now());
@@ -209,7 +209,7 @@
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         EngineSpeed speed = fleet.parameters().speed();
         int batch = fleet.parameters().mostSequences();
-        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
+        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedFraction()));
         double decode = estimate.outputTokens() * speed.stepSeconds(batch);
         return new WaitingWork(
                 request.id(),
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionDecision.java
@@ -22,5 +22,5 @@
      * @param comeBackAfter when the backlog is expected to leave room for it
      * @param detail one sentence for the caller
      */
-    record Refused(RefusalReason reason, Duration comeBackAfter, String detail) implements AdmissionDecision {}
+    record Refused(RefusalReason reason, Duration retryAfter, String detail) implements AdmissionDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -19,83 +19,83 @@
  * not when its deadline comes: a caller that is told at once can still act.
  */
 public final class AdmissionQueue {
-    private static final double NANOSECONDS = 1e9;
-    private static final double LEAST_RATE = 0.01;
-    private static final double LEAST_SHARE_OF_ASSUMED_RATE = 0.5;
-    private static final Duration SHORTEST_COME_BACK = Duration.ofMillis(50);
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+    private static final double MIN_RATE = 0.01;
+    private static final double MIN_FRACTION_OF_INITIAL_RATE = 0.5;
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(50);
 
     private final AdmissionSettings settings;
     private final ServiceRate serviceRate;
-    private final Map<String, TeamShare> teams = new LinkedHashMap<>();
+    private final Map<String, TeamQueue> teams = new LinkedHashMap<>();
     private int size;
     private double virtualTime;
 
     public AdmissionQueue(AdmissionSettings settings) {
         this.settings = settings;
-        this.serviceRate = new ServiceRate(settings.initialEngines(), settings.rateMemorySeconds());
+        this.serviceRate = new ServiceRate(settings.initialRate(), settings.rateSmoothingSeconds());
     }
 
     /**
-     * Offers a request. Where it is queued or admitted, it is in the queue until {@link #take} or {@link #cancel}; call
-     * {@link #displaced} after each offer and refuse what it returns.
+     * Offers a request. Where it is queued or admitted, it is in the queue until {@link #markDispatched} or {@link #cancel}; call
+     * {@link #evict} after each offer and refuse what it returns.
      */
     public AdmissionDecision offer(WaitingWork work, long nowNanoseconds) {
         serviceRate.observe(size > 0, nowNanoseconds);
-        TeamShare team = teams.computeIfAbsent(work.team(), name -> new TeamShare());
+        TeamQueue team = teams.computeIfAbsent(work.team(), name -> new TeamQueue());
         double waitSeconds = waitSeconds(team, work);
         double slackSeconds = slackSeconds(work, nowNanoseconds);
         if (waitSeconds > slackSeconds) {
-            return tooLate(work, waitSeconds, slackSeconds);
+            return refuseLate(work, waitSeconds, slackSeconds);
         }
-        if (size >= settings.mostWaiting() && isFirstToShed(work)) {
-            return overloaded(waitSeconds);
+        if (size >= settings.maxWaiting() && isFirstToShed(work)) {
+            return refuseOverload(waitSeconds);
         }
         if (team.waiting().isEmpty()) {
-            team.advanceTo(virtualTime);
+            team.raiseVirtualTimeTo(virtualTime);
         }
         team.add(work);
         size++;
         serviceRate.observe(true, nowNanoseconds);
         return size == 1
                 ? new AdmissionDecision.Admitted()
-                : new AdmissionDecision.Queued(Duration.ofNanos((long) (waitSeconds * NANOSECONDS)));
+                : new AdmissionDecision.Queued(Duration.ofNanos((long) (waitSeconds * NANOSECONDS_PER_SECOND)));
     }
 
     /** Gives up waiting work that no longer fits: beyond the bound, or pushed past its deadline by heavier work. */
-    public List<Displaced> displaced(long nowNanoseconds) {
-        List<Displaced> displaced = new ArrayList<>();
-        while (size > settings.mostWaiting()) {
-            WaitingWork shed = firstToShed().orElseThrow();
-            remove(shed);
-            displaced.add(new Displaced(shed, overloaded(totalEngineSeconds() / rate())));
+    public List<EvictedWork> evict(long nowNanoseconds) {
+        List<EvictedWork> evicted = new ArrayList<>();
+        while (size > settings.maxWaiting()) {
+            WaitingWork evictedWork = firstToShed().orElseThrow();
+            remove(evictedWork);
+            evicted.add(new EvictedWork(evictedWork, refuseOverload(totalEngineSeconds() / rate())));
         }
-        for (TeamShare team : teams.values()) {
-            giveUpLate(team, nowNanoseconds, displaced);
+        for (TeamQueue team : teams.values()) {
+            evictLate(team, nowNanoseconds, evicted);
         }
         serviceRate.observe(size > 0, nowNanoseconds);
-        return displaced;
+        return evicted;
     }
 
     /** Returns the request that is next to be sent, without taking it. */
     public Optional<WaitingWork> next() {
-        return nextTeam().flatMap(TeamShare::first);
+        return nextTeam().flatMap(TeamQueue::first);
     }
 
     /** Takes a request out, because it is being sent now. */
-    public void take(WaitingWork work, long nowNanoseconds) {
+    public void markDispatched(WaitingWork work, long nowNanoseconds) {
         if (!remove(work)) {
             return;
         }
-        TeamShare team = teams.get(work.team());
+        TeamQueue team = teams.get(work.team());
         virtualTime = Math.max(virtualTime, team.virtualTime());
-        team.served(work.engineSeconds());
-        serviceRate.sent(work.engineSeconds());
+        team.addServed(work.engineSeconds());
+        serviceRate.recordDispatched(work.engineSeconds());
         serviceRate.observe(size > 0, nowNanoseconds);
     }
 
     /** Takes a request out because its caller has gone. */
     public boolean cancel(RequestId id) {
-        for (TeamShare team : teams.values()) {
+        for (TeamQueue team : teams.values()) {
             Optional<WaitingWork> found = team.find(work -> work.id().equals(id));
             if (found.isPresent()) {
                 return remove(found.get());
@@ -105,7 +105,7 @@
     }
 
     /** Takes a request out because it is being refused. */
-    public void giveUp(WaitingWork work, long nowNanoseconds) {
+    public void removeRefused(WaitingWork work, long nowNanoseconds) {
         remove(work);
         serviceRate.observe(size > 0, nowNanoseconds);
     }
@@ -120,29 +120,29 @@
      * role change the measured rate falls for seconds, and work would be refused that the engines serve a moment later.
      */
     public double rate() {
-        double least = Math.max(LEAST_RATE, LEAST_SHARE_OF_ASSUMED_RATE * settings.initialEngines());
-        return serviceRate.engineSecondsPerSecond(least);
+        double minRate = Math.max(MIN_RATE, MIN_FRACTION_OF_INITIAL_RATE * settings.initialRate());
+        return serviceRate.engineSecondsPerSecond(minRate);
     }
 
-    private void giveUpLate(TeamShare team, long now, List<Displaced> displaced) {
-        double before = 0;
-        double teamRate = teamRate(team);
+    private void evictLate(TeamQueue team, long now, List<EvictedWork> evicted) {
+        double engineSecondsBefore = 0;
+        double teamRate = ratePerTeam(team);
         List<WaitingWork> late = new ArrayList<>();
         for (WaitingWork work : team.waiting()) {
-            double wait = before / teamRate;
+            double wait = engineSecondsBefore / teamRate;
             double slack = slackSeconds(work, now);
             if (wait > slack) {
                 late.add(work);
-                displaced.add(new Displaced(work, tooLate(work, wait, slack)));
+                evicted.add(new EvictedWork(work, refuseLate(work, wait, slack)));
                 continue;
             }
-            before += work.engineSeconds();
+            engineSecondsBefore += work.engineSeconds();
         }
         late.forEach(this::remove);
     }
 
     private boolean remove(WaitingWork work) {
-        TeamShare team = teams.get(work.team());
+        TeamQueue team = teams.get(work.team());
         if (team == null || !team.remove(work)) {
             return false;
         }
@@ -150,54 +150,54 @@
         return true;
     }
 
-    private Optional<TeamShare> nextTeam() {
+    private Optional<TeamQueue> nextTeam() {
         return teams.values().stream()
                 .filter(team -> !team.waiting().isEmpty())
-                .min(Comparator.comparingDouble(TeamShare::virtualTime));
+                .min(Comparator.comparingDouble(TeamQueue::virtualTime));
     }
 
-    private double waitSeconds(TeamShare team, WaitingWork work) {
-        return team.engineSecondsBefore(work) / teamRate(team);
+    private double waitSeconds(TeamQueue team, WaitingWork work) {
+        return team.engineSecondsBefore(work) / ratePerTeam(team);
     }
 
     /** A team with a backlog is served at an equal share of the rate with the others that have one. */
-    private double teamRate(TeamShare team) {
-        long others = teams.values().stream()
+    private double ratePerTeam(TeamQueue team) {
+        long otherTeams = teams.values().stream()
                 .filter(other -> other != team && !other.waiting().isEmpty())
                 .count();
-        return rate() / (1 + others);
+        return rate() / (1 + otherTeams);
     }
 
     private static double slackSeconds(WaitingWork work, long now) {
-        return (work.deadlineNanoseconds() - now) / NANOSECONDS - work.serviceSeconds();
+        return (work.deadlineNanoseconds() - now) / NANOSECONDS_PER_SECOND - work.serviceSeconds();
     }
 
     private double totalEngineSeconds() {
         return teams.values().stream()
-                .mapToDouble(TeamShare::waitingEngineSeconds)
+                .mapToDouble(TeamQueue::waitingEngineSeconds)
                 .sum();
     }
 
     private Optional<WaitingWork> firstToShed() {
         return teams.values().stream()
-                .max(Comparator.comparingDouble(TeamShare::waitingEngineSeconds))
-                .flatMap(TeamShare::last);
+                .max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds))
+                .flatMap(TeamQueue::last);
     }
 
     private boolean isFirstToShed(WaitingWork work) {
-        TeamShare own = teams.get(work.team());
-        Optional<TeamShare> largest =
-                teams.values().stream().max(Comparator.comparingDouble(TeamShare::waitingEngineSeconds));
-        if (largest.isEmpty() || largest.get() != own) {
+        TeamQueue queue = teams.get(work.team());
+        Optional<TeamQueue> largest =
+                teams.values().stream().max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds));
+        if (largest.isEmpty() || largest.get() != queue) {
             return false;
         }
-        return own.last().map(last -> last.weight() >= work.weight()).orElse(false);
+        return queue.last().map(last -> last.weight() >= work.weight()).orElse(false);
     }
 
-    private AdmissionDecision.Refused tooLate(WaitingWork work, double waitSeconds, double slackSeconds) {
+    private AdmissionDecision.Refused refuseLate(WaitingWork work, double waitSeconds, double slackSeconds) {
         return new AdmissionDecision.Refused(
                 RefusalReason.CANNOT_FINISH_IN_TIME,
-                comeBackAfter(waitSeconds - Math.max(0, slackSeconds)),
+                retryAfter(waitSeconds - Math.max(0, slackSeconds)),
                 String.format(
                         Locale.ROOT,
                         "The request would wait %.2f s and then take %.2f s, which is more than its deadline leaves.",
@@ -205,15 +205,15 @@
                         work.serviceSeconds()));
     }
 
-    private AdmissionDecision.Refused overloaded(double waitSeconds) {
+    private AdmissionDecision.Refused refuseOverload(double waitSeconds) {
         return new AdmissionDecision.Refused(
                 RefusalReason.OVERLOADED,
-                comeBackAfter(waitSeconds),
-                settings.mostWaiting() + " requests wait already and this one would be the first to be shed.");
+                retryAfter(waitSeconds),
+                settings.maxWaiting() + " requests wait already and this one would be the first to be shed.");
     }
 
-    private static Duration comeBackAfter(double seconds) {
-        Duration calculated = Duration.ofNanos((long) (seconds * NANOSECONDS));
-        return calculated.compareTo(SHORTEST_COME_BACK) < 0 ? SHORTEST_COME_BACK : calculated;
+    private static Duration retryAfter(double seconds) {
+        Duration duration = Duration.ofNanos((long) (seconds * NANOSECONDS_PER_SECOND));
+        return duration.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : duration;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/Displaced.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/EvictedWork.java
@@ -6,4 +6,4 @@
  * @param work the work
  * @param refusal what its caller is told
  */
-public record Displaced(WaitingWork work, AdmissionDecision.Refused refusal) {}
+public record EvictedWork(WaitingWork work, AdmissionDecision.Refused refusal) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
@@ -5,7 +5,7 @@
  *
  * @param promptTokens the prompt
  * @param outputTokens the answer: the mean of what was seen
- * @param highOutputTokens an answer length that nine in ten stay below
- * @param cachedShare the share of prompts that caches cover
+ * @param p90OutputTokens an answer length that nine in ten stay below
+ * @param cachedFraction the share of prompts that caches cover
  */
-public record LengthEstimate(double promptTokens, double outputTokens, double highOutputTokens, double cachedShare) {}
+public record LengthEstimate(double promptTokens, double outputTokens, double p90OutputTokens, double cachedFraction) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
@@ -6,42 +6,42 @@
  * <p>Only times with a backlog count: an idle queue sends as little as arrives and would look slow.
  */
 final class ServiceRate {
-    private static final double NANOSECONDS = 1e9;
-    private static final double SHORTEST_SAMPLE_SECONDS = 0.25;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+    private static final double MIN_SAMPLE_SECONDS = 0.25;
 
-    private final double memorySeconds;
+    private final double smoothingSeconds;
     private double rate;
-    private double sentInSample;
+    private double dispatchedInSample;
     private double backloggedSeconds;
-    private long lastAt;
+    private long observedAt;
     private boolean backlogged;
 
-    ServiceRate(double initialRate, double memorySeconds) {
+    ServiceRate(double initialRate, double smoothingSeconds) {
         this.rate = initialRate;
-        this.memorySeconds = memorySeconds;
+        this.smoothingSeconds = smoothingSeconds;
     }
 
-    void sent(double engineSeconds) {
+    void recordDispatched(double engineSeconds) {
         if (backlogged) {
-            sentInSample += engineSeconds;
+            dispatchedInSample += engineSeconds;
         }
     }
 
     void observe(boolean backloggedNow, long now) {
         if (backlogged) {
-            backloggedSeconds += Math.max(0, now - lastAt) / NANOSECONDS;
+            backloggedSeconds += Math.max(0, now - observedAt) / NANOSECONDS_PER_SECOND;
         }
-        lastAt = now;
+        observedAt = now;
         backlogged = backloggedNow;
-        if (backloggedSeconds >= SHORTEST_SAMPLE_SECONDS) {
-            double share = 1 - Math.exp(-backloggedSeconds / memorySeconds);
-            rate += share * (sentInSample / backloggedSeconds - rate);
-            sentInSample = 0;
+        if (backloggedSeconds >= MIN_SAMPLE_SECONDS) {
+            double weight = 1 - Math.exp(-backloggedSeconds / smoothingSeconds);
+            rate += weight * (dispatchedInSample / backloggedSeconds - rate);
+            dispatchedInSample = 0;
             backloggedSeconds = 0;
         }
     }
 
-    double engineSecondsPerSecond(double least) {
-        return Math.max(least, rate);
+    double engineSecondsPerSecond(double minRate) {
+        return Math.max(minRate, rate);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamShare.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 
 /** One team's waiting work, the heaviest and then the most urgent first, and how much service the team has had. */
-final class TeamShare {
+final class TeamQueue {
     private static final Comparator<WaitingWork> ORDER = Comparator.comparingDouble(WaitingWork::weight)
             .reversed()
             .thenComparingLong(WaitingWork::deadlineNanoseconds)
@@ -54,11 +54,11 @@
         return before;
     }
 
-    Optional<WaitingWork> find(Predicate<WaitingWork> wanted) {
-        Iterator<WaitingWork> all = waiting.descendingIterator();
-        while (all.hasNext()) {
-            WaitingWork work = all.next();
-            if (wanted.test(work)) {
+    Optional<WaitingWork> find(Predicate<WaitingWork> condition) {
+        Iterator<WaitingWork> iterator = waiting.descendingIterator();
+        while (iterator.hasNext()) {
+            WaitingWork work = iterator.next();
+            if (condition.test(work)) {
                 return Optional.of(work);
             }
         }
@@ -77,11 +77,11 @@
         return virtualTime;
     }
 
-    void advanceTo(double least) {
-        virtualTime = Math.max(virtualTime, least);
+    void raiseVirtualTimeTo(double minVirtualTime) {
+        virtualTime = Math.max(virtualTime, minVirtualTime);
     }
 
-    void served(double engineSeconds) {
+    void addServed(double engineSeconds) {
         virtualTime += engineSeconds;
     }
 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
@@ -19,30 +19,30 @@
     private AdmissionQueue queue;
 
     @BeforeMethod
-    public void start() {
+    public void createQueue() {
         random = new SplittableRandom(3);
         queue = new AdmissionQueue(new AdmissionSettings(4, 1, 4));
     }
 
     @Test
-    public void should_admit_at_once_where_nothing_waits() {
+    public void should_admit_a_request_when_the_queue_is_empty() {
         assertTrue(queue.offer(work("team", 1, 10, 1), 0) instanceof AdmissionDecision.Admitted);
     }
 
     @Test
-    public void should_send_the_heavier_first_and_then_the_more_urgent() {
+    public void should_order_by_weight_and_then_deadline_when_several_requests_wait() {
         WaitingWork light = work("team", 1, 60, 1);
         WaitingWork heavy = work("team", 5, 60, 1);
         WaitingWork urgent = work("team", 5, 30, 1);
         List.of(light, heavy, urgent).forEach(work -> queue.offer(work, 0));
 
-        assertEquals(drain(), List.of(urgent, heavy, light));
+        assertEquals(dispatchAll(), List.of(urgent, heavy, light));
     }
 
     // Under overload a caller whose work cannot be done would otherwise hold its connection until the deadline, and
     // only then learn that it has to go elsewhere.
     @Test
-    public void should_refuse_at_once_what_cannot_finish_in_time() {
+    public void should_refuse_a_request_on_offer_when_it_cannot_finish_in_time() {
         queue.offer(work("team", 5, 60, 8), 0);
 
         AdmissionDecision decision = queue.offer(work("team", 1, 5, 1), 0);
@@ -50,46 +50,46 @@
         AdmissionDecision.Refused refused = (AdmissionDecision.Refused) decision;
         assertEquals(refused.reason(), RefusalReason.CANNOT_FINISH_IN_TIME);
         assertTrue(
-                refused.comeBackAfter().toMillis() >= 4_000,
-                refused.comeBackAfter().toString());
+                refused.retryAfter().toMillis() >= 4_000,
+                refused.retryAfter().toString());
         assertEquals(queue.size(), 1);
     }
 
     @Test
-    public void should_tell_a_later_time_to_come_back_where_the_backlog_is_longer() {
+    public void should_return_a_longer_retry_delay_when_the_backlog_is_longer() {
         queue.offer(work("team", 5, 60, 8), 0);
         AdmissionDecision.Refused early = (AdmissionDecision.Refused) queue.offer(work("team", 1, 5, 1), 0);
         queue.offer(work("team", 5, 60, 8), 0);
         AdmissionDecision.Refused late = (AdmissionDecision.Refused) queue.offer(work("team", 1, 5, 1), 0);
 
-        assertTrue(late.comeBackAfter().compareTo(early.comeBackAfter()) > 0);
+        assertTrue(late.retryAfter().compareTo(early.retryAfter()) > 0);
     }
 
     // Heavier work that arrives later passes lighter work that waits. The lighter may then miss its deadline; its
     // caller
     // must hear that now and not when the deadline has passed.
     @Test
-    public void should_give_up_waiting_work_that_heavier_work_has_pushed_past_its_deadline() {
+    public void should_evict_waiting_work_when_heavier_work_makes_it_miss_its_deadline() {
         queue.offer(work("team", 5, 60, 2), 0);
         WaitingWork light = work("team", 1, 6, 1);
         queue.offer(light, 0);
         queue.offer(work("team", 5, 60, 8), 0);
 
-        List<Displaced> displaced = queue.displaced(0);
+        List<EvictedWork> displaced = queue.evict(0);
 
-        assertEquals(displaced.stream().map(Displaced::work).toList(), List.of(light));
+        assertEquals(displaced.stream().map(EvictedWork::work).toList(), List.of(light));
         assertEquals(queue.size(), 2);
     }
 
     @Test
-    public void should_shed_the_lightest_where_the_queue_is_full() {
+    public void should_evict_the_lightest_request_when_the_queue_is_over_its_limit() {
         WaitingWork lightest = work("team", 1, 600, 1);
         queue.offer(lightest, 0);
         for (int number = 0; number < 4; number++) {
             queue.offer(work("team", 2, 600, 1), 0);
         }
 
-        List<Displaced> displaced = queue.displaced(0);
+        List<EvictedWork> displaced = queue.evict(0);
 
         assertEquals(displaced.getFirst().work(), lightest);
         assertEquals(displaced.getFirst().refusal().reason(), RefusalReason.OVERLOADED);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    public void should_refuse_work_that_would_be_shed_first() {
+    public void should_refuse_a_request_when_it_would_be_the_first_to_be_evicted() {
         for (int number = 0; number < 4; number++) {
             queue.offer(work("team", 2, 600, 1), 0);
         }
@@ -110,7 +110,7 @@
     // One team sends far more than its share. Without shares by team its requests would fill the queue, and the others
     // would be refused though they ask for little.
     @Test
-    public void should_share_fairly_between_a_flooding_team_and_another() {
+    public void should_serve_teams_equally_when_one_team_floods_the_queue() {
         queue.offer(work("flooding", 9, 600, 1), 0);
         queue.offer(work("flooding", 9, 600, 1), 0);
         queue.offer(work("flooding", 9, 600, 1), 0);
@@ -118,12 +118,12 @@
         WaitingWork other = work("other", 1, 600, 1);
 
         assertFalse(queue.offer(other, 0) instanceof AdmissionDecision.Refused);
-        assertEquals(queue.displaced(0).getFirst().work().team(), "flooding");
-        assertTrue(drain().subList(0, 2).contains(other));
+        assertEquals(queue.evict(0).getFirst().work().team(), "flooding");
+        assertTrue(dispatchAll().subList(0, 2).contains(other));
     }
 
     @Test
-    public void should_drop_cancelled_work() {
+    public void should_remove_a_request_when_it_is_cancelled() {
         WaitingWork work = work("team", 1, 600, 1);
         queue.offer(work, 0);
 
@@ -133,7 +133,7 @@
     }
 
     @Test
-    public void should_expect_longer_waits_where_the_measured_rate_falls() {
+    public void should_lower_the_service_rate_when_work_leaves_the_queue_slowly() {
         AdmissionQueue slow = new AdmissionQueue(new AdmissionSettings(100, 1, 4));
         for (int number = 0; number < 10; number++) {
             slow.offer(work("team", 2, 600, 1), 0);
@@ -141,17 +141,17 @@
         double before = slow.rate();
         for (int second = 1; second <= 9; second++) {
             slow.offer(work("team", 2, 600, 0.01), second * 4L * SECOND);
-            slow.take(slow.next().orElseThrow(), second * 4L * SECOND);
+            slow.markDispatched(slow.next().orElseThrow(), second * 4L * SECOND);
         }
 
         assertTrue(slow.rate() < before, slow.rate() + " is not below " + before);
     }
 
-    private List<WaitingWork> drain() {
+    private List<WaitingWork> dispatchAll() {
         List<WaitingWork> order = new ArrayList<>();
         while (queue.next().isPresent()) {
             WaitingWork work = queue.next().get();
-            queue.take(work, 0);
+            queue.markDispatched(work, 0);
             order.add(work);
         }
         return order;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -11,8 +11,8 @@
 import org.aspenmoor.internal.admission.AdmissionDecision;
 import org.aspenmoor.internal.admission.AdmissionQueue;
 import org.aspenmoor.internal.admission.DispatchPolicy;
-import org.aspenmoor.internal.admission.DispatchVerdict;
-import org.aspenmoor.internal.admission.Displaced;
+import org.aspenmoor.internal.admission.DispatchDecision;
+import org.aspenmoor.internal.admission.EvictedWork;
 import org.aspenmoor.internal.admission.LengthEstimate;
 import org.aspenmoor.internal.admission.LengthEstimator;
 import org.aspenmoor.internal.admission.WaitingWork;
@@ -24,7 +24,7 @@
     private static final int USUAL_BATCH = 16;
 
     private final AdmissionQueue queue;
-    private final DispatchPolicy policy = DispatchPolicy.usual();
+    private final DispatchPolicy policy = DispatchPolicy.defaults();
     private final LengthEstimator lengths = new LengthEstimator();
     private final EngineRouter router;
     private final EngineSpeed speed;
@@ -53,7 +53,7 @@
             waiting.remove(request.id());
             refusals.add(new Refusal(request, outcome(refused)));
         }
-        for (Displaced displaced : queue.displaced(now)) {
+        for (EvictedWork displaced : queue.evict(now)) {
             Waiting loser = waiting.remove(displaced.work().id());
             if (loser != null) {
                 refusals.add(new Refusal(loser.request(), outcome(displaced.refusal())));
@@ -71,11 +71,11 @@
         WaitingWork work = next.get();
         ActiveRequest request = waiting.get(work.id()).request();
         Optional<RoutingDecision> decision = router.decide(request, estimate(request), open, now);
-        return switch (policy.judge(work, decision, now)) {
-            case DispatchVerdict.Send send -> new QueueStep.Send(request, send.decision());
-            case DispatchVerdict.Wait ignored -> new QueueStep.Rest();
-            case DispatchVerdict.GiveUp giveUp -> {
-                queue.giveUp(work, now);
+        return switch (policy.decide(work, decision, now)) {
+            case DispatchDecision.Send send -> new QueueStep.Send(request, send.decision());
+            case DispatchDecision.Wait ignored -> new QueueStep.Rest();
+            case DispatchDecision.Refuse giveUp -> {
+                queue.removeRefused(work, now);
                 waiting.remove(work.id());
                 yield new QueueStep.Refuse(new Refusal(request, outcome(giveUp.refusal())));
             }
@@ -84,7 +84,7 @@
 
     /** Takes a request out because it is being sent as decided. */
     void sent(ActiveRequest request, RoutingDecision decision, long now) {
-        queue.take(waiting.remove(request.id()).work(), now);
+        queue.markDispatched(waiting.remove(request.id()).work(), now);
         router.sent(request, estimate(request), decision, now);
     }
 
@@ -97,7 +97,7 @@
 
     /** Learns the length of a whole answer. */
     void answered(ActiveRequest request, int promptTokens, int outputTokens) {
-        lengths.seen(request.kind().name(), promptTokens, 0, outputTokens);
+        lengths.observe(request.kind().name(), promptTokens, 0, outputTokens);
     }
 
     /** Decides where a request goes on that has had an attempt before; it does not wait behind others. */
@@ -111,7 +111,7 @@
 
     private WaitingWork workOf(ActiveRequest request) {
         LengthEstimate estimate = estimate(request);
-        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
+        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedFraction()));
         double decode = estimate.outputTokens() * speed.stepSeconds(USUAL_BATCH);
         return new WaitingWork(
                 request.id(),
@@ -124,7 +124,7 @@
     }
 
     private static Outcome.NotRun outcome(AdmissionDecision.Refused refused) {
-        return new Outcome.NotRun(refused.reason(), refused.comeBackAfter(), refused.detail());
+        return new Outcome.NotRun(refused.reason(), refused.retryAfter(), refused.detail());
     }
 
     /** A request that waits, as it stands in the queue. */
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
@@ -59,9 +59,9 @@
         long engines = document.backends().stream()
                 .filter(backend -> backend instanceof BackendDeclaration.EngineDeclaration)
                 .count();
-        AdmissionSettings usual = AdmissionSettings.usual((double) Math.max(1, engines));
+        AdmissionSettings usual = AdmissionSettings.defaults((double) Math.max(1, engines));
         AdmissionSettings settings =
-                new AdmissionSettings(mostWaiting, usual.initialEngines(), usual.rateMemorySeconds());
+                new AdmissionSettings(mostWaiting, usual.initialRate(), usual.rateSmoothingSeconds());
         EngineRouter router = new EngineRouter(new Router(routerSettings, random), routerSettings.dataCentre());
         return new ServiceQueue(new AdmissionQueue(settings), router, speed);
     }
