--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/BlockHolders.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/BlockHolders.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The few engines last known to hold one cache piece, each with the generation of that belief. */
+/** The engines last known to hold one cache block, each with the generation of its {@link CacheEventSequence}. */
 final class BlockHolders {
     private static final int MAX_HOLDERS = 4;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEvent.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEvent.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** What an engine says about its prefix cache. */
+/** A change of the prefix cache that an engine reports. */
 public sealed interface CacheEvent {
     /**
-     * Pieces were stored.
+     * Blocks were stored.
      *
-     * @param hashes their chain hashes
+     * @param hashes the chain hashes of the blocks
      */
     record Stored(List<Long> hashes) implements CacheEvent {
         public Stored {
@@ -16,9 +16,9 @@
     }
 
     /**
-     * Pieces were dropped.
+     * Blocks were removed.
      *
-     * @param hashes their chain hashes
+     * @param hashes the chain hashes of the blocks
      */
     record Removed(List<Long> hashes) implements CacheEvent {
         public Removed {
@@ -26,6 +26,6 @@
         }
     }
 
-    /** The whole cache was dropped. */
+    /** All blocks were removed. */
     record Cleared() implements CacheEvent {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEventSequence.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEventSequence.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.routing;
 
-/** How far one engine's cache events were followed, and how much of what was noted may still be believed. */
+/** Tracks the sequence of cache events of one engine and which index entries are still trusted after gaps. */
 final class CacheEventSequence {
     private long lastSequence = -1;
     private long generation;
@@ -10,7 +10,7 @@
         return lastSequence >= 0 && sequence <= lastSequence;
     }
 
-    /** Moves on; answers whether events are missing in between, after which older entries are aged. */
+    /** Advances to an event; returns whether events before it were missed, in which case older entries are aged. */
     boolean advanceTo(long sequence) {
         boolean gap = lastSequence >= 0 && sequence > lastSequence + 1;
         lastSequence = sequence;
@@ -21,6 +21,7 @@
         return gap;
     }
 
+        /** Invalidates all entries of the engine. */
     void invalidateAll() {
         generation++;
         oldestTrustedGeneration = generation;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CandidateFilter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CandidateFilter.java
@@ -1,8 +1,8 @@
 package org.aspenmoor.internal.routing;
 
-/** Says whether an engine may be given the request at all: its link is up, it has credit, it was not tried before. */
+/** Decides whether a request may be sent to an engine, for example by its connection, credit and earlier attempts. */
 @FunctionalInterface
 public interface CandidateFilter {
-    /** Says whether the engine may be chosen. */
+    /** Returns whether the engine with this name may be chosen. */
     boolean accepts(String engine);
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/DisaggregationPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/DisaggregationPolicy.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/** Decides between one engine for the whole request and two stages, by the earlier expected finish. */
+/**
+ * Decides whether one engine serves both prefill and decode or the stages are disaggregated, by the lower score: the
+ * expected finish plus the delay caused to running requests.
+ */
 final class DisaggregationPolicy {
     private DisaggregationPolicy() {}
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EnginePool.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EnginePool.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Engines that are alike for a decision; adding, removing and drawing one take constant time. */
+/** Engines with the same role and the same loaded model or adapter; all operations take constant time. */
 final class EnginePool {
     private final List<EngineView> engines = new ArrayList<>();
     private final Map<EngineView, Integer> positions = new HashMap<>();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.aspenmoor.internal.json.FieldReader;
 
-/** Reads the speed of engines from settings. */
+/** Reads the assumed speed of engines from settings. */
 public final class EngineSpeedReader {
     private static final double MAX_TOKENS_PER_SECOND = 1e8;
     private static final double MAX_SLOWDOWN = 10;
@@ -11,7 +11,7 @@
 
     private EngineSpeedReader() {}
 
-    /** Reads the field {@code engineSpeed}; what is not given is as usual. */
+    /** Reads the field {@code engineSpeed}; missing values are taken from {@link EngineSpeed#defaults}. */
     public static EngineSpeed read(FieldReader reader) {
         EngineSpeed defaults = EngineSpeed.defaults();
         Optional<FieldReader> speed = reader.object("engineSpeed");
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
@@ -6,14 +6,14 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/**
- * What a router believes about one engine: its last report, aged, plus the router's own sends since, plus what others
- * probably sent since.
+/* * The state of one engine as known to a router: the last report, extrapolated to the present with the changes made by
+ * this router and the estimated requests of other entries since then.
  *
- * <p>Reports arrive late. Without the own sends a router would pile requests on an engine until the next report shows
- * them; without the others' sends every entry would believe that it alone fills the queue that drains. One would notice
- * either as a first-token latency that oscillates with the report interval. What others send is learnt from how far
- * each report differs from what the report before and the own sends had predicted.
+ * <p>Reports arrive late. Without the local changes, a router would send requests to one engine until the next report
+ * includes them. Without the requests of other entries, each entry would assume that the queue of the engine holds only
+ * its own requests. Either error makes the time to first token oscillate with the report interval. The rate of the other
+ * entries is estimated from the difference between each report and the load predicted from the previous report and the
+ * local changes.
  */
 final class EngineView {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -42,7 +42,11 @@
         this.speed = speed;
     }
 
-    /** Takes a report; an older one than the last is dropped and answered with {@code false}. */
+    /**
+     * Applies a report that was measured at {@code measuredAt}, in nanoseconds.
+     *
+     * @return {@code false} if the report is older than the last one and was ignored
+     */
     boolean applyReport(EngineLoad newLoad, EngineRole newRole, boolean newReady, Set<String> newLoaded, long measuredAt) {
         if (newLoad.sequence() < load.sequence() && measuredAt <= reportMeasuredAt) {
             return false;
@@ -70,6 +74,7 @@
         apply(change);
     }
 
+    /** Returns the estimated prompt tokens that wait for prefill at {@code now}. */
     double backlogTokens(long now) {
         double elapsed = Math.max(0, now - backlogAt) / NANOSECONDS_PER_SECOND;
         double drainedTokens = elapsed * prefillTokensPerSecond();
@@ -77,12 +82,13 @@
         return Math.max(0, backlogTokens - drainedTokens + peerTokens);
     }
 
+    /** Returns the estimated number of sequences in the batch at {@code now}. */
     double sequences(long now) {
         double elapsed = Math.min(MAX_EXTRAPOLATION_SECONDS, reportAgeSeconds(now));
         return Math.max(0, sequences + elapsed * peerSequencesPerSecond);
     }
 
-    /** Returns the prompt tokens the engine computes a second with the batch it has. */
+    /** Returns the prefill rate of the engine with its present batch. */
     double prefillTokensPerSecond() {
         return role == EngineRole.PREFILL
                 ? speed.prefillTokensPerSecond()
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/LocalLoadChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/LocalLoadChange.java
@@ -1,10 +1,9 @@
 package org.aspenmoor.internal.routing;
 
-/**
- * A change of an engine's load that this router made and a report may not show yet.
+/* * A change of the load of an engine that this router caused and that the last report may not include yet.
  *
- * @param atNanoseconds when
- * @param prefillTokens prompt tokens added to its queue
- * @param sequences sequences added to its batch; negative where one ended
+ * @param atNanoseconds the time of the change
+ * @param prefillTokens prompt tokens added to the prefill queue
+ * @param sequences sequences added to the batch; negative if a sequence ended
  */
 record LocalLoadChange(long atNanoseconds, double prefillTokens, int sequences) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/MaxRecentWeight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/MaxRecentWeight.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.routing;
 
-/** Remembers the greatest weight among recent requests. */
+/** Tracks the greatest weight of the requests of the last minute. */
 final class MaxRecentWeight {
     private static final long RETENTION_NANOSECONDS = 60_000_000_000L;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/OutstandingRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/OutstandingRequest.java
@@ -1,8 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/**
- * A request that is out.
+/* * A request that was sent and has not ended.
  *
- * @param engine the engine that generates its answer
+ * @param engine the name of the engine that runs decode
  */
 record OutstandingRequest(String engine) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PoolKey.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PoolKey.java
@@ -2,10 +2,9 @@
 
 import org.aspenmoor.internal.engine.EngineRole;
 
-/**
- * What the engines of one pool have in common.
+/* * The common properties of the engines in one {@link EnginePool}.
  *
  * @param loaded the model or adapter in memory
- * @param role their role
+ * @param role the role of the engines
  */
 record PoolKey(String loaded, EngineRole role) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
@@ -2,10 +2,9 @@
 
 import java.util.Arrays;
 
-/**
- * The start of a prompt that other prompts may share, as hashes of its cache pieces.
+/* * The prefix of a prompt that other prompts may share, as hashes of its cache blocks.
  *
- * <p>Each hash covers its piece and all pieces before it, so that equal hashes mean equal starts.
+ * <p>Each hash covers its block and all blocks before it, so equal hashes mean equal prefixes.
  */
 public final class PrefixChain {
     private static final PrefixChain NONE = new PrefixChain(new long[0], 0);
@@ -18,27 +17,27 @@
         this.tokens = tokens;
     }
 
-    /** Returns a chain of the given piece hashes that together cover so many tokens. */
+    /** Returns the chain of the given block hashes, which together cover {@code tokens} tokens. */
     public static PrefixChain of(int tokens, long... hashes) {
         return new PrefixChain(hashes.clone(), tokens);
     }
 
-    /** Returns the chain of a prompt that shares nothing. */
+    /** Returns the chain of a prompt without a shared prefix. */
     public static PrefixChain none() {
         return NONE;
     }
 
-    /** Returns how many pieces the chain has. */
+    /** Returns the number of blocks. */
     public int length() {
         return hashes.length;
     }
 
-    /** Returns the hash of one piece. */
+    /** Returns the hash of the block with this index. */
     public long hash(int block) {
         return hashes[block];
     }
 
-    /** Returns how many tokens the first pieces cover. */
+    /** Returns how many tokens the first {@code blocks} blocks cover, for blocks of {@code blockTokens} tokens. */
     public int tokensCovered(int blocks, int blockTokens) {
         return blocks >= hashes.length ? tokens : Math.min(tokens, blocks * blockTokens);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
@@ -5,13 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Remembers which engines probably hold which cache pieces: a hint, bounded, never an authority.
+/* * A bounded index of the cache blocks that engines probably hold. Its entries are hints and may be wrong.
  *
- * <p>Cache events arrive late and with gaps. After a gap the engine may have dropped pieces unnoticed, and requests
- * routed by the old entries would compute their whole prompt on a busy engine; one would notice a falling hit rate on one
- * engine. So a gap ages every entry of the engine at once: aged entries count for half, and only a new event, a
- * snapshot or an own send renews them. A second gap forgets them.
+ * <p>Cache events arrive late and some get lost. A lost event may have removed blocks, and a request routed by an outdated
+ * entry needs a complete prefill on a busy engine, which shows as a falling cache hit rate of that engine. Therefore a gap
+ * in the event sequence ages all entries of the engine: aged entries count half, and only a new event, a snapshot or a
+ * request sent to the engine renews them. A second gap invalidates them.
  */
 final class PrefixIndex {
     private final int maxBlocks;
@@ -25,7 +24,7 @@
         this.maxBlocks = maxBlocks;
     }
 
-    /** Applies an event; answers whether a gap showed before it, so that a snapshot is worth asking for. */
+    /** Applies an event; returns whether events before it were missed, in which case a snapshot should be requested. */
     boolean apply(String engine, long sequence, CacheEvent event) {
         CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
         if (state.isStale(sequence)) {
@@ -40,7 +39,7 @@
         return gap;
     }
 
-    /** Notes that a request with this prefix was sent to the engine, which will then hold it. */
+    /** Records that a request with this prefix was sent to the engine, which will cache the prefix. */
     void recordSent(String engine, PrefixChain prefix) {
         CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
         for (int block = 0; block < prefix.length(); block++) {
@@ -52,7 +51,7 @@
         states.remove(engine);
     }
 
-    /** Returns the engines that may hold the longest known part of the prefix. */
+    /** Returns the engines that may hold the last block of the prefix for which any holder is known. */
     List<String> holders(PrefixChain prefix) {
         for (int block = prefix.length() - 1; block >= 0; block--) {
             BlockHolders holders = holdersByBlock.get(prefix.hash(block));
@@ -63,7 +62,7 @@
         return List.of();
     }
 
-    /** Returns how many tokens of the prefix the engine is believed to hold; aged belief counts for half. */
+    /** Returns the estimated number of tokens of the prefix in the cache of the engine; aged entries count half. */
     int cachedTokens(String engine, PrefixChain prefix, int blockTokens) {
         if (!mayHoldFirstBlock(engine, prefix)) {
             return 0;
@@ -87,7 +86,7 @@
         return aged ? tokens / 2 : tokens;
     }
 
-    /** Most candidates hold nothing of a prefix; one look at its first piece, kept between candidates, tells. */
+    /** Rejects most candidates by the first block, whose holders are cached while the prefix stays the same. */
     private boolean mayHoldFirstBlock(String engine, PrefixChain prefix) {
         if (prefix.length() == 0) {
             return false;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
@@ -13,12 +13,11 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/**
- * Chooses where a request runs. Confined to one thread.
+/* * Chooses the engine or the pair of engines that serves a request. Not thread-safe; confined to one thread.
  *
- * <p>A decision compares a few random engines and those believed to hold the prompt's prefix. Comparing all engines
- * would make every entry that has the same late report choose the same engine; one would notice it as bursts on one
- * engine after each report. The sample also keeps the cost of a decision independent of the size of the fleet.
+ * <p>A decision compares a random sample of engines and the engines that probably cache the prefix of the prompt. If all
+ * engines were compared, all entries with the same outdated report would choose the same engine, which would receive a
+ * burst after each report. The sample also makes the cost of a decision independent of the fleet size.
  */
 public final class Router {
     private static final int DRAWS_PER_CANDIDATE = 4;
@@ -32,7 +31,8 @@
     private final Map<PoolKey, EnginePool> pools = new HashMap<>();
     private final Map<RequestId, OutstandingRequest> outstanding = new HashMap<>();
 
-    // Candidates of the decision being made; kept, since a list for each decision was most of what one allocated.
+    // Candidates of the current decision. The lists are reused because a new list for each decision was the largest
+    // part of the memory that a decision allocated.
     private final List<EngineView> combinedEngines = new ArrayList<>();
     private final List<EngineView> prefillEngines = new ArrayList<>();
     private final List<EngineView> decodeEngines = new ArrayList<>();
@@ -44,12 +44,12 @@
         this.estimator = new StageEstimator(settings, prefixes, maxRecentWeight);
     }
 
-    /** Learns of an engine; it is chosen once it has reported that it is ready. */
+    /** Adds an engine. It can be chosen once it has reported that it is ready. */
     public void addEngine(String engineName, String dataCentre) {
         engines.computeIfAbsent(engineName, name -> new EngineView(name, dataCentre, settings.speed()));
     }
 
-    /** Forgets an engine. */
+    /** Removes an engine. */
     public void removeEngine(String engineName) {
         EngineView engine = engines.remove(engineName);
         if (engine != null) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Takes an engine's report, which was taken {@code age} ago. */
+    /** Applies the load report of an engine, measured {@code age} ago; ignored if the engine is not known. */
     public void applyReport(
             String engineName,
             EngineLoad load,
@@ -83,14 +83,13 @@
         addToPools(engine);
     }
 
-    /** Takes a cache event; answers whether events before it were missed, so that a snapshot is worth asking for. */
+    /** Applies a cache event; returns whether events before it were missed and a snapshot should be requested. */
     public boolean applyCacheEvent(String engineName, long sequence, CacheEvent event) {
         return engines.containsKey(engineName) && prefixes.apply(engineName, sequence, event);
     }
 
-    /**
-     * Chooses the engine, or the pair of engines, with the earliest expected finish among those accepted. An engine for
-     * whole requests may also take one stage of a pair.
+    /*     * Chooses the accepted engine, or pair of engines, with the lowest score, which is the expected finish plus the delay
+     * caused to running requests. An engine that serves both prefill and decode may also take one stage of a pair.
      */
     public Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long nowNanoseconds) {
         maxRecentWeight.observe(request.weight(), nowNanoseconds);
@@ -123,7 +122,7 @@
         return best == null || other.score() < best.score() ? other : best;
     }
 
-    /** Notes that the request was sent as decided. */
+    /** Records that the request was sent as decided. */
     public void recordSent(RoutingRequest request, RoutingDecision decision, long nowNanoseconds) {
         int uncachedTokens = request.promptTokens() - decision.cachedTokens();
         EngineView prefillEngine = engines.get(decision.engineForPrefill());
@@ -139,7 +138,7 @@
         outstanding.put(request.id(), new OutstandingRequest(decision.engine()));
     }
 
-    /** Notes that the request has ended in whatever way. */
+    /** Records that the request has ended, with any outcome. */
     public void recordEnded(RequestId id, long nowNanoseconds) {
         OutstandingRequest request = outstanding.remove(id);
         if (request == null) {
@@ -151,7 +150,7 @@
         }
     }
 
-    /** Returns how many requests are out. */
+    /** Returns the number of requests that were sent and have not ended. */
     public int outstandingRequests() {
         return outstanding.size();
     }
@@ -190,7 +189,7 @@
         }
     }
 
-    /** Where every draw was refused, looks for the one engine that is not, from a random place on. */
+    /** Adds the first engine that the filter accepts, starting at a random position. */
     private void addFirstAccepted(EnginePool pool, CandidateFilter filter, List<EngineView> candidates) {
         if (pool.size() == 0) {
             return;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RouterSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RouterSettings.java
@@ -1,15 +1,14 @@
 package org.aspenmoor.internal.routing;
 
-/**
- * What a router is tuned by.
+/* * Settings of a {@link Router}.
  *
- * @param speed how fast engines are assumed to work
+ * @param speed the assumed speed of engines
  * @param dataCentre the data centre the router runs in
- * @param remoteLatencySeconds what reaching an engine in another data centre adds
- * @param sampledCandidates how many random candidates are compared for each stage of a decision
- * @param adapterLoadSeconds what an engine without the adapter in memory adds
- * @param maxIndexedBlocks how many cache pieces the prefix index remembers
- * @param blockTokens how many tokens of a prompt one cache piece covers
+ * @param remoteLatencySeconds added latency of an engine in another data centre
+ * @param sampledCandidates how many random engines are compared for each role in a decision
+ * @param adapterLoadSeconds added latency of an engine that first has to load the adapter
+ * @param maxIndexedBlocks capacity of the prefix index in cache blocks
+ * @param blockTokens prompt tokens that one cache block covers
  */
 public record RouterSettings(
         EngineSpeed speed,
@@ -25,7 +24,7 @@
     private static final int DEFAULT_INDEXED_BLOCKS = 65_536;
     private static final int DEFAULT_BLOCK_TOKENS = 2_000;
 
-    /** Returns the settings that the policy bench was tuned with. */
+    /** Returns the default settings of a router in a data centre. */
     public static RouterSettings defaults(String dataCentre) {
         return new RouterSettings(
                 EngineSpeed.defaults(),
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
@@ -4,18 +4,17 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/**
- * Where a request goes.
+/* * The engines chosen for a request, with the expected durations.
  *
- * @param engine the engine that generates the answer
- * @param prefillEngine the engine that computes the prompt first and hands its cache to {@code engine}; empty where
- *     one engine does both
- * @param cachedTokens prompt tokens that the engine computing the prompt is believed to hold already
- * @param queueSeconds how long the request is expected to wait at engines before it is worked on
+ * @param engine the name of the engine that runs decode
+ * @param prefillEngine the name of the engine that runs prefill and hands its cache off to {@code engine}; empty if one engine
+ *     runs both stages
+ * @param cachedTokens estimated prompt tokens in the cache of the engine that runs prefill
+ * @param queueSeconds expected total wait in the queues of the engines
  * @param firstTokenSeconds expected seconds from now to the first token
  * @param finishSeconds expected seconds from now to the end of the answer
- * @param alternativeFinishSeconds what the finish would be the other way, one engine instead of two or two instead of one; empty
- *     where the other way was not open
+ * @param alternativeFinishSeconds expected seconds from now to the end of the answer with the alternative: one engine
+ *     instead of two, or two instead of one; empty if the alternative was not available
  */
 public record RoutingDecision(
         String engine,
@@ -25,19 +24,19 @@
         double firstTokenSeconds,
         double finishSeconds,
         OptionalDouble alternativeFinishSeconds) {
-    /** Returns the engine that computes the prompt. */
+    /** Returns the name of the engine that runs prefill. */
     public String engineForPrefill() {
         return prefillEngine.orElse(engine);
     }
 
-    /** Returns one sentence for an operator. */
+    /** Returns a description of the decision for operators. */
     public String reason() {
         String route = prefillEngine
-                .map(prefill -> "prompt on " + prefill + ", answer on " + engine)
-                .orElse("all on " + engine);
+                .map(prefill -> "prefill on " + prefill + ", decode on " + engine)
+                .orElse("prefill and decode on " + engine);
         String alternative = alternativeFinishSeconds.isPresent()
-                ? String.format(Locale.ROOT, "the other way would take %.3f s", alternativeFinishSeconds.getAsDouble())
-                : "the other way is not open";
+                ? String.format(Locale.ROOT, "the alternative would finish in %.3f s", alternativeFinishSeconds.getAsDouble())
+                : "no alternative is available";
         return String.format(
                 Locale.ROOT,
                 "%s: first token in %.3f s, finish in %.3f s, %d prompt tokens cached; %s",
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingRequest.java
@@ -3,18 +3,17 @@
 import java.util.Optional;
 import org.aspenmoor.RequestId;
 
-/**
- * What the router needs to know of a request.
+/* * The properties of a request that routing depends on.
  *
  * @param id the request
- * @param model the model and version as engines name them, {@code MODEL@VERSION}
- * @param adapter the adapter as engines name it, {@code MODEL:ADAPTER@VERSION}
- * @param promptTokens the length of the prompt
- * @param prefix the part of the prompt that other prompts may share
- * @param expectedOutputTokens the expected length of the answer
- * @param weight how much the request counts once completed
- * @param deadlineNanoseconds when the whole answer stops being useful, on the monotonic clock
- * @param dataCentre where the caller's entry stands
+ * @param model the model and version, in the form {@code MODEL@VERSION} that engines use
+ * @param adapter the adapter, in the form {@code MODEL:ADAPTER@VERSION} that engines use; empty if none is needed
+ * @param promptTokens length of the prompt
+ * @param prefix the prefix of the prompt that other prompts may share
+ * @param expectedOutputTokens expected length of the answer
+ * @param weight value of the completed request; requests with a greater weight go first
+ * @param deadlineNanoseconds the time by which the answer must be complete, on the monotonic clock
+ * @param dataCentre the data centre of the entry that received the request
  */
 public record RoutingRequest(
         RequestId id,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
@@ -1,14 +1,14 @@
 package org.aspenmoor.internal.routing;
 
-/**
- * What one engine is expected to make of a request, or of one stage of it.
+/* * The expected durations of a request, or of one stage of it, on one engine.
  *
  * @param engine the engine
- * @param waitSeconds waiting before it is worked on
- * @param prefillFinishSeconds until the prompt is computed, waiting included
- * @param answerSeconds from then until the last token
- * @param cachedTokens prompt tokens that need no computing
- * @param interferenceSeconds what the work costs the answers that the engine generates already
+ * @param waitSeconds expected wait before the engine starts
+ * @param prefillFinishSeconds seconds until the end of prefill, including the wait; 0 for decode only
+ * @param answerSeconds seconds from the end of prefill until the last token, including the handoff and the wait for decode
+ *     if decode runs on another engine; 0 for prefill only
+ * @param cachedTokens prompt tokens in the cache, which need no prefill
+ * @param interferenceSeconds weighted delay that the prefill causes to the sequences already running on the engine
  */
 record StageEstimate(
         EngineView engine,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** Estimates how long an engine will take over a request, from what the router believes about it. */
+/** Estimates the duration of requests on an engine from its {@link EngineView}. */
 final class StageEstimator {
     private static final double INTERFERENCE_WEIGHT = 0.05;
     private static final double RESERVED_SLOT_FRACTION = 0.1;
@@ -19,7 +19,7 @@
         this.maxRecentWeight = maxRecentWeight;
     }
 
-    /** Both stages on one engine. */
+    /** Returns the estimate for prefill and decode on one engine. */
     StageEstimate combined(EngineView engine, RoutingRequest request, long now) {
         StageEstimate prefill = prefill(engine, request, now);
         double slotWait = slotWaitSeconds(engine, request, now);
@@ -33,7 +33,7 @@
                 prefill.interferenceSeconds());
     }
 
-    /** Only computing the prompt. */
+    /** Returns the estimate for prefill only. */
     StageEstimate prefill(EngineView engine, RoutingRequest request, long now) {
         int cached = cachedTokens(engine, request);
         double rate = engine.prefillTokensPerSecond();
@@ -43,14 +43,17 @@
                 engine, wait, wait + computeSeconds, 0, cached, interferenceSeconds(engine, request.promptTokens() - cached, now));
     }
 
-    /** Only generating the answer, after the cache was handed over. */
+    /** Returns the estimate for decode only, after the handoff of the cache. */
     StageEstimate decode(EngineView engine, RoutingRequest request, long now) {
         double wait = overheadSeconds(engine, request) + slotWaitSeconds(engine, request, now);
         double handoff = speed.handoffSeconds(request.promptTokens());
         return new StageEstimate(engine, wait, 0, wait + handoff + answerSeconds(engine, request, now), 0, 0);
     }
 
-    /** A chunk of the prompt delays every running answer; an answer has some slack, so only a part of that counts. */
+    /**
+     * Returns the weighted delay of the running sequences: each prefill chunk delays all of them, but their deadlines
+     * leave slack, so only a part of the delay counts.
+     */
     private double interferenceSeconds(EngineView engine, double tokens, long now) {
         if (engine.role() == EngineRole.PREFILL) {
             return 0;
@@ -63,7 +66,7 @@
         return Math.min(cached, request.promptTokens());
     }
 
-    /** Decode steps at the batch the engine has; those that fall together with a prompt chunk take longer. */
+    /** Returns the duration of decode with the present batch; steps that run together with a prefill chunk take longer. */
     private double answerSeconds(EngineView engine, RoutingRequest request, long now) {
         double sequences =
                 Math.min(engine.sequences(now) + 1, Math.max(1, engine.load().mostSequences()));
@@ -76,11 +79,10 @@
         return steps + Math.min(queuedChunks, request.expectedOutputTokens()) * chunkSeconds;
     }
 
-    /**
-     * The wait for a place in the batch: places free up evenly while the batch generates.
+    /*     * Returns the expected wait for a slot in the batch, assuming that slots become free at an even rate.
      *
-     * <p>The last places of a batch are left to the heaviest work: an engine whose batch is full of long light answers
-     * would keep a heavy request waiting for seconds, though it goes first.
+     * <p>The last slots of a batch are reserved for requests with the greatest recent weight. Otherwise such a request
+     * would wait for seconds at an engine whose batch is full of long answers of lower weight, although it goes first.
      */
     private double slotWaitSeconds(EngineView engine, RoutingRequest request, long now) {
         int maxSequences = Math.max(1, engine.load().mostSequences());
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/PrefixIndexTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/PrefixIndexTest.java
@@ -40,8 +40,8 @@
         assertEquals(index.cachedTokens("a", TWO_BLOCKS, BLOCK_TOKENS), 0);
     }
 
-    // Cache events get lost on their way. The engine may have dropped the pieces in a lost event, so that requests
-    // routed to it for its cache compute their whole prompt there.
+    // A lost cache event may have reported the removal of blocks. Requests routed by the outdated entries would then
+    // need a complete prefill.
     @Test
     public void should_halve_cached_tokens_when_one_gap_occurred_and_ignore_them_when_two_did() {
         index.apply("a", 1, new CacheEvent.Stored(List.of(1L, 2L)));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
@@ -57,8 +57,8 @@
         assertEquals(decision.orElseThrow().engine(), "engine-137");
     }
 
-    // Load reports arrive seconds late. A router that only believed them would send every request of a burst to the
-    // engine that looked idle in the last report, and its users would wait while other engines stand idle.
+    // Load reports arrive seconds late. A router that relied on reports alone would send all requests of a burst to the
+    // engine that was idle in the last report, and callers would wait while other engines are idle.
     @Test
     public void should_count_its_own_requests_when_no_report_includes_them_yet() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
@@ -77,8 +77,8 @@
         assertTrue(Math.abs(sent.get("a") - sent.get("b")) <= 4, sent.toString());
     }
 
-    // Many entries hold the same old report in which one engine looks idle. If each chose the best engine of all, they
-    // would all choose that one, and its queue would grow by the work of the whole fleet within one report interval.
+    // Many entries have the same outdated report, in which one engine is idle. If each compared all engines, all entries
+    // would choose that engine, and its queue would receive the work of the fleet within one report interval.
     @Test
     public void should_spread_requests_when_many_entries_have_the_same_report() {
         Map<String, Integer> sent = new HashMap<>();
@@ -93,7 +93,7 @@
         }
 
         int maxRequests = sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
-        assertTrue(maxRequests < 25, "one engine was given " + maxRequests + " of 100 requests");
+        assertTrue(maxRequests < 25, "one engine received " + maxRequests + " of 100 requests");
     }
 
     @Test
@@ -134,7 +134,7 @@
 
         assertEquals(decision.engineForPrefill(), "p");
         assertEquals(decision.engine(), "d");
-        assertTrue(decision.reason().contains("the other way is not open"), decision.reason());
+        assertTrue(decision.reason().contains("no alternative is available"), decision.reason());
     }
 
     @Test
@@ -167,8 +167,8 @@
                 router.choose(request(MODEL, 100, 10), backend -> true, SECOND).isEmpty());
     }
 
-    // The network may deliver two reports of one engine in the wrong order. An older one that was believed would bring
-    // back a queue that is long worked off, and requests would avoid an idle engine.
+    // The network may deliver two reports of one engine in the wrong order. Applying the older one would restore the size
+    // of a queue that is already empty, and requests would avoid an idle engine.
     @Test
     public void should_ignore_a_report_when_a_later_one_was_applied() {
         report(router, "a", EngineRole.WHOLE, 5, 0, 0, 3 * SECOND);
