--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionDecision.java
@@ -3,24 +3,22 @@
 import java.time.Duration;
 import org.aspenmoor.RefusalReason;
 
-/** What became of an offered request. */
+/** The result of offering a request to an {@link AdmissionQueue}. */
 public sealed interface AdmissionDecision {
-    /** Nothing waits before it: send it now if an engine has room, else take it from the queue later. */
+    /** No request is ahead of it: send it now if an engine has capacity, otherwise take it from the queue later. */
     record Admitted() implements AdmissionDecision {}
 
-    /**
-     * It waits.
+    /*     * The request waits in the queue.
      *
-     * @param expectedWait how long it is expected to wait
+     * @param expectedWait the expected wait
      */
     record Queued(Duration expectedWait) implements AdmissionDecision {}
 
-    /**
-     * It was refused and will not run.
+    /*     * The request was refused and will not run.
      *
-     * @param reason why
-     * @param comeBackAfter when the backlog is expected to leave room for it
-     * @param detail one sentence for the caller
+     * @param reason the reason
+     * @param comeBackAfter the time after which the backlog is expected to have capacity for it
+     * @param detail a description for the caller
      */
     record Refused(RefusalReason reason, Duration retryAfter, String detail) implements AdmissionDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -11,12 +11,11 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.RequestId;
 
-/**
- * The bounded queue before one service's engines. Confined to one thread.
+/* * The bounded wait queue of one service. Not thread-safe; confined to one thread.
  *
- * <p>Teams are served by start-time fair queuing over engine-seconds; within a team the heavier and then the more
- * urgent goes first. Work that the measured service rate cannot finish in time is refused when that becomes known, and
- * not when its deadline comes: a caller that is told at once can still act.
+ * <p>Teams are served by start-time fair queuing over engine-seconds. Within a team, the request with the greater weight
+ * goes first, then the one with the earlier deadline. A request that cannot finish in time at the measured service rate is
+ * refused as soon as that is known and not at its deadline, so that its caller still has time to react.
  */
 public final class AdmissionQueue {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -35,9 +34,9 @@
         this.serviceRate = new ServiceRate(settings.initialRate(), settings.rateSmoothingSeconds());
     }
 
-    /**
-     * Offers a request. Where it is queued or admitted, it is in the queue until {@link #markDispatched} or {@link #cancel}; call
-     * {@link #evict} after each offer and refuse what it returns.
+    /*     * Offers a request. A queued or admitted request stays in the queue until {@link #markDispatched},
+     * {@link #removeRefused}, {@link #cancel} or {@link #evict}. Call {@link #evict} after each offer and refuse the
+     * requests that it returns.
      */
     public AdmissionDecision offer(WaitingWork work, long nowNanoseconds) {
         serviceRate.observe(size > 0, nowNanoseconds);
@@ -61,7 +60,10 @@
                 : new AdmissionDecision.Queued(Duration.ofNanos((long) (waitSeconds * NANOSECONDS_PER_SECOND)));
     }
 
-    /** Gives up waiting work that no longer fits: beyond the bound, or pushed past its deadline by heavier work. */
+    /**
+     * Removes and returns the requests that are over the size limit of the queue, or that can no longer meet their
+     * deadline because requests with a greater weight are ahead of them.
+     */
     public List<EvictedWork> evict(long nowNanoseconds) {
         List<EvictedWork> evicted = new ArrayList<>();
         while (size > settings.maxWaiting()) {
@@ -76,12 +78,12 @@
         return evicted;
     }
 
-    /** Returns the request that is next to be sent, without taking it. */
+    /** Returns the next request to send without removing it. */
     public Optional<WaitingWork> next() {
         return nextTeam().flatMap(TeamQueue::first);
     }
 
-    /** Takes a request out, because it is being sent now. */
+    /** Removes a request that is being sent to an engine. */
     public void markDispatched(WaitingWork work, long nowNanoseconds) {
         if (!remove(work)) {
             return;
@@ -93,7 +95,7 @@
         serviceRate.observe(size > 0, nowNanoseconds);
     }
 
-    /** Takes a request out because its caller has gone. */
+    /** Removes a request whose caller has disconnected; returns whether it was in the queue. */
     public boolean cancel(RequestId id) {
         for (TeamQueue team : teams.values()) {
             Optional<WaitingWork> found = team.find(work -> work.id().equals(id));
@@ -104,20 +106,20 @@
         return false;
     }
 
-    /** Takes a request out because it is being refused. */
+    /** Removes a request that is being refused. */
     public void removeRefused(WaitingWork work, long nowNanoseconds) {
         remove(work);
         serviceRate.observe(size > 0, nowNanoseconds);
     }
 
-    /** Returns how many requests wait. */
+    /** Returns the number of waiting requests. */
     public int size() {
         return size;
     }
 
-    /**
-     * Returns the measured service rate, in engine-seconds a second, but not less than half of the assumed one: during a
-     * role change the measured rate falls for seconds, and work would be refused that the engines serve a moment later.
+    /*     * Returns the measured service rate in engine-seconds per second, but at least half of the initial rate. During a role
+     * change the measured rate drops for some seconds; without the lower bound, requests would be refused that the engines
+     * can serve shortly after.
      */
     public double rate() {
         double minRate = Math.max(MIN_RATE, MIN_FRACTION_OF_INITIAL_RATE * settings.initialRate());
@@ -160,7 +162,7 @@
         return team.engineSecondsBefore(work) / ratePerTeam(team);
     }
 
-    /** A team with a backlog is served at an equal share of the rate with the others that have one. */
+    /** Returns the service rate of a team: teams with waiting requests share the rate equally. */
     private double ratePerTeam(TeamQueue team) {
         long otherTeams = teams.values().stream()
                 .filter(other -> other != team && !other.waiting().isEmpty())
@@ -200,7 +202,7 @@
                 retryAfter(waitSeconds - Math.max(0, slackSeconds)),
                 String.format(
                         Locale.ROOT,
-                        "The request would wait %.2f s and then take %.2f s, which is more than its deadline leaves.",
+                        "The request would wait %.2f s and then take %.2f s, which exceeds the time to its deadline.",
                         waitSeconds,
                         work.serviceSeconds()));
     }
@@ -209,7 +211,7 @@
         return new AdmissionDecision.Refused(
                 RefusalReason.OVERLOADED,
                 retryAfter(waitSeconds),
-                settings.maxWaiting() + " requests wait already and this one would be the first to be shed.");
+                settings.maxWaiting() + " requests are already waiting, and this one would be the first to be evicted.");
     }
 
     private static Duration retryAfter(double seconds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchDecision.java
@@ -2,22 +2,20 @@
 
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/** What to do now with the request that is next in the queue. */
+/** What to do with the next request of the queue. */
 public sealed interface DispatchDecision {
-    /**
-     * Send it.
+    /*     * Send the request.
      *
-     * @param decision where
+     * @param decision the engines to send it to
      */
     record Send(RoutingDecision decision) implements DispatchDecision {}
 
-    /** Leave it in the queue, where heavier work may still pass it; ask again when load has changed. */
+    /** Leave the request in the queue, where requests of greater weight may go first; retry when the load has changed. */
     record Wait() implements DispatchDecision {}
 
-    /**
-     * Refuse it.
+    /*     * Refuse the request.
      *
-     * @param refusal what its caller is told
+     * @param refusal the refusal that is sent to the caller
      */
     record Refuse(AdmissionDecision.Refused refusal) implements DispatchDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
@@ -6,11 +6,10 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/**
- * Decides whether the next request leaves the queue now.
+/* * Decides whether the next request of the queue is sent now.
  *
- * <p>Work waits in the queue and not at the engines, because only the queue sees all weights: a long engine queue
- * would let light work run before heavy work that arrives a moment later.
+ * <p>Requests wait in this queue and not at the engines, because only this queue orders all requests by weight: in a long
+ * engine queue, requests of low weight would run before requests of greater weight that arrive shortly after them.
  */
 public final class DispatchPolicy {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -22,12 +21,12 @@
         this.maxEngineWaitSeconds = maxEngineWaitSeconds;
     }
 
-    /** Returns the policy that the policy bench was tuned with. */
+    /** Returns the policy with the default maximum wait at an engine. */
     public static DispatchPolicy defaults() {
         return new DispatchPolicy(DEFAULT_MAX_ENGINE_WAIT_SECONDS);
     }
 
-    /** Judges the next request by what the router would do with it; empty where no engine is open to it. */
+    /** Decides about the next request; {@code decision} is the router's choice, empty if no engine is available. */
     public DispatchDecision decide(WaitingWork work, Optional<RoutingDecision> decision, long nowNanoseconds) {
         double remainingSeconds = (work.deadlineNanoseconds() - nowNanoseconds) / NANOSECONDS_PER_SECOND;
         if (decision.isEmpty()) {
@@ -49,7 +48,7 @@
                 Duration.ofMillis((long) (1000 * Math.max(0.05, finishSeconds - Math.max(0, remainingSeconds))));
         String detail = String.format(
                 Locale.ROOT,
-                "The answer would take %.2f s more and the deadline leaves %.2f s.",
+                "The answer would take another %.2f s, but the deadline is in %.2f s.",
                 finishSeconds,
                 Math.max(0, remainingSeconds));
         return new DispatchDecision.Refuse(
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/EvictedWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/EvictedWork.java
@@ -1,9 +1,8 @@
 package org.aspenmoor.internal.admission;
 
-/**
- * Waiting work that was given up before it started.
+/* * A request that was removed from the queue before it started.
  *
- * @param work the work
- * @param refusal what its caller is told
+ * @param work the request
+ * @param refusal the refusal that is sent to the caller
  */
 public record EvictedWork(WaitingWork work, AdmissionDecision.Refused refusal) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
@@ -1,11 +1,10 @@
 package org.aspenmoor.internal.admission;
 
-/**
- * The lengths expected of a request.
+/* * Expected lengths of a request.
  *
- * @param promptTokens the prompt
- * @param outputTokens the answer: the mean of what was seen
- * @param p90OutputTokens an answer length that nine in ten stay below
- * @param cachedFraction the share of prompts that caches cover
+ * @param promptTokens the mean prompt length
+ * @param outputTokens the mean answer length
+ * @param p90OutputTokens the estimated 90th percentile of the answer length
+ * @param cachedFraction the fraction of the prompt tokens that were cached, 0 to 1
  */
 public record LengthEstimate(double promptTokens, double outputTokens, double p90OutputTokens, double cachedFraction) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
@@ -3,11 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/**
- * Estimates lengths of prompts and answers for each kind from those seen.
+/* * Estimates the lengths of prompts and answers of each kind from answered requests.
  *
- * <p>Means and variances forget exponentially, so that a kind whose answers grow is followed within some dozens of
- * requests. Before any answer was seen, a quarter of the longest allowed one is assumed.
+ * <p>Means and variances are exponentially weighted and adapt to a change within some dozens of requests. Before the first
+ * answer of a kind, a quarter of the maximum answer length is assumed.
  */
 public final class LengthEstimator {
     private static final double WINDOW_REQUESTS = 64;
@@ -16,13 +15,13 @@
 
     private final Map<String, LengthStatistics> statisticsByKind = new HashMap<>();
 
-    /** Notes the lengths of a request that was answered, and how much of its prompt a cache covered. */
+    /** Records the lengths of an answered request and how many tokens of its prompt were cached. */
     public void observe(String kind, int promptTokens, int cachedTokens, int outputTokens) {
         statisticsByKind.computeIfAbsent(kind, name -> new LengthStatistics(WINDOW_REQUESTS))
                 .add(promptTokens, cachedTokens, outputTokens);
     }
 
-    /** Estimates a request of the kind whose answer may have at most so many tokens; 0 for no limit. */
+    /** Estimates a request of the kind with a maximum answer length in tokens; 0 means no maximum. */
     public LengthEstimate estimate(String kind, int maxOutputTokens) {
         LengthStatistics statistics = statisticsByKind.get(kind);
         if (statistics == null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthStatistics.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthStatistics.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.admission;
 
-/** Exponentially forgetting means of one kind's lengths. */
+/** Exponentially weighted means and variance of the lengths of one kind. */
 final class LengthStatistics {
     private static final double P90_DEVIATIONS = 1.28;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
@@ -1,9 +1,8 @@
 package org.aspenmoor.internal.admission;
 
-/**
- * Measures how many engine-seconds of work leave the queue a second while some of it waits.
+/* * Measures the rate at which work leaves the queue while requests wait, in engine-seconds per second.
  *
- * <p>Only times with a backlog count: an idle queue sends as little as arrives and would look slow.
+ * <p>Only times with a backlog are measured. Without a backlog, the rate is that of the arrivals and would be too low.
  */
 final class ServiceRate {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
@@ -9,7 +9,10 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** One team's waiting work, the heaviest and then the most urgent first, and how much service the team has had. */
+/**
+ * The waiting requests of one team, ordered by falling weight and then by deadline, and the virtual time of the team in
+ * start-time fair queuing.
+ */
 final class TeamQueue {
     private static final Comparator<WaitingWork> ORDER = Comparator.comparingDouble(WaitingWork::weight)
             .reversed()
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingWork.java
@@ -2,16 +2,15 @@
 
 import org.aspenmoor.RequestId;
 
-/**
- * A request as admission sees it.
+/* * The properties of a request that admission depends on.
  *
- * @param id the request
- * @param team the team whose share it uses
- * @param kind the kind of the team's document
- * @param weight how much it counts once completed
- * @param deadlineNanoseconds when the whole answer stops being useful, on the monotonic clock
- * @param engineSeconds how long it is expected to occupy engines
- * @param serviceSeconds how long it is expected to take from its start to its end
+ * @param id the request id
+ * @param team the team that the request is accounted to
+ * @param kind the kind of request, as declared in the document of the team
+ * @param weight value of the completed request; requests with a greater weight go first
+ * @param deadlineNanoseconds the time by which the answer must be complete, on the monotonic clock
+ * @param engineSeconds the expected engine time
+ * @param serviceSeconds the expected time from the start to the end of the request
  */
 public record WaitingWork(
         RequestId id,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/package-info.java
@@ -1,2 +1,5 @@
-/** Decides whether, in which order and until when requests wait, and estimates how long they are. */
+/**
+ * Admission control: decides whether requests wait, in which order and for how long, and estimates the lengths of prompts
+ * and answers.
+ */
 package org.aspenmoor.internal.admission;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
@@ -39,8 +39,7 @@
         assertEquals(dispatchAll(), List.of(urgent, heavy, light));
     }
 
-    // Under overload a caller whose work cannot be done would otherwise hold its connection until the deadline, and
-    // only then learn that it has to go elsewhere.
+    // Otherwise, under overload, a caller whose request cannot be served would be refused only at its deadline.
     @Test
     public void should_refuse_a_request_on_offer_when_it_cannot_finish_in_time() {
         queue.offer(work("team", 5, 60, 8), 0);
@@ -65,9 +64,8 @@
         assertTrue(late.retryAfter().compareTo(early.retryAfter()) > 0);
     }
 
-    // Heavier work that arrives later passes lighter work that waits. The lighter may then miss its deadline; its
-    // caller
-    // must hear that now and not when the deadline has passed.
+    // Later requests of greater weight go ahead of a waiting request, which may then miss its deadline. Its caller must be
+    // refused now and not after the deadline.
     @Test
     public void should_evict_waiting_work_when_heavier_work_makes_it_miss_its_deadline() {
         queue.offer(work("team", 5, 60, 2), 0);
@@ -107,8 +105,8 @@
         assertEquals(refused.reason(), RefusalReason.OVERLOADED);
     }
 
-    // One team sends far more than its share. Without shares by team its requests would fill the queue, and the others
-    // would be refused though they ask for little.
+    // One team sends far more requests than another. Without fair queuing its requests would fill the queue, and the other
+    // team would be refused.
     @Test
     public void should_serve_teams_equally_when_one_team_floods_the_queue() {
         queue.offer(work("flooding", 9, 600, 1), 0);
