--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/DesiredLoads.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/DesiredLoads.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 import org.aspenmoor.internal.engine.EngineOrder;
 
-/** What every engine of a service should hold, and the order that loads each part. */
+/** The models and adapters that each engine of a service should have loaded, with the orders that load them. */
 final class DesiredLoads {
     private final List<ModelDeclaration> models;
     private final Map<String, EngineOrder> orders = new LinkedHashMap<>();
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Returns the first part that an engine lacks; models come before their adapters. */
+    /** Returns the first model or adapter that is not loaded; models come before their adapters. */
     Optional<String> firstMissing(Set<String> loaded) {
         return orders.keySet().stream().filter(item -> !loaded.contains(item)).findFirst();
     }
@@ -37,7 +37,7 @@
         return orders.get(item);
     }
 
-    /** Returns the order that gives up an adapter which the document no longer declares. */
+    /** Returns the order that unloads an adapter which the document no longer declares. */
     Optional<EngineOrder> firstUnload(Set<String> loaded) {
         for (ModelDeclaration model : models) {
             String prefix = model.name() + ":";
@@ -55,7 +55,7 @@
         return Optional.empty();
     }
 
-    /** Returns the declared models of which an engine holds any version. */
+    /** Returns the declared models of which the engine has any version loaded. */
     List<String> declaredModelsOn(RolloutEngine engine) {
         return models.stream()
                 .map(ModelDeclaration::name)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/EngineAvailability.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/EngineAvailability.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.rollout;
 
-/** Whether an engine takes new work. */
+/** Whether an engine accepts new requests. */
 public enum EngineAvailability {
-    /** Takes new requests. */
+    /** Accepts new requests. */
     SERVING,
-    /** Ends its streams and takes nothing new, because the rollout asked for it. */
+    /** Completes its streams and accepts no new requests, because the rollout drains it. */
     DRAINING,
-    /** Carries out an order and serves nothing. */
+    /** Executes an order and serves no requests. */
     LOADING,
-    /** Leaves the fleet or cannot be reached; the rollout leaves it alone. */
+    /** Is being removed from the fleet or is unreachable; the rollout ignores it. */
     GONE
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
@@ -3,11 +3,10 @@
 import org.aspenmoor.internal.limit.TokenBucket;
 import org.aspenmoor.internal.time.TimeSource;
 
-/**
- * The share of the weight store's rate that one rollout may use.
+/* * The part of the rate limit of the weight store that one rollout may use.
  *
- * <p>The weight store limits its rate. Loads beyond it are refused or crawl, and an engine that waits for its weights
- * serves nothing meanwhile; so a load is ordered only when the store can feed it.
+ * <p>Loads above the rate limit of the weight store are refused or very slow, and an engine that waits for weights serves
+ * no requests. Therefore a load is ordered only within the budget.
  */
 public final class LoadBudget {
     private final TokenBucket bucket;
@@ -16,7 +15,7 @@
         this.bucket = new TokenBucket(timeSource, loadsPerSecond, burst);
     }
 
-    /** Takes one load if there is room for it now. */
+    /** Takes one load from the budget; returns whether one was available. */
     boolean take() {
         return bucket.take();
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutDecision.java
@@ -2,38 +2,34 @@
 
 import org.aspenmoor.internal.engine.EngineOrder;
 
-/** What happens to one engine next. */
+/** The next rollout step of one engine. */
 public sealed interface RolloutDecision {
-    /** Returns the engine. */
+    /** Returns the name of the engine. */
     String engine();
 
-    /**
-     * Give it no new work; its streams end where they are.
+    /*     * Send no new requests to the engine; its running streams complete on it.
      *
-     * @param engine the engine
+     * @param engine the name of the engine
      */
     record Drain(String engine) implements RolloutDecision {}
 
-    /**
-     * Give it an order; nothing runs on it.
+    /*     * Send an order to the engine, on which no stream runs.
      *
-     * @param engine the engine
+     * @param engine the name of the engine
      * @param order what to load or unload
      */
     record SendOrder(String engine, EngineOrder order) implements RolloutDecision {}
 
-    /**
-     * Let it take work again.
+    /*     * Let the engine accept requests again.
      *
-     * @param engine the engine
+     * @param engine the name of the engine
      */
     record Resume(String engine) implements RolloutDecision {}
 
-    /**
-     * Change nothing yet.
+    /*     * Leave the engine as it is for now.
      *
-     * @param engine the engine
-     * @param reason why it has to wait, for operators
+     * @param engine the name of the engine
+     * @param reason why the engine has to wait, for operators
      */
     record Hold(String engine, String reason) implements RolloutDecision {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
@@ -3,14 +3,13 @@
 import java.util.Optional;
 import java.util.Set;
 
-/**
- * An engine as the rollout sees it.
+/* * The state of an engine that the rollout depends on.
  *
- * @param name its name
- * @param availability whether it takes new work
- * @param loaded what it holds, as {@code MODEL@VERSION} and {@code MODEL:ADAPTER@VERSION}
- * @param runningStreams streams that have not ended on it
- * @param failedLoad what it failed to load last, if that is the last thing it tried
+ * @param name the name of the engine
+ * @param availability whether it accepts new requests
+ * @param loaded the loaded models and adapters, as {@code MODEL@VERSION} and {@code MODEL:ADAPTER@VERSION}
+ * @param runningStreams number of running streams
+ * @param failedLoad the model or adapter of the last load, if that load failed
  */
 public record RolloutEngine(
         String name,
@@ -26,7 +25,7 @@
         return availability == expected;
     }
 
-    /** Says whether it holds any version of a model. */
+    /** Returns whether any version of the model is loaded. */
     boolean holdsModel(String model) {
         return loaded.stream().anyMatch(item -> item.startsWith(model + "@"));
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
@@ -9,18 +9,17 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 import org.aspenmoor.internal.engine.EngineOrder;
 
-/**
- * Decides which engines of one service in one data centre load which versions next.
+/* * Decides which version each engine of one service in one data centre loads next.
  *
- * <p>It compares what the document declares with what the engines hold and keeps no state of its own but the budget, so
- * a planner that takes over in the middle goes on where the other stopped, and a rollback is the same comparison with
- * the earlier version declared.
+ * <p>The policy compares the versions that the document declares with those loaded on the engines, and keeps no state but
+ * the load budget. A planner that takes over during a rollout therefore continues it, and a rollback is the same comparison
+ * with the earlier version declared.
  *
  * <ul>
- *   <li>An engine gets an order only when no stream runs on it: streams under the old version end under it.
- *   <li>An engine is drained only if another one keeps serving each model that it serves: the service always has one.
- *   <li>A version that failed to load and that no engine holds is tried on no further engine. Otherwise a version that
- *       cannot be loaded would take one engine after the other out of service.
+ *   <li>An engine receives an order only when no stream runs on it, so streams complete under the version they started with.
+ *   <li>An engine is drained only if another engine continues to serve each of its models, so each model stays available.
+ *   <li>A version that failed to load and that is loaded on no engine is not tried on further engines. Otherwise a version
+ *       that cannot be loaded would take one engine after the other out of service.
  * </ul>
  */
 public final class RolloutPolicy {
@@ -37,14 +36,14 @@
         this.budget = budget;
     }
 
-    /** Returns what to do with each engine that does not hold what the document declares, or may serve again. */
+    /** Returns the next step of each engine that differs from the document or that can accept requests again. */
     public List<RolloutDecision> decide(ServiceDocument document, List<RolloutEngine> engines) {
         Pass pass = new Pass(new DesiredLoads(document), engines);
         engines.stream().sorted(SMALLEST_CAPACITY_LOSS_FIRST).forEach(pass::decide);
         return pass.decisions;
     }
 
-    /** One look at all engines. */
+    /** One pass over all engines. */
     private final class Pass {
         private final DesiredLoads desired;
         private final List<RolloutEngine> engines;
@@ -82,18 +81,18 @@
 
         private Optional<String> obstacle(RolloutEngine engine, Optional<String> missingItem) {
             if (missingItem.isPresent() && isKnownToFail(missingItem.get(), engine)) {
-                return Optional.of(missingItem.get() + " failed to load on another engine and is held by none");
+                return Optional.of(missingItem.get() + " failed to load on another engine and is loaded on no engine");
             }
             if (engine.hasAvailability(EngineAvailability.DRAINING)) {
                 return Optional.empty();
             }
             if (unavailable.size() >= limits.maxUnavailable()) {
-                return Optional.of("as many engines as allowed are away");
+                return Optional.of("the maximum number of engines is already draining or loading");
             }
             return desired.declaredModelsOn(engine).stream()
                     .filter(model -> !isServedWithout(engine, model))
                     .findFirst()
-                    .map(model -> "no other engine serves " + model + " now");
+                    .map(model -> "no other engine currently serves " + model);
         }
 
         private boolean isKnownToFail(String item, RolloutEngine candidate) {
@@ -124,12 +123,12 @@
 
         private void advance(RolloutEngine engine, EngineOrder order) {
             if (engine.hasAvailability(EngineAvailability.SERVING) && !engine.loaded().isEmpty()) {
-                // Also without a stream: one may be on its way until entries know that the engine is being drained.
+                // Drained even without a stream: entries may send requests until they are notified of the drain.
                 decisions.add(new RolloutDecision.Drain(engine.name()));
             } else if (engine.runningStreams() > 0) {
-                decisions.add(new RolloutDecision.Hold(engine.name(), "its streams have not ended"));
+                decisions.add(new RolloutDecision.Hold(engine.name(), "streams are still running on the engine"));
             } else if (!budget.take()) {
-                decisions.add(new RolloutDecision.Hold(engine.name(), "the weight store's rate is used up"));
+                decisions.add(new RolloutDecision.Hold(engine.name(), "the load budget of the weight store is exhausted"));
             } else {
                 decisions.add(new RolloutDecision.SendOrder(engine.name(), order));
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
@@ -4,11 +4,10 @@
 import java.util.List;
 import org.aspenmoor.internal.document.ModelDeclaration;
 
-/**
- * Which engines may take a request while two versions of a model are in memory.
+/* * Selects the engines that may serve a request while engines have different versions of a model loaded.
  *
- * <p>A new request may start under either version, so that no capacity is lost halfway through a rollout. A stream that
- * has begun stays with its version: another one would continue a text that it did not write.
+ * <p>A new request may start under any version, so that no capacity is lost during a rollout. A started stream stays with
+ * its version, because another version would continue a text that it did not generate.
  */
 public final class VersionCandidates {
     private final List<RolloutEngine> serving;
@@ -19,7 +18,7 @@
                 .toList();
     }
 
-    /** Returns the engines that may start a request, those with the declared version first. */
+    /** Returns the engines that may serve a new request, those with the declared version first. */
     public List<RolloutEngine> forNewRequest(ModelDeclaration model) {
         String declared = model.name() + "@" + model.version();
         return serving.stream()
@@ -30,7 +29,7 @@
                 .toList();
     }
 
-    /** Returns the engines that may go on with a stream which began under a version. */
+    /** Returns the engines that may continue a stream that was started under the version. */
     public List<RolloutEngine> forStartedStream(String model, String version) {
         return serving.stream()
                 .filter(engine -> engine.loaded().contains(model + "@" + version))
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** Rolling out versions of models and adapters: which engine loads what next, and which version serves a request. */
+/** Rollout of model and adapter versions: what each engine loads next, and which version serves a request. */
 package org.aspenmoor.internal.rollout;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
@@ -32,9 +32,9 @@
 
     @Test(dataProvider = "seeds")
     public void should_keep_streams_and_the_service_running_when_a_rollout_is_rolled_back(int seed) {
-        // Streams begin and end at random, engines vanish and return, planners take over halfway, and the version is
-        // taken back before it is out
-        // everywhere. A user would notice a cut draft, or a refusal because every engine was loading at once.
+        // Streams start and end at random, engines become unreachable and reachable, a new planner takes over at each step,
+        // and the version is rolled back before all engines have it. A fault would cut a stream, or refuse requests because
+        // all engines are loading at once.
         Rollout rollout = new Rollout(2 + seed % 7, seed);
 
         rollout.failuresEnabled = true;
@@ -52,12 +52,13 @@
 
         List<RolloutDecision> decisions = rollout.decide(document("4", "1"));
 
-        assertEquals(decisions, List.of(new RolloutDecision.Hold("e0", "no other engine serves m now")));
+        assertEquals(decisions, List.of(new RolloutDecision.Hold("e0", "no other engine currently serves m")));
     }
 
     @Test
     public void should_stop_the_rollout_when_a_version_cannot_be_loaded() {
-        // The weight store holds a broken version. Were the rollout to go on, each engine would lose the model in turn.
+        // The weight store has a version that cannot be loaded. If the rollout continued, each engine in turn would lose the
+        // model.
         Rollout rollout = new Rollout(8, 9);
         rollout.unloadableItems = Set.of("m@4");
 
@@ -76,7 +77,7 @@
                 document(List.of(new ModelDeclaration("m", "4", List.of()))),
                 List.of(failed, engine("b", "m@3"), engine("c", "m@3")));
 
-        String reason = "m@4 failed to load on another engine and is held by none";
+        String reason = "m@4 failed to load on another engine and is loaded on no engine";
         assertEquals(
                 decisions,
                 List.of(
@@ -127,7 +128,7 @@
         return new ServiceDocument("t", "s", 1, models, List.of(), 0, List.of(), List.of());
     }
 
-    /** Runs decisions on simulated engines and checks after each step what must always hold. */
+    /** Executes rollout decisions on simulated engines and checks the invariants after each step. */
     private static final class Rollout {
         private static final int MAX_STEPS = 2000;
         private static final int WINDOW_STEPS = 10;
@@ -153,7 +154,7 @@
         }
 
         List<RolloutDecision> decide(ServiceDocument document) {
-            // A planner that has just taken over knows no more than this.
+            // A new policy in each step simulates a planner that has just taken over.
             RolloutPolicy policy = new RolloutPolicy(RolloutLimits.forEngines(engines.size()), budget);
             return policy.decide(document, snapshots());
         }
@@ -171,10 +172,10 @@
                     return;
                 }
             }
-            throw new AssertionError("not done after " + MAX_STEPS + " steps: " + snapshots());
+            throw new AssertionError("rollout not complete after " + MAX_STEPS + " steps: " + snapshots());
         }
 
-        /** No engine vanishes any more, and those that had vanished are back; a lone engine is rightly held for ever. */
+        /** Disables failures and reconnects all engines, because a single remaining engine would be held indefinitely. */
         void stopFailures() {
             failuresEnabled = false;
             engines.stream()
@@ -200,13 +201,13 @@
                         .findFirst()
                         .orElseThrow();
                 if (decision instanceof RolloutDecision.SendOrder) {
-                    assertEquals(engine.streams(), 0, "an order would cut a stream of " + engine.name());
+                    assertEquals(engine.streams(), 0, "an order was sent while streams run on " + engine.name());
                     loads++;
                 }
                 engine.execute(decision, 1 + random.nextInt(4));
             }
             countLoads(loads);
-            assertTrue(isServed() || !servedBefore, "the rollout left no engine serving: " + snapshots());
+            assertTrue(isServed() || !servedBefore, "the rollout left no engine that serves the model: " + snapshots());
             engines.forEach(engine -> engine.step(unloadableItems));
             simulateEvents();
             timeSource.advance(Duration.ofSeconds(1));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/SimulatedEngine.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/SimulatedEngine.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.aspenmoor.internal.engine.EngineOrder;
 
-/** An engine that carries out what the rollout decides; a load replaces the version before it. */
+/** An engine that executes rollout decisions; a load replaces the previous version. */
 final class SimulatedEngine {
     private final String name;
     private final Set<String> loaded = new HashSet<>();
@@ -53,7 +53,7 @@
         streams = 0;
     }
 
-    /** Is cut off, or comes back as it was: whether the rollout had drained it is not remembered. */
+    /** Disconnects a serving engine, or reconnects a disconnected one as serving. */
     void toggleConnection() {
         if (availability == EngineAvailability.GONE) {
             availability = EngineAvailability.SERVING;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Goes on with a running order; a load of a broken version fails and leaves the engine without the model. */
+    /** Advances a running order; the load of an unloadable item fails and leaves the engine without it. */
     void step(Set<String> unloadableItems) {
         if (availability != EngineAvailability.LOADING) {
             return;
@@ -94,7 +94,7 @@
                 replace(load.model() + ":" + load.adapter(), load.version(), unloadableItems);
             case EngineOrder.UnloadAdapter unload ->
                 loaded.removeIf(item -> item.startsWith(unload.model() + ":" + unload.adapter() + "@"));
-            case EngineOrder.ChangeRole role -> throw new AssertionError("a rollout changes no role");
+            case EngineOrder.ChangeRole role -> throw new AssertionError("a rollout must not change roles");
         }
     }
 
