--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/capacity/RoutingSlopes.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.admission.AdmissionQueue;
 import org.aspenmoor.internal.admission.AdmissionSettings;
-import org.aspenmoor.internal.admission.WaitingWork;
+import org.aspenmoor.internal.admission.WaitingRequest;
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.routing.CacheEvent;
@@ -159,7 +159,7 @@
         };
     }
 
-    private static WaitingWork work(Random random, int team) {
-        return new WaitingWork(RequestId.draw(random), "team-" + team, "kind-1", 1.0, 3600 * NANOSECONDS, 0.001, 0.001);
+    private static WaitingRequest work(Random random, int team) {
+        return new WaitingRequest(RequestId.draw(random), "team-" + team, "kind-1", 1.0, 3600 * NANOSECONDS, 0.001, 0.001);
     }
 }
--- a/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
+++ b/aspenmoor-bench/src/main/java/org/aspenmoor/internal/bench/policy/run/BenchEntry.java
@@ -11,10 +11,10 @@
 import org.aspenmoor.internal.admission.AdmissionSettings;
 import org.aspenmoor.internal.admission.DispatchPolicy;
 import org.aspenmoor.internal.admission.DispatchDecision;
-import org.aspenmoor.internal.admission.EvictedWork;
+import org.aspenmoor.internal.admission.EvictedRequest;
 import org.aspenmoor.internal.admission.LengthEstimate;
 import org.aspenmoor.internal.admission.LengthEstimator;
-import org.aspenmoor.internal.admission.WaitingWork;
+import org.aspenmoor.internal.admission.WaitingRequest;
 import org.aspenmoor.internal.bench.policy.engine.EngineJob;
 import org.aspenmoor.internal.bench.policy.engine.EventLoop;
 import org.aspenmoor.internal.bench.policy.engine.FakeEngine;
@@ -93,8 +93,8 @@
         if (decision instanceof AdmissionDecision.Refused) {
             refuse(request.id());
         }
-        for (EvictedWork displaced : queue.evict(loop.now())) {
-            refuse(displaced.work().id());
+        for (EvictedRequest displaced : queue.evict(loop.now())) {
+            refuse(displaced.request().id());
         }
         pump();
     }
@@ -137,11 +137,11 @@
 
     void pump() {
         while (true) {
-            Optional<WaitingWork> next = queue.next();
+            Optional<WaitingRequest> next = queue.next();
             if (next.isEmpty()) {
                 return;
             }
-            WaitingWork work = next.get();
+            WaitingRequest work = next.get();
             if (work.id().equals(blocked) && loop.now() < askAgainAt) {
                 planRetry();
                 return;
@@ -165,7 +165,7 @@
         }
     }
 
-    private void send(WaitingWork work, RoutingRequest routed, RoutingDecision decision) {
+    private void send(WaitingRequest work, RoutingRequest routed, RoutingDecision decision) {
         queue.markDispatched(work, loop.now());
         BenchRequest request = waiting.remove(work.id());
         request.sentWith(decision.cachedTokens());
@@ -205,13 +205,13 @@
         }
     }
 
-    private WaitingWork work(BenchRequest request) {
+    private WaitingRequest work(BenchRequest request) {
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         EngineSpeed speed = fleet.parameters().speed();
         int batch = fleet.parameters().mostSequences();
         double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedFraction()));
         double decode = estimate.outputTokens() * speed.stepSeconds(batch);
-        return new WaitingWork(
+        return new WaitingRequest(
                 request.id(),
                 request.team(),
                 request.kind(),
@@ -221,7 +221,7 @@
                 prefill + decode);
     }
 
-    private RoutingRequest routed(BenchRequest request, WaitingWork work) {
+    private RoutingRequest routed(BenchRequest request, WaitingRequest work) {
         LengthEstimate estimate = lengths.estimate(request.kind(), request.longestOutputTokens());
         return new RoutingRequest(
                 request.id(),
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -38,21 +38,21 @@
      * {@link #removeRefused}, {@link #cancel} or {@link #evict}. Call {@link #evict} after each offer and refuse the
      * requests that it returns.
      */
-    public AdmissionDecision offer(WaitingWork work, long nowNanoseconds) {
+    public AdmissionDecision offer(WaitingRequest request, long nowNanoseconds) {
         serviceRate.observe(size > 0, nowNanoseconds);
-        TeamQueue team = teams.computeIfAbsent(work.team(), name -> new TeamQueue());
-        double waitSeconds = waitSeconds(team, work);
-        double slackSeconds = slackSeconds(work, nowNanoseconds);
+        TeamQueue team = teams.computeIfAbsent(request.team(), name -> new TeamQueue());
+        double waitSeconds = waitSeconds(team, request);
+        double slackSeconds = slackSeconds(request, nowNanoseconds);
         if (waitSeconds > slackSeconds) {
-            return refuseLate(work, waitSeconds, slackSeconds);
+            return refuseLate(request, waitSeconds, slackSeconds);
         }
-        if (size >= settings.maxWaiting() && isFirstToShed(work)) {
+        if (size >= settings.maxWaiting() && isFirstToShed(request)) {
             return refuseOverload(waitSeconds);
         }
         if (team.waiting().isEmpty()) {
             team.raiseVirtualTimeTo(virtualTime);
         }
-        team.add(work);
+        team.add(request);
         size++;
         serviceRate.observe(true, nowNanoseconds);
         return size == 1
@@ -64,12 +64,12 @@
      * Removes and returns the requests that are over the size limit of the queue, or that can no longer meet their
      * deadline because requests with a greater weight are ahead of them.
      */
-    public List<EvictedWork> evict(long nowNanoseconds) {
-        List<EvictedWork> evicted = new ArrayList<>();
+    public List<EvictedRequest> evict(long nowNanoseconds) {
+        List<EvictedRequest> evicted = new ArrayList<>();
         while (size > settings.maxWaiting()) {
-            WaitingWork evictedWork = firstToShed().orElseThrow();
-            remove(evictedWork);
-            evicted.add(new EvictedWork(evictedWork, refuseOverload(totalEngineSeconds() / rate())));
+            WaitingRequest evictedRequest = firstToShed().orElseThrow();
+            remove(evictedRequest);
+            evicted.add(new EvictedRequest(evictedRequest, refuseOverload(totalEngineSeconds() / rate())));
         }
         for (TeamQueue team : teams.values()) {
             evictLate(team, nowNanoseconds, evicted);
@@ -79,26 +79,26 @@
     }
 
     /** Returns the next request to send without removing it. */
-    public Optional<WaitingWork> next() {
+    public Optional<WaitingRequest> next() {
         return nextTeam().flatMap(TeamQueue::first);
     }
 
     /** Removes a request that is being sent to an engine. */
-    public void markDispatched(WaitingWork work, long nowNanoseconds) {
-        if (!remove(work)) {
+    public void markDispatched(WaitingRequest request, long nowNanoseconds) {
+        if (!remove(request)) {
             return;
         }
-        TeamQueue team = teams.get(work.team());
+        TeamQueue team = teams.get(request.team());
         virtualTime = Math.max(virtualTime, team.virtualTime());
-        team.addServed(work.engineSeconds());
-        serviceRate.recordDispatched(work.engineSeconds());
+        team.addServed(request.engineSeconds());
+        serviceRate.recordDispatched(request.engineSeconds());
         serviceRate.observe(size > 0, nowNanoseconds);
     }
 
     /** Removes a request whose caller has disconnected; returns whether it was in the queue. */
     public boolean cancel(RequestId id) {
         for (TeamQueue team : teams.values()) {
-            Optional<WaitingWork> found = team.find(work -> work.id().equals(id));
+            Optional<WaitingRequest> found = team.find(request -> request.id().equals(id));
             if (found.isPresent()) {
                 return remove(found.get());
             }
@@ -107,8 +107,8 @@
     }
 
     /** Removes a request that is being refused. */
-    public void removeRefused(WaitingWork work, long nowNanoseconds) {
-        remove(work);
+    public void removeRefused(WaitingRequest request, long nowNanoseconds) {
+        remove(request);
         serviceRate.observe(size > 0, nowNanoseconds);
     }
 
@@ -126,26 +126,26 @@
         return serviceRate.engineSecondsPerSecond(minRate);
     }
 
-    private void evictLate(TeamQueue team, long now, List<EvictedWork> evicted) {
+    private void evictLate(TeamQueue team, long now, List<EvictedRequest> evicted) {
         double engineSecondsBefore = 0;
         double teamRate = ratePerTeam(team);
-        List<WaitingWork> late = new ArrayList<>();
-        for (WaitingWork work : team.waiting()) {
+        List<WaitingRequest> late = new ArrayList<>();
+        for (WaitingRequest request : team.waiting()) {
             double wait = engineSecondsBefore / teamRate;
-            double slack = slackSeconds(work, now);
+            double slack = slackSeconds(request, now);
             if (wait > slack) {
-                late.add(work);
-                evicted.add(new EvictedWork(work, refuseLate(work, wait, slack)));
+                late.add(request);
+                evicted.add(new EvictedRequest(request, refuseLate(request, wait, slack)));
                 continue;
             }
-            engineSecondsBefore += work.engineSeconds();
+            engineSecondsBefore += request.engineSeconds();
         }
         late.forEach(this::remove);
     }
 
-    private boolean remove(WaitingWork work) {
-        TeamQueue team = teams.get(work.team());
-        if (team == null || !team.remove(work)) {
+    private boolean remove(WaitingRequest request) {
+        TeamQueue team = teams.get(request.team());
+        if (team == null || !team.remove(request)) {
             return false;
         }
         size--;
@@ -158,8 +158,8 @@
                 .min(Comparator.comparingDouble(TeamQueue::virtualTime));
     }
 
-    private double waitSeconds(TeamQueue team, WaitingWork work) {
-        return team.engineSecondsBefore(work) / ratePerTeam(team);
+    private double waitSeconds(TeamQueue team, WaitingRequest request) {
+        return team.engineSecondsBefore(request) / ratePerTeam(team);
     }
 
     /** Returns the service rate of a team: teams with waiting requests share the rate equally. */
@@ -170,8 +170,8 @@
         return rate() / (1 + otherTeams);
     }
 
-    private static double slackSeconds(WaitingWork work, long now) {
-        return (work.deadlineNanoseconds() - now) / NANOSECONDS_PER_SECOND - work.serviceSeconds();
+    private static double slackSeconds(WaitingRequest request, long now) {
+        return (request.deadlineNanoseconds() - now) / NANOSECONDS_PER_SECOND - request.serviceSeconds();
     }
 
     private double totalEngineSeconds() {
@@ -180,23 +180,23 @@
                 .sum();
     }
 
-    private Optional<WaitingWork> firstToShed() {
+    private Optional<WaitingRequest> firstToShed() {
         return teams.values().stream()
                 .max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds))
                 .flatMap(TeamQueue::last);
     }
 
-    private boolean isFirstToShed(WaitingWork work) {
-        TeamQueue queue = teams.get(work.team());
+    private boolean isFirstToShed(WaitingRequest request) {
+        TeamQueue queue = teams.get(request.team());
         Optional<TeamQueue> largest =
                 teams.values().stream().max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds));
         if (largest.isEmpty() || largest.get() != queue) {
             return false;
         }
-        return queue.last().map(last -> last.weight() >= work.weight()).orElse(false);
+        return queue.last().map(last -> last.weight() >= request.weight()).orElse(false);
     }
 
-    private AdmissionDecision.Refused refuseLate(WaitingWork work, double waitSeconds, double slackSeconds) {
+    private AdmissionDecision.Refused refuseLate(WaitingRequest request, double waitSeconds, double slackSeconds) {
         return new AdmissionDecision.Refused(
                 RefusalReason.CANNOT_FINISH_IN_TIME,
                 retryAfter(waitSeconds - Math.max(0, slackSeconds)),
@@ -204,7 +204,7 @@
                         Locale.ROOT,
                         "The request would wait %.2f s and then take %.2f s, which exceeds the time to its deadline.",
                         waitSeconds,
-                        work.serviceSeconds()));
+                        request.serviceSeconds()));
     }
 
     private AdmissionDecision.Refused refuseOverload(double waitSeconds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
@@ -27,11 +27,11 @@
     }
 
     /** Decides about the next request; {@code decision} is the router's choice, empty if no engine is available. */
-    public DispatchDecision decide(WaitingWork work, Optional<RoutingDecision> decision, long nowNanoseconds) {
-        double remainingSeconds = (work.deadlineNanoseconds() - nowNanoseconds) / NANOSECONDS_PER_SECOND;
+    public DispatchDecision decide(WaitingRequest request, Optional<RoutingDecision> decision, long nowNanoseconds) {
+        double remainingSeconds = (request.deadlineNanoseconds() - nowNanoseconds) / NANOSECONDS_PER_SECOND;
         if (decision.isEmpty()) {
-            return remainingSeconds < work.serviceSeconds()
-                    ? refuse(work.serviceSeconds(), remainingSeconds)
+            return remainingSeconds < request.serviceSeconds()
+                    ? refuse(request.serviceSeconds(), remainingSeconds)
                     : new DispatchDecision.Wait();
         }
         double finishSeconds = decision.get().finishSeconds();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
@@ -14,61 +14,61 @@
  * start-time fair queuing.
  */
 final class TeamQueue {
-    private static final Comparator<WaitingWork> ORDER = Comparator.comparingDouble(WaitingWork::weight)
+    private static final Comparator<WaitingRequest> ORDER = Comparator.comparingDouble(WaitingRequest::weight)
             .reversed()
-            .thenComparingLong(WaitingWork::deadlineNanoseconds)
-            .thenComparingLong(work -> work.id().high())
-            .thenComparingLong(work -> work.id().low());
+            .thenComparingLong(WaitingRequest::deadlineNanoseconds)
+            .thenComparingLong(request -> request.id().high())
+            .thenComparingLong(request -> request.id().low());
 
-    private final TreeSet<WaitingWork> waiting = new TreeSet<>(ORDER);
+    private final TreeSet<WaitingRequest> waiting = new TreeSet<>(ORDER);
     private final Map<String, Integer> counts = new TreeMap<>();
     private double virtualTime;
     private double waitingEngineSeconds;
 
-    void add(WaitingWork work) {
-        if (waiting.add(work)) {
-            waitingEngineSeconds += work.engineSeconds();
-            counts.merge(work.kind(), 1, Integer::sum);
+    void add(WaitingRequest request) {
+        if (waiting.add(request)) {
+            waitingEngineSeconds += request.engineSeconds();
+            counts.merge(request.kind(), 1, Integer::sum);
         }
     }
 
-    boolean remove(WaitingWork work) {
-        if (!waiting.remove(work)) {
+    boolean remove(WaitingRequest request) {
+        if (!waiting.remove(request)) {
             return false;
         }
-        waitingEngineSeconds = waiting.isEmpty() ? 0 : waitingEngineSeconds - work.engineSeconds();
-        counts.computeIfPresent(work.kind(), (kind, count) -> count > 1 ? count - 1 : null);
+        waitingEngineSeconds = waiting.isEmpty() ? 0 : waitingEngineSeconds - request.engineSeconds();
+        counts.computeIfPresent(request.kind(), (kind, count) -> count > 1 ? count - 1 : null);
         return true;
     }
 
-    Optional<WaitingWork> first() {
+    Optional<WaitingRequest> first() {
         return waiting.isEmpty() ? Optional.empty() : Optional.of(waiting.first());
     }
 
-    Optional<WaitingWork> last() {
+    Optional<WaitingRequest> last() {
         return waiting.isEmpty() ? Optional.empty() : Optional.of(waiting.last());
     }
 
-    double engineSecondsBefore(WaitingWork work) {
+    double engineSecondsBefore(WaitingRequest request) {
         double before = 0;
-        for (WaitingWork earlier : waiting.headSet(work)) {
+        for (WaitingRequest earlier : waiting.headSet(request)) {
             before += earlier.engineSeconds();
         }
         return before;
     }
 
-    Optional<WaitingWork> find(Predicate<WaitingWork> condition) {
-        Iterator<WaitingWork> iterator = waiting.descendingIterator();
+    Optional<WaitingRequest> find(Predicate<WaitingRequest> condition) {
+        Iterator<WaitingRequest> iterator = waiting.descendingIterator();
         while (iterator.hasNext()) {
-            WaitingWork work = iterator.next();
-            if (condition.test(work)) {
-                return Optional.of(work);
+            WaitingRequest request = iterator.next();
+            if (condition.test(request)) {
+                return Optional.of(request);
             }
         }
         return Optional.empty();
     }
 
-    NavigableSet<WaitingWork> waiting() {
+    NavigableSet<WaitingRequest> waiting() {
         return waiting;
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingWork.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingRequest.java
@@ -12,7 +12,7 @@
  * @param engineSeconds the expected engine time
  * @param serviceSeconds the expected time from the start to the end of the request
  */
-public record WaitingWork(
+public record WaitingRequest(
         RequestId id,
         String team,
         String kind,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
@@ -16,43 +16,43 @@
 
     private final GoodputModel model;
     private final TransitionCost transitionCost;
-    private final List<MixPeriod> past;
+    private final List<MixPeriod> pastPeriods;
     private final double seconds;
     private final double adaptiveGoodputPerSecond;
     private double pastSeconds;
 
-    ContinuationValue(GoodputModel model, TransitionCost transitionCost, List<MixPeriod> past, double seconds) {
+    ContinuationValue(GoodputModel model, TransitionCost transitionCost, List<MixPeriod> pastPeriods, double seconds) {
         this.model = model;
         this.transitionCost = transitionCost;
-        this.past = past;
+        this.pastPeriods = pastPeriods;
         this.seconds = seconds;
-        for (MixPeriod period : past) {
+        for (MixPeriod period : pastPeriods) {
             pastSeconds += period.seconds();
         }
-        this.adaptiveGoodputPerSecond = past.isEmpty() ? 0 : adaptiveGoodput() / pastSeconds;
+        this.adaptiveGoodputPerSecond = pastPeriods.isEmpty() ? 0 : adaptiveGoodput() / pastSeconds;
     }
 
     double value(RoleSplit split) {
-        if (past.size() < MIN_PAST_PERIODS) {
+        if (pastPeriods.size() < MIN_PAST_PERIODS) {
             return 0;
         }
         double fixedGoodputPerSecond = 0;
         double firstTransitionLoss = 0;
-        for (int index = 0; index < past.size(); index++) {
-            MixPeriod period = past.get(index);
+        for (int index = 0; index < pastPeriods.size(); index++) {
+            MixPeriod period = pastPeriods.get(index);
             double fraction = period.seconds() / pastSeconds;
             fixedGoodputPerSecond += fraction * model.goodputPerSecond(split, period.demands());
-            firstTransitionLoss += transitionLoss(split, period.bestSplit(), period) / past.size();
+            firstTransitionLoss += transitionLoss(split, period.bestSplit(), period) / pastPeriods.size();
         }
         return Math.max(fixedGoodputPerSecond * seconds, adaptiveGoodputPerSecond * seconds - firstTransitionLoss);
     }
 
     private double adaptiveGoodput() {
         double sum = 0;
-        for (int index = 0; index < past.size(); index++) {
-            MixPeriod period = past.get(index);
+        for (int index = 0; index < pastPeriods.size(); index++) {
+            MixPeriod period = pastPeriods.get(index);
             RoleSplit previous =
-                    past.get(index == 0 ? past.size() - 1 : index - 1).bestSplit();
+                    pastPeriods.get(index == 0 ? pastPeriods.size() - 1 : index - 1).bestSplit();
             double goodput = model.goodputPerSecond(period.bestSplit(), period.demands()) * period.seconds();
             sum += goodput - transitionLoss(previous, period.bestSplit(), period);
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
@@ -12,7 +12,7 @@
         this.second = number;
     }
 
-    long number() {
+    long second() {
         return second;
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
@@ -32,7 +32,7 @@
 
     /** Returns until when every entry that still reports has reported; entries silent for long are forgotten. */
     long completeUntil(long now, long forgetAfterNanoseconds) {
-        reportedUntil.values().removeIf(until -> now - until > forgetAfterNanoseconds);
+        reportedUntil.values().removeIf(reportedUntilNanoseconds -> now - reportedUntilNanoseconds > forgetAfterNanoseconds);
         return reportedUntil.values().stream().mapToLong(Long::longValue).min().orElse(Long.MIN_VALUE);
     }
 
@@ -46,8 +46,8 @@
     }
 
     private Optional<CountBucket> bucketAt(long second) {
-        if (buckets.isEmpty() || second > buckets.getLast().number()) {
-            long next = buckets.isEmpty() ? second : Math.max(buckets.getLast().number() + 1, second - MAX_BUCKETS);
+        if (buckets.isEmpty() || second > buckets.getLast().second()) {
+            long next = buckets.isEmpty() ? second : Math.max(buckets.getLast().second() + 1, second - MAX_BUCKETS);
             for (long missingSecond = next; missingSecond <= second; missingSecond++) {
                 buckets.addLast(new CountBucket(missingSecond));
             }
@@ -56,7 +56,7 @@
             }
             return Optional.of(buckets.getLast());
         }
-        return buckets.stream().filter(bucket -> bucket.number() == second).findFirst();
+        return buckets.stream().filter(bucket -> bucket.second() == second).findFirst();
     }
 
     private static boolean isValid(KindCount count) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
@@ -39,7 +39,7 @@
             List<KindObjective> kinds,
             long completeUntilNanoseconds,
             double minPaybackSeconds,
-            SplitSearch.Factory search) {
+            SplitSearch.Finder search) {
         List<CountBucket> buckets = completeBuckets(completeUntilNanoseconds);
         if (buckets.isEmpty()) {
             return Optional.empty();
@@ -52,9 +52,9 @@
         }
         history.observe(currentPeriod);
         if (history.isTypicallyShorterThan(minPaybackSeconds)) {
-            MixPeriod mean = mixPeriod(buckets, kinds, search);
-            double remaining = mean.seconds() < MIN_MEAN_SECONDS ? 0 : mean.seconds();
-            return Optional.of(new WorkloadForecast(mean, remaining, 0, MIN_GAIN_FRACTION_FOR_MEAN, List.of()));
+            MixPeriod meanPeriod = mixPeriod(buckets, kinds, search);
+            double remainingSeconds = meanPeriod.seconds() < MIN_MEAN_SECONDS ? 0 : meanPeriod.seconds();
+            return Optional.of(new WorkloadForecast(meanPeriod, remainingSeconds, 0, MIN_GAIN_FRACTION_FOR_MEAN, List.of()));
         }
         return Optional.of(new WorkloadForecast(
                 history.currentPeriod(), history.remainingSeconds(), history.observedSeconds(), MIN_GAIN_FRACTION, history.pastPeriods()));
@@ -64,17 +64,17 @@
         long lastComplete = Math.floorDiv(completeUntilNanoseconds, BUCKET_NANOSECONDS) - 1;
         List<CountBucket> buckets = new ArrayList<>();
         for (CountBucket bucket : window.newestFirst()) {
-            if (bucket.number() <= lastComplete) {
+            if (bucket.second() <= lastComplete) {
                 buckets.add(bucket);
             }
         }
         return buckets;
     }
 
-    private MixPeriod mixPeriod(List<CountBucket> buckets, List<KindObjective> kinds, SplitSearch.Factory search) {
+    private MixPeriod mixPeriod(List<CountBucket> buckets, List<KindObjective> kinds, SplitSearch.Finder search) {
         List<KindDemand> demands = demands(buckets, kinds);
-        RoleSplit ideal = search.best(split -> model.goodputPerSecond(split, demands));
-        return new MixPeriod(buckets.getLast().number(), buckets.size(), buckets.size(), demands, ideal);
+        RoleSplit bestSplit = search.best(split -> model.goodputPerSecond(split, demands));
+        return new MixPeriod(buckets.getLast().second(), buckets.size(), buckets.size(), demands, bestSplit);
     }
 
     private static double[] requests(CountBucket bucket, List<KindObjective> kinds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
@@ -76,12 +76,12 @@
 
     /** Returns how many seconds the present mix will probably last on. */
     double remainingSeconds() {
-        double age = currentPeriod.seconds();
+        double ageSeconds = currentPeriod.seconds();
         if (pastPeriods.isEmpty()) {
-            return age;
+            return ageSeconds;
         }
         double typical = typicalSeconds();
-        return Math.max(typical - age, Math.max(typical, age) / 2);
+        return Math.max(typical - ageSeconds, Math.max(typical, ageSeconds) / 2);
     }
 
     private double typicalSeconds() {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
@@ -42,20 +42,20 @@
         if (completeUntil == Long.MIN_VALUE) {
             return keepRoles(input, "No counts have come in.");
         }
-        double age = (nowNanoseconds - completeUntil) / NANOSECONDS_PER_SECOND;
-        if (age > settings.staleSeconds()) {
-            return keepRoles(input, String.format(Locale.ROOT, "The counts are %.1f s old.", age));
+        double ageSeconds = (nowNanoseconds - completeUntil) / NANOSECONDS_PER_SECOND;
+        if (ageSeconds > settings.staleSeconds()) {
+            return keepRoles(input, String.format(Locale.ROOT, "The counts are %.1f s old.", ageSeconds));
         }
         RoleSplit available = split(input, false);
         RoleSplit current = split(input, true);
         if (available.total() == 0) {
             return keepRoles(input, "No engine is available.");
         }
-        SplitSearch.Factory ideal = splitValue ->
+        SplitSearch.Finder bestSplitFinder = splitValue ->
                 new SplitSearch(split -> split.servesBothStages() && split.hasNoIdleStage(), splitValue).best(current);
         double minPaybackSeconds = MIN_PAYBACK_FACTOR
                 * (input.costs().unavailableSeconds() + input.costs().drainSeconds());
-        return forecast.forecast(input.kinds(), completeUntil, minPaybackSeconds, ideal)
+        return forecast.forecast(input.kinds(), completeUntil, minPaybackSeconds, bestSplitFinder)
                 .map(workload -> search(input, workload, available, current))
                 .orElseGet(() -> keepRoles(input, "No work has arrived."));
     }
@@ -66,7 +66,7 @@
         double continuationSeconds = Math.min(settings.horizonSeconds() - remainingSeconds, workload.continuationSeconds());
         ContinuationValue continuation = new ContinuationValue(model, transitionCost, workload.pastPeriods(), continuationSeconds);
         SplitValue value = new SplitValue(transitionCost, current, workload.currentPeriod(), remainingSeconds, continuation);
-        SplitSearch search = new SplitSearch(allowed(input, available, current), value::value);
+        SplitSearch search = new SplitSearch(allowedSplits(input, available, current), value::value);
         RoleSplit best = search.best(current);
         double gain = value.value(best) - value.value(current);
         double minGain = workload.minGainFraction()
@@ -85,10 +85,10 @@
                 gain,
                 workload.currentPeriod().seconds(),
                 remainingSeconds);
-        return changeTo(input, current, best, reason);
+        return planChange(input, current, best, reason);
     }
 
-    private Predicate<RoleSplit> allowed(PlanningInput input, RoleSplit available, RoleSplit current) {
+    private Predicate<RoleSplit> allowedSplits(PlanningInput input, RoleSplit available, RoleSplit current) {
         int runningSequences = input.engines().stream()
                 .mapToInt(PlannedEngine::runningSequences)
                 .sum();
@@ -115,14 +115,14 @@
     }
 
     /** Answers that run must be taken over by engines that stay; a few may wait, since their deadlines leave slack. */
-    private boolean canRunCurrentSequences(int running, RoleSplit current, RoleSplit split) {
+    private boolean canRunCurrentSequences(int runningSequences, RoleSplit current, RoleSplit split) {
         RoleSplit during = current.duringChangeTo(split);
         boolean fewer = during.decode() + during.combined() < current.decode() + current.combined();
         double batchSlots = (double) (during.decode() + during.combined()) * settings.decodeBatch();
-        return !fewer || running <= MAX_SEQUENCES_PER_BATCH_SLOT * batchSlots;
+        return !fewer || runningSequences <= MAX_SEQUENCES_PER_BATCH_SLOT * batchSlots;
     }
 
-    private static RolePlan changeTo(PlanningInput input, RoleSplit current, RoleSplit best, String reason) {
+    private static RolePlan planChange(PlanningInput input, RoleSplit current, RoleSplit best, String reason) {
         Map<String, EngineRole> roles = currentRoles(input);
         List<RoleChange> changes = RoleAssignment.changes(input.engines(), current, best);
         changes.forEach(change -> roles.put(change.engine(), change.to()));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
@@ -14,7 +14,7 @@
 
     /** Finds the best split of a fleet for any value. */
     @FunctionalInterface
-    interface Factory {
+    interface Finder {
         RoleSplit best(ToDoubleFunction<RoleSplit> value);
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/TransitionCost.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/TransitionCost.java
@@ -22,8 +22,8 @@
 
     /** Returns the goodput of a stretch of time that begins with the move. */
     double goodput(RoleSplit from, RoleSplit to, List<KindDemand> demands, double seconds) {
-        double unavailable = from.equals(to) ? 0 : Math.min(seconds, unavailableSeconds());
-        double goodput = model.goodputPerSecond(to, demands) * (seconds - unavailable);
-        return unavailable > 0 ? goodput + model.goodputPerSecond(from.duringChangeTo(to), demands) * unavailable : goodput;
+        double unavailableSeconds = from.equals(to) ? 0 : Math.min(seconds, unavailableSeconds());
+        double goodput = model.goodputPerSecond(to, demands) * (seconds - unavailableSeconds);
+        return unavailableSeconds > 0 ? goodput + model.goodputPerSecond(from.duringChangeTo(to), demands) * unavailableSeconds : goodput;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
@@ -14,7 +14,7 @@
  */
 final class PrefixIndex {
     private final int maxBlocks;
-    private final Map<String, CacheEventSequence> states = new HashMap<>();
+    private final Map<String, CacheEventSequence> eventSequences = new HashMap<>();
     private final LinkedHashMap<Long, BlockHolders> holdersByBlock = new LinkedHashMap<>(16, 0.75F, true);
 
     private PrefixChain lastPrefix;
@@ -26,29 +26,29 @@
 
     /** Applies an event; returns whether events before it were missed, in which case a snapshot should be requested. */
     boolean apply(String engine, long sequence, CacheEvent event) {
-        CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
-        if (state.isStale(sequence)) {
+        CacheEventSequence eventSequence = eventSequences.computeIfAbsent(engine, name -> new CacheEventSequence());
+        if (eventSequence.isStale(sequence)) {
             return false;
         }
-        boolean gap = state.advanceTo(sequence);
+        boolean gap = eventSequence.advanceTo(sequence);
         switch (event) {
-            case CacheEvent.Stored stored -> stored.hashes().forEach(hash -> addHolder(hash, engine, state.generation()));
+            case CacheEvent.Stored stored -> stored.hashes().forEach(hash -> addHolder(hash, engine, eventSequence.generation()));
             case CacheEvent.Removed removed -> removed.hashes().forEach(hash -> removeHolder(hash, engine));
-            case CacheEvent.Cleared cleared -> state.invalidateAll();
+            case CacheEvent.Cleared cleared -> eventSequence.invalidateAll();
         }
         return gap;
     }
 
     /** Records that a request with this prefix was sent to the engine, which will cache the prefix. */
     void recordSent(String engine, PrefixChain prefix) {
-        CacheEventSequence state = states.computeIfAbsent(engine, name -> new CacheEventSequence());
+        CacheEventSequence eventSequence = eventSequences.computeIfAbsent(engine, name -> new CacheEventSequence());
         for (int block = 0; block < prefix.length(); block++) {
-            addHolder(prefix.hash(block), engine, state.generation());
+            addHolder(prefix.hash(block), engine, eventSequence.generation());
         }
     }
 
     void removeEngine(String engine) {
-        states.remove(engine);
+        eventSequences.remove(engine);
     }
 
     /** Returns the engines that may hold the last block of the prefix for which any holder is known. */
@@ -67,8 +67,8 @@
         if (!mayHoldFirstBlock(engine, prefix)) {
             return 0;
         }
-        CacheEventSequence state = states.get(engine);
-        if (state == null) {
+        CacheEventSequence eventSequence = eventSequences.get(engine);
+        if (eventSequence == null) {
             return 0;
         }
         int heldBlocks = 0;
@@ -76,10 +76,10 @@
         while (heldBlocks < prefix.length()) {
             BlockHolders holders = holdersByBlock.get(prefix.hash(heldBlocks));
             long generation = holders == null ? -1 : holders.generationOf(engine);
-            if (!state.trusts(generation)) {
+            if (!eventSequence.trusts(generation)) {
                 break;
             }
-            aged |= generation < state.generation();
+            aged |= generation < eventSequence.generation();
             heldBlocks++;
         }
         int tokens = heldBlocks == 0 ? 0 : prefix.tokensCovered(heldBlocks, blockTokens);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
@@ -26,15 +26,15 @@
 
     @Test
     public void should_admit_a_request_when_the_queue_is_empty() {
-        assertTrue(queue.offer(work("team", 1, 10, 1), 0) instanceof AdmissionDecision.Admitted);
+        assertTrue(queue.offer(request("team", 1, 10, 1), 0) instanceof AdmissionDecision.Admitted);
     }
 
     @Test
     public void should_order_by_weight_and_then_deadline_when_several_requests_wait() {
-        WaitingWork light = work("team", 1, 60, 1);
-        WaitingWork heavy = work("team", 5, 60, 1);
-        WaitingWork urgent = work("team", 5, 30, 1);
-        List.of(light, heavy, urgent).forEach(work -> queue.offer(work, 0));
+        WaitingRequest light = request("team", 1, 60, 1);
+        WaitingRequest heavy = request("team", 5, 60, 1);
+        WaitingRequest urgent = request("team", 5, 30, 1);
+        List.of(light, heavy, urgent).forEach(request -> queue.offer(request, 0));
 
         assertEquals(dispatchAll(), List.of(urgent, heavy, light));
     }
@@ -42,9 +42,9 @@
     // Otherwise, under overload, a caller whose request cannot be served would be refused only at its deadline.
     @Test
     public void should_refuse_a_request_on_offer_when_it_cannot_finish_in_time() {
-        queue.offer(work("team", 5, 60, 8), 0);
+        queue.offer(request("team", 5, 60, 8), 0);
 
-        AdmissionDecision decision = queue.offer(work("team", 1, 5, 1), 0);
+        AdmissionDecision decision = queue.offer(request("team", 1, 5, 1), 0);
 
         AdmissionDecision.Refused refused = (AdmissionDecision.Refused) decision;
         assertEquals(refused.reason(), RefusalReason.CANNOT_FINISH_IN_TIME);
@@ -56,10 +56,10 @@
 
     @Test
     public void should_return_a_longer_retry_delay_when_the_backlog_is_longer() {
-        queue.offer(work("team", 5, 60, 8), 0);
-        AdmissionDecision.Refused early = (AdmissionDecision.Refused) queue.offer(work("team", 1, 5, 1), 0);
-        queue.offer(work("team", 5, 60, 8), 0);
-        AdmissionDecision.Refused late = (AdmissionDecision.Refused) queue.offer(work("team", 1, 5, 1), 0);
+        queue.offer(request("team", 5, 60, 8), 0);
+        AdmissionDecision.Refused early = (AdmissionDecision.Refused) queue.offer(request("team", 1, 5, 1), 0);
+        queue.offer(request("team", 5, 60, 8), 0);
+        AdmissionDecision.Refused late = (AdmissionDecision.Refused) queue.offer(request("team", 1, 5, 1), 0);
 
         assertTrue(late.retryAfter().compareTo(early.retryAfter()) > 0);
     }
@@ -68,28 +68,28 @@
     // refused now and not after the deadline.
     @Test
     public void should_evict_waiting_work_when_heavier_work_makes_it_miss_its_deadline() {
-        queue.offer(work("team", 5, 60, 2), 0);
-        WaitingWork light = work("team", 1, 6, 1);
+        queue.offer(request("team", 5, 60, 2), 0);
+        WaitingRequest light = request("team", 1, 6, 1);
         queue.offer(light, 0);
-        queue.offer(work("team", 5, 60, 8), 0);
+        queue.offer(request("team", 5, 60, 8), 0);
 
-        List<EvictedWork> displaced = queue.evict(0);
+        List<EvictedRequest> displaced = queue.evict(0);
 
-        assertEquals(displaced.stream().map(EvictedWork::work).toList(), List.of(light));
+        assertEquals(displaced.stream().map(EvictedRequest::request).toList(), List.of(light));
         assertEquals(queue.size(), 2);
     }
 
     @Test
     public void should_evict_the_lightest_request_when_the_queue_is_over_its_limit() {
-        WaitingWork lightest = work("team", 1, 600, 1);
+        WaitingRequest lightest = request("team", 1, 600, 1);
         queue.offer(lightest, 0);
         for (int number = 0; number < 4; number++) {
-            queue.offer(work("team", 2, 600, 1), 0);
+            queue.offer(request("team", 2, 600, 1), 0);
         }
 
-        List<EvictedWork> displaced = queue.evict(0);
+        List<EvictedRequest> displaced = queue.evict(0);
 
-        assertEquals(displaced.getFirst().work(), lightest);
+        assertEquals(displaced.getFirst().request(), lightest);
         assertEquals(displaced.getFirst().refusal().reason(), RefusalReason.OVERLOADED);
         assertEquals(queue.size(), 4);
     }
@@ -97,10 +97,10 @@
     @Test
     public void should_refuse_a_request_when_it_would_be_the_first_to_be_evicted() {
         for (int number = 0; number < 4; number++) {
-            queue.offer(work("team", 2, 600, 1), 0);
+            queue.offer(request("team", 2, 600, 1), 0);
         }
 
-        AdmissionDecision.Refused refused = (AdmissionDecision.Refused) queue.offer(work("team", 1, 600, 1), 0);
+        AdmissionDecision.Refused refused = (AdmissionDecision.Refused) queue.offer(request("team", 1, 600, 1), 0);
 
         assertEquals(refused.reason(), RefusalReason.OVERLOADED);
     }
@@ -109,24 +109,24 @@
     // team would be refused.
     @Test
     public void should_serve_teams_equally_when_one_team_floods_the_queue() {
-        queue.offer(work("flooding", 9, 600, 1), 0);
-        queue.offer(work("flooding", 9, 600, 1), 0);
-        queue.offer(work("flooding", 9, 600, 1), 0);
-        queue.offer(work("flooding", 9, 600, 1), 0);
-        WaitingWork other = work("other", 1, 600, 1);
+        queue.offer(request("flooding", 9, 600, 1), 0);
+        queue.offer(request("flooding", 9, 600, 1), 0);
+        queue.offer(request("flooding", 9, 600, 1), 0);
+        queue.offer(request("flooding", 9, 600, 1), 0);
+        WaitingRequest other = request("other", 1, 600, 1);
 
         assertFalse(queue.offer(other, 0) instanceof AdmissionDecision.Refused);
-        assertEquals(queue.evict(0).getFirst().work().team(), "flooding");
+        assertEquals(queue.evict(0).getFirst().request().team(), "flooding");
         assertTrue(dispatchAll().subList(0, 2).contains(other));
     }
 
     @Test
     public void should_remove_a_request_when_it_is_cancelled() {
-        WaitingWork work = work("team", 1, 600, 1);
-        queue.offer(work, 0);
+        WaitingRequest request = request("team", 1, 600, 1);
+        queue.offer(request, 0);
 
-        assertTrue(queue.cancel(work.id()));
-        assertFalse(queue.cancel(work.id()));
+        assertTrue(queue.cancel(request.id()));
+        assertFalse(queue.cancel(request.id()));
         assertEquals(queue.size(), 0);
     }
 
@@ -134,29 +134,29 @@
     public void should_lower_the_service_rate_when_work_leaves_the_queue_slowly() {
         AdmissionQueue slow = new AdmissionQueue(new AdmissionSettings(100, 1, 4));
         for (int number = 0; number < 10; number++) {
-            slow.offer(work("team", 2, 600, 1), 0);
+            slow.offer(request("team", 2, 600, 1), 0);
         }
         double before = slow.rate();
         for (int second = 1; second <= 9; second++) {
-            slow.offer(work("team", 2, 600, 0.01), second * 4L * SECOND);
+            slow.offer(request("team", 2, 600, 0.01), second * 4L * SECOND);
             slow.markDispatched(slow.next().orElseThrow(), second * 4L * SECOND);
         }
 
         assertTrue(slow.rate() < before, slow.rate() + " is not below " + before);
     }
 
-    private List<WaitingWork> dispatchAll() {
-        List<WaitingWork> order = new ArrayList<>();
+    private List<WaitingRequest> dispatchAll() {
+        List<WaitingRequest> order = new ArrayList<>();
         while (queue.next().isPresent()) {
-            WaitingWork work = queue.next().get();
-            queue.markDispatched(work, 0);
-            order.add(work);
+            WaitingRequest request = queue.next().get();
+            queue.markDispatched(request, 0);
+            order.add(request);
         }
         return order;
     }
 
-    private WaitingWork work(String team, double weight, double deadlineSeconds, double engineSeconds) {
-        return new WaitingWork(
+    private WaitingRequest request(String team, double weight, double deadlineSeconds, double engineSeconds) {
+        return new WaitingRequest(
                 RequestId.draw(random),
                 team,
                 "kind",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -12,10 +12,10 @@
 import org.aspenmoor.internal.admission.AdmissionQueue;
 import org.aspenmoor.internal.admission.DispatchPolicy;
 import org.aspenmoor.internal.admission.DispatchDecision;
-import org.aspenmoor.internal.admission.EvictedWork;
+import org.aspenmoor.internal.admission.EvictedRequest;
 import org.aspenmoor.internal.admission.LengthEstimate;
 import org.aspenmoor.internal.admission.LengthEstimator;
-import org.aspenmoor.internal.admission.WaitingWork;
+import org.aspenmoor.internal.admission.WaitingRequest;
 import org.aspenmoor.internal.routing.EngineSpeed;
 import org.aspenmoor.internal.routing.RoutingDecision;
 
@@ -47,14 +47,14 @@
     /** Takes a request in; returns those that have to be refused, this one or others, with the answer for each. */
     List<Refusal> offer(ActiveRequest request, long now) {
         List<Refusal> refusals = new ArrayList<>();
-        WaitingWork work = workOf(request);
+        WaitingRequest work = workOf(request);
         waiting.put(request.id(), new Waiting(request, work));
         if (queue.offer(work, now) instanceof AdmissionDecision.Refused refused) {
             waiting.remove(request.id());
             refusals.add(new Refusal(request, outcome(refused)));
         }
-        for (EvictedWork displaced : queue.evict(now)) {
-            Waiting loser = waiting.remove(displaced.work().id());
+        for (EvictedRequest displaced : queue.evict(now)) {
+            Waiting loser = waiting.remove(displaced.request().id());
             if (loser != null) {
                 refusals.add(new Refusal(loser.request(), outcome(displaced.refusal())));
             }
@@ -64,11 +64,11 @@
 
     /** Decides on the request that is next; the caller repeats it while it gives a step that is not to wait. */
     QueueStep next(Predicate<String> open, long now) {
-        Optional<WaitingWork> next = queue.next();
+        Optional<WaitingRequest> next = queue.next();
         if (next.isEmpty()) {
             return new QueueStep.Rest();
         }
-        WaitingWork work = next.get();
+        WaitingRequest work = next.get();
         ActiveRequest request = waiting.get(work.id()).request();
         Optional<RoutingDecision> decision = router.decide(request, estimate(request), open, now);
         return switch (policy.decide(work, decision, now)) {
@@ -109,11 +109,11 @@
         return lengths.estimate(request.kind().name(), request.kind().longestOutputTokens());
     }
 
-    private WaitingWork workOf(ActiveRequest request) {
+    private WaitingRequest workOf(ActiveRequest request) {
         LengthEstimate estimate = estimate(request);
         double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedFraction()));
         double decode = estimate.outputTokens() * speed.stepSeconds(USUAL_BATCH);
-        return new WaitingWork(
+        return new WaitingRequest(
                 request.id(),
                 request.document().team(),
                 request.kind().name(),
@@ -128,5 +128,5 @@
     }
 
     /** A request that waits, as it stands in the queue. */
-    private record Waiting(ActiveRequest request, WaitingWork work) {}
+    private record Waiting(ActiveRequest request, WaitingRequest work) {}
 }
