--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Finds since when the present mix has lasted.
+ * Detects since when the workload has had its present mix of request kinds.
  *
- * <p>Uses the generalised likelihood ratio of Poisson counts: for each possible moment of change, how much likelier the
- * counts are under two rates than under one. A plain moving average either follows a swing late or follows noise; the
- * ratio does neither, because it takes as much history as belongs to the present mix.
+ * <p>Uses the generalised likelihood ratio of Poisson counts: for each possible time of a change, how much more likely the
+ * counts are under two rates than under one. A moving average either detects a change late or reacts to noise. The
+ * likelihood ratio avoids both, because it uses exactly the history that belongs to the present mix.
  */
 final class ChangePointDetector {
     private static final double THRESHOLD = 10;
@@ -16,11 +16,11 @@
     private ChangePointDetector() {}
 
     /**
-     * Returns how many of the newest buckets belong to the present mix; all of them where no change shows.
+     * Returns how many of the newest buckets belong to the present mix; all of them if no change is detected.
      *
-     * <p>Looks at ever longer stretches: over a long one, several changes can hide each other.
+     * <p>Examines increasingly long parts of the history, because several changes in one long part can cancel out.
      *
-     * @param counts for each bucket, newest first, the requests of each kind
+     * @param counts the number of requests of each kind in each bucket, newest bucket first
      */
     static int currentMixLength(List<double[]> counts) {
         for (int length = 2 * MIN_BUCKETS; length < counts.size(); length += Math.max(2, length / 2)) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a split is worth after the present mix has ended.
+ * The expected value of a split after the present mix has ended, in weighted completed requests.
  *
- * <p>The mixes of the past are expected to come back as they were. From then on one may either keep the split, or
- * follow each mix as it comes. Following is worth the same from every split but for the first move, so a present change
- * is charged with the change back, and no more: charging it with the whole rest of the horizon would make a planner
- * that has seen one mix for long stick to it.
+ * <p>Past mixes are expected to recur unchanged. The planner can then either keep the split or adapt it to each mix. The
+ * value of adapting differs between splits only by the first transition, so a change now is charged with the transition
+ * back only. If it were charged with the rest of the horizon, a planner that has observed one mix for a long time would
+ * never change.
  */
 final class ContinuationValue {
     private static final double DETECTION_SECONDS = 2;
@@ -32,7 +32,8 @@
         this.adaptiveGoodputPerSecond = pastPeriods.isEmpty() ? 0 : adaptiveGoodput() / pastSeconds;
     }
 
-    double value(RoleSplit split) {
+    /** Returns the value of the split; 0 while too few past mixes are known. */
+    double valueOf(RoleSplit split) {
         if (pastPeriods.size() < MIN_PAST_PERIODS) {
             return 0;
         }
@@ -51,8 +52,9 @@
         double sum = 0;
         for (int index = 0; index < pastPeriods.size(); index++) {
             MixPeriod period = pastPeriods.get(index);
-            RoleSplit previous =
-                    pastPeriods.get(index == 0 ? pastPeriods.size() - 1 : index - 1).bestSplit();
+            RoleSplit previous = pastPeriods
+                    .get(index == 0 ? pastPeriods.size() - 1 : index - 1)
+                    .bestSplit();
             double goodput = model.goodputPerSecond(period.bestSplit(), period.demands()) * period.seconds();
             sum += goodput - transitionLoss(previous, period.bestSplit(), period);
         }
@@ -65,9 +67,10 @@
         }
         double targetGoodputPerSecond = model.goodputPerSecond(to, period.demands());
         double undetectedSeconds = Math.min(DETECTION_SECONDS, period.seconds());
-        double transitionSeconds = Math.min(transitionCost.unavailableSeconds(), period.seconds() - undetectedSeconds);
+        double transitionSeconds = Math.min(transitionCost.transitionSeconds(), period.seconds() - undetectedSeconds);
         return (targetGoodputPerSecond - model.goodputPerSecond(from, period.demands())) * undetectedSeconds
-                + (targetGoodputPerSecond - model.goodputPerSecond(from.duringChangeTo(to), period.demands())) * transitionSeconds
+                + (targetGoodputPerSecond - model.goodputPerSecond(from.duringChangeTo(to), period.demands()))
+                        * transitionSeconds
                 + transitionCost.price(from, to);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountBucket.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What arrived during one second, by kind. */
+/** The requests that arrived during one second, by kind. */
 final class CountBucket {
     private final long second;
     private final Map<String, KindTotals> totalsByKind = new HashMap<>();
@@ -12,6 +12,7 @@
         this.second = number;
     }
 
+    /** Returns the second on the monotonic clock that the bucket covers. */
     long second() {
         return second;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The counts of the last minutes in buckets of one second, summed over all entries. */
+/** The counts of the last three minutes in buckets of one second, summed over all entries. */
 final class CountWindow {
     private static final long BUCKET_NANOSECONDS = 1_000_000_000L;
     private static final int MAX_BUCKETS = 180;
@@ -15,7 +15,7 @@
     private final Map<String, Long> lastSequences = new HashMap<>();
     private final Map<String, Long> reportedUntil = new HashMap<>();
 
-    /** Adds a report; one that came before, or that makes no sense, is dropped. */
+    /** Adds a report; returns {@code false} if it is invalid or not newer than the last one, in which case it is ignored. */
     boolean add(WorkCounts counts) {
         boolean valid = counts.toNanoseconds() > counts.fromNanoseconds()
                 && counts.kinds().stream().allMatch(CountWindow::isValid);
@@ -30,9 +30,14 @@
         return true;
     }
 
-    /** Returns until when every entry that still reports has reported; entries silent for long are forgotten. */
+    /**
+     * Returns the time until which all entries have reported, or {@link Long#MIN_VALUE} if there is no entry. Entries whose
+     * last report is older than {@code forgetAfterNanoseconds} are removed first.
+     */
     long completeUntil(long now, long forgetAfterNanoseconds) {
-        reportedUntil.values().removeIf(reportedUntilNanoseconds -> now - reportedUntilNanoseconds > forgetAfterNanoseconds);
+        reportedUntil
+                .values()
+                .removeIf(reportedUntilNanoseconds -> now - reportedUntilNanoseconds > forgetAfterNanoseconds);
         return reportedUntil.values().stream().mapToLong(Long::longValue).min().orElse(Long.MIN_VALUE);
     }
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Turns the counts into the present demand, its age and its history. */
+/** Derives the present demand, its duration and its history from the counts of the entries. */
 final class DemandForecast {
     private static final long BUCKET_NANOSECONDS = 1_000_000_000L;
 
@@ -30,12 +30,12 @@
     }
 
     /**
-     * Returns what to expect; empty where no work was counted.
+     * Returns the forecast; empty if no requests were counted.
      *
-     * <p>Mixes that usually end before a change pays are taken together: their mean is what the engines see, since
-     * queues level them out. A mean over little time is lopsided, so that nothing is expected of it.
+     * <p>If mixes typically end before a role change pays off, their mean is used, because queues average them out for the
+     * engines. A mean over a short time is biased, so its remaining time is taken as 0.
      */
-    Optional<WorkloadForecast> forecast(
+    Optional<WorkloadForecast> expectedWorkload(
             List<KindObjective> kinds,
             long completeUntilNanoseconds,
             double minPaybackSeconds,
@@ -54,10 +54,15 @@
         if (history.isTypicallyShorterThan(minPaybackSeconds)) {
             MixPeriod meanPeriod = mixPeriod(buckets, kinds, search);
             double remainingSeconds = meanPeriod.seconds() < MIN_MEAN_SECONDS ? 0 : meanPeriod.seconds();
-            return Optional.of(new WorkloadForecast(meanPeriod, remainingSeconds, 0, MIN_GAIN_FRACTION_FOR_MEAN, List.of()));
+            return Optional.of(
+                    new WorkloadForecast(meanPeriod, remainingSeconds, 0, MIN_GAIN_FRACTION_FOR_MEAN, List.of()));
         }
         return Optional.of(new WorkloadForecast(
-                history.currentPeriod(), history.remainingSeconds(), history.observedSeconds(), MIN_GAIN_FRACTION, history.pastPeriods()));
+                history.currentPeriod(),
+                history.remainingSeconds(),
+                history.observedSeconds(),
+                MIN_GAIN_FRACTION,
+                history.pastPeriods()));
     }
 
     private List<CountBucket> completeBuckets(long completeUntilNanoseconds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/EngineAvailability.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/EngineAvailability.java
@@ -1,17 +1,17 @@
 package org.aspenmoor.internal.planning;
 
-/** Whether an engine can work. */
+/** Whether an engine can serve requests. */
 public sealed interface EngineAvailability {
-    /** It works. */
+    /** The engine serves requests. */
     record Available() implements EngineAvailability {}
 
     /**
-     * It is on its way to another role.
+     * The engine is changing its role.
      *
-     * @param sinceNanoseconds since when
+     * @param sinceNanoseconds the start of the change, on the monotonic clock
      */
     record Changing(long sinceNanoseconds) implements EngineAvailability {}
 
-    /** It is gone, leaving, or has not reported for too long. */
+    /** The engine was removed, is being removed, or has not reported for too long. */
     record Withdrawn() implements EngineAvailability {}
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
@@ -4,16 +4,16 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 
 /**
- * Calculates the weighted goodput that a split of roles can reach for a demand.
+ * Calculates the weighted goodput that a split of engine roles can reach for a demand.
  *
- * <p>Prefill engines give engine-seconds of prefill, decode engines of decode, and whole engines of either, slowed by
- * mixing. Kinds are served in the order of their weight, as admission does, each as far as the engine-seconds left over
- * by the heavier ones reach.
+ * <p>Prefill engines provide engine-seconds of prefill, decode engines provide engine-seconds of decode, and engines that
+ * serve both provide either, slowed down by mixing the two. As in admission, kinds are served in the order of their weight,
+ * each with the engine-seconds that kinds of greater weight leave.
  */
 public final class GoodputModel {
     private static final double USABLE_DEADLINE_FRACTION = 0.7;
 
-    // An engine that does both also runs its decode steps over smaller batches, which costs about as much again.
+    // An engine that serves both stages also has smaller decode batches, which costs about as much again.
     private static final double MIXING_PENALTY_FACTOR = 2;
 
     private final PlannerSettings settings;
@@ -22,18 +22,18 @@
         this.settings = settings;
     }
 
-    /** Returns the engine-seconds of prefill of so many prompt tokens. */
+    /** Returns the engine-seconds needed for the prefill of so many prompt tokens. */
     public double prefillSeconds(double promptTokens) {
         return settings.speed().prefillSeconds(promptTokens);
     }
 
-    /** Returns the engine-seconds of decode of so many answer tokens, at the batch that decode is priced at. */
+    /** Returns the engine-seconds needed for the decode of so many answer tokens, at the assumed batch size. */
     public double decodeSeconds(double outputTokens) {
         EngineSpeed speed = settings.speed();
         return outputTokens * speed.stepSeconds(settings.decodeBatch()) / settings.decodeBatch();
     }
 
-    /** Returns the demand of one kind with so many requests a second of these mean lengths. */
+    /** Returns the demand of a kind for an arrival rate and mean lengths in tokens. */
     public KindDemand demand(KindObjective kind, double requestsPerSecond, double promptTokens, double outputTokens) {
         double answerSeconds = outputTokens * settings.speed().stepSeconds(settings.decodeBatch());
         double usableSeconds = USABLE_DEADLINE_FRACTION * kind.deadlineSeconds();
@@ -45,7 +45,7 @@
                 Math.max(0, 1 - answerSeconds / usableSeconds));
     }
 
-    /** Returns the weighted goodput a second; the demand must be sorted by falling weight. */
+    /** Returns the weighted goodput per second; {@code demands} must be sorted by falling weight. */
     public double goodputPerSecond(RoleSplit split, List<KindDemand> demands) {
         double prefill = split.prefill() * settings.utilisation();
         double decode = split.decode() * settings.utilisation();
@@ -53,8 +53,9 @@
         double combinedPrefill = combined * maxPrefillFraction(demands);
         double goodput = 0;
         for (KindDemand demand : demands) {
-            double served =
-                    Math.min(servedPerSecond(demand, prefill, decode, combined), maxPrefillRate(demand, prefill, combinedPrefill));
+            double served = Math.min(
+                    servedPerSecond(demand, prefill, decode, combined),
+                    maxPrefillRate(demand, prefill, combinedPrefill));
             double prefillWork = served * demand.prefillSeconds();
             double decodeWork = served * demand.decodeSeconds();
             combinedPrefill = Math.max(0, combinedPrefill - combinedWork(prefillWork - prefill, 0));
@@ -66,7 +67,10 @@
         return goodput;
     }
 
-    /** Prompts computed on an engine slow every answer that it generates, so the most urgent kind sets the bound. */
+    /**
+     * Returns the fraction of time for prefill on engines that serve both stages. Prefill delays all answers of an engine,
+     * so the kind with the least slack sets the limit.
+     */
     private static double maxPrefillFraction(List<KindDemand> demands) {
         double minFraction = 1;
         for (KindDemand demand : demands) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindCount.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindCount.java
@@ -1,12 +1,12 @@
 package org.aspenmoor.internal.planning;
 
 /**
- * What arrived of one kind.
+ * The requests of one kind that arrived during an interval.
  *
  * @param kind the kind
- * @param requests how many requests, refused ones included
- * @param promptTokens their prompt tokens that no cache covers
- * @param outputTokens their expected answer tokens
- * @param refused how many of them were refused
+ * @param requests the number of requests, including refused ones
+ * @param promptTokens the total of their prompt tokens that are not cached
+ * @param outputTokens the total of their expected answer tokens
+ * @param refused the number of refused requests
  */
 public record KindCount(String kind, long requests, long promptTokens, long outputTokens, long refused) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindObjective.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindObjective.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.planning;
 
 /**
- * How much a kind counts.
+ * The weight and the objective deadline of a kind.
  *
  * @param kind the kind
- * @param weight how much one completed request counts
- * @param deadlineSeconds within which the whole answer is useful
+ * @param weight the value of one completed request
+ * @param deadlineSeconds the time within which the answer must be complete
  */
 public record KindObjective(String kind, double weight, double deadlineSeconds) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindTotals.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/KindTotals.java
@@ -1,11 +1,11 @@
 package org.aspenmoor.internal.planning;
 
 /**
- * Sums over one kind.
+ * Totals of one kind.
  *
- * @param requests requests
- * @param promptTokens prompt tokens
- * @param outputTokens answer tokens
+ * @param requests the number of requests
+ * @param promptTokens the number of prompt tokens
+ * @param outputTokens the number of answer tokens
  */
 record KindTotals(double requests, double promptTokens, double outputTokens) {
     static final KindTotals NONE = new KindTotals(0, 0, 0);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixPeriod.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixPeriod.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * A stretch of time over which the mix did not change.
+ * A period in which the mix of request kinds did not change.
  *
- * @param firstSecond the first second of it
- * @param seconds how long it is
- * @param countedSeconds over how many of these seconds the demand was counted
- * @param demands its demand, by falling weight
- * @param bestSplit the split that suits it best, costs aside
+ * @param firstSecond the first second of the period, on the monotonic clock
+ * @param seconds the duration
+ * @param countedSeconds the number of these seconds in which the demand was counted
+ * @param demands the demand of each kind, sorted by falling weight
+ * @param bestSplit the split with the greatest goodput, regardless of transition costs
  */
-record MixPeriod(long firstSecond, double seconds, double countedSeconds, List<KindDemand> demands, RoleSplit bestSplit) {
+record MixPeriod(
+        long firstSecond, double seconds, double countedSeconds, List<KindDemand> demands, RoleSplit bestSplit) {
     MixPeriod {
         demands = List.copyOf(demands);
     }
 
-    /** Returns the share of prefill in the work. */
+    /** Returns the fraction of prefill in the engine-seconds of the demand, 0 to 1. */
     double prefillFraction() {
         double prefill = 0;
         double work = 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
@@ -3,20 +3,20 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * An engine as the planner sees it.
+ * The state of an engine that planning depends on.
  *
- * @param name its name
- * @param role the role it has or is changing to
- * @param availability whether it can work
- * @param runningSequences how many answers it is generating, which must end or move before it can change
+ * @param name the name of the engine
+ * @param role the role that the engine has or is changing to
+ * @param availability whether it can serve requests
+ * @param runningSequences the number of running sequences, which must end or move to other engines before a role change
  */
 public record PlannedEngine(String name, EngineRole role, EngineAvailability availability, int runningSequences) {
-    /** Says whether the engine works now. */
+    /** Returns whether the engine serves requests now. */
     public boolean isAvailable() {
         return availability instanceof EngineAvailability.Available;
     }
 
-    /** Says whether the engine works now or will after its change. */
+    /** Returns whether the engine serves requests now or will do so after its role change. */
     public boolean countsTowardSplit() {
         return !(availability instanceof EngineAvailability.Withdrawn);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannerSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannerSettings.java
@@ -3,14 +3,14 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 
 /**
- * What a planner is tuned by.
+ * Settings of a {@link RolePlanner}.
  *
- * @param speed how fast engines are assumed to work
- * @param decodeBatch the batch at which decode work is priced
- * @param utilisation the share of an engine's time that planned work may fill
- * @param horizonSeconds how far ahead a change must have paid
- * @param maxUnavailableFraction the share of the engines that may be away at once
- * @param staleSeconds counts older than this make the planner stand still
+ * @param speed the assumed speed of engines
+ * @param decodeBatch the assumed batch size of decode, in sequences
+ * @param utilisation the fraction of the time of an engine that planned work may use
+ * @param horizonSeconds the time within which a role change must pay off
+ * @param maxUnavailableFraction the maximum fraction of the engines that are unavailable at the same time
+ * @param staleSeconds the maximum age of the counts; with older counts the planner keeps all roles
  */
 public record PlannerSettings(
         EngineSpeed speed,
@@ -25,7 +25,7 @@
     private static final double DEFAULT_MAX_UNAVAILABLE_FRACTION = 0.75;
     private static final double DEFAULT_STALE_SECONDS = 5;
 
-    /** Returns the settings that the policy bench was tuned with. */
+    /** Returns the default settings. */
     public static PlannerSettings defaults() {
         return new PlannerSettings(
                 EngineSpeed.defaults(),
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlanningInput.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlanningInput.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What one planning round knows.
+ * The input of one planning round.
  *
  * @param engines all engines of the service in the data centre
- * @param kinds the kinds of the team's document with their weights
- * @param costs what a change takes
+ * @param kinds the kinds that the document of the team declares
+ * @param costs the cost of a role change
  */
 public record PlanningInput(List<PlannedEngine> engines, List<KindObjective> kinds, RoleChangeCosts costs) {
     public PlanningInput {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** Picks the engines that change, so that one split becomes another. */
+/** Selects the engines that change their role in a transition from one split to another. */
 public final class RoleAssignment {
     private RoleAssignment() {}
 
-    /** Returns the changes; engines that generate the fewest answers move first, because they drain soonest. */
+    /** Returns the role changes; engines with the fewest running sequences are chosen first, because they drain soonest. */
     public static List<RoleChange> changes(List<PlannedEngine> engines, RoleSplit from, RoleSplit to) {
         Map<EngineRole, Integer> missing = new EnumMap<>(EngineRole.class);
         for (EngineRole role : EngineRole.values()) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChange.java
@@ -3,10 +3,10 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * One engine's move.
+ * The role change of one engine.
  *
- * @param engine the engine
- * @param from its role now
- * @param to its role to be
+ * @param engine the name of the engine
+ * @param from the present role
+ * @param to the new role
  */
 public record RoleChange(String engine, EngineRole from, EngineRole to) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChangeCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleChangeCosts.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.planning;
 
 /**
- * What a role change takes.
+ * The costs of a role change.
  *
- * @param unavailableSeconds how long the engine is away
- * @param drainSeconds how long it serves less before, while its answers end or move
- * @param price the team's own price for one change, in weighted completed requests
+ * @param unavailableSeconds how long the engine serves no requests
+ * @param drainSeconds how long the engine serves fewer requests before that, while its answers end or move to others
+ * @param price the price that the team sets for one change, in weighted completed requests
  */
 public record RoleChangeCosts(double unavailableSeconds, double drainSeconds, double price) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlan.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlan.java
@@ -5,11 +5,11 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * The outcome of one planning round.
+ * The result of one planning round.
  *
- * @param roles the role of every engine that was planned for
- * @param changes those that differ from now
- * @param reason one sentence for an operator: why these changes, or why none
+ * @param roles the planned role of each engine, by engine name
+ * @param changes the changes from the present roles
+ * @param reason why the plan has these changes or none, for operators
  */
 public record RolePlan(Map<String, EngineRole> roles, List<RoleChange> changes, String reason) {
     public RolePlan {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
@@ -8,11 +8,11 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * Plans the roles of one service's engines in one data centre. Confined to one thread.
+ * Plans the roles of the engines of one service in one data centre. Not thread-safe; confined to one thread.
  *
- * <p>A change is made only where the weighted goodput it gains over the horizon exceeds what the seconds away lose and
- * the team's price for changes. Where counts are missing, late or absurd, the planner stands still: a change made on wrong
- * counts costs seconds of an engine twice, there and back.
+ * <p>A change is made only if the weighted goodput that it gains over the horizon exceeds the loss while engines are
+ * unavailable plus the price that the team sets for changes. If counts are missing, late or invalid, all roles are kept: a
+ * change based on wrong counts makes engines unavailable twice, for the change and for its reversal.
  */
 public final class RolePlanner {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -31,20 +31,20 @@
         this.forecast = new DemandForecast(model);
     }
 
-    /** Takes the counts of one entry; answers whether they were used. */
+    /** Adds the counts of one entry; returns whether they were accepted. */
     public boolean observe(WorkCounts counts) {
         return forecast.observe(counts);
     }
 
-    /** Plans the roles from what was observed so far. */
+    /** Plans the roles from the counts added so far. */
     public RolePlan plan(PlanningInput input, long nowNanoseconds) {
         long completeUntil = forecast.completeUntil(nowNanoseconds, SOURCE_EXPIRY_NANOSECONDS);
         if (completeUntil == Long.MIN_VALUE) {
-            return keepRoles(input, "No counts have come in.");
+            return keepRoles(input, "No counts were received.");
         }
         double ageSeconds = (nowNanoseconds - completeUntil) / NANOSECONDS_PER_SECOND;
         if (ageSeconds > settings.staleSeconds()) {
-            return keepRoles(input, String.format(Locale.ROOT, "The counts are %.1f s old.", ageSeconds));
+            return keepRoles(input, String.format(Locale.ROOT, "The counts are stale: %.1f s old.", ageSeconds));
         }
         RoleSplit available = split(input, false);
         RoleSplit current = split(input, true);
@@ -55,31 +55,35 @@
                 new SplitSearch(split -> split.servesBothStages() && split.hasNoIdleStage(), splitValue).best(current);
         double minPaybackSeconds = MIN_PAYBACK_FACTOR
                 * (input.costs().unavailableSeconds() + input.costs().drainSeconds());
-        return forecast.forecast(input.kinds(), completeUntil, minPaybackSeconds, bestSplitFinder)
+        return forecast.expectedWorkload(input.kinds(), completeUntil, minPaybackSeconds, bestSplitFinder)
                 .map(workload -> search(input, workload, available, current))
-                .orElseGet(() -> keepRoles(input, "No work has arrived."));
+                .orElseGet(() -> keepRoles(input, "No requests have arrived."));
     }
 
     private RolePlan search(PlanningInput input, WorkloadForecast workload, RoleSplit available, RoleSplit current) {
         TransitionCost transitionCost = new TransitionCost(model, input.costs());
         double remainingSeconds = Math.min(settings.horizonSeconds(), workload.remainingSeconds());
-        double continuationSeconds = Math.min(settings.horizonSeconds() - remainingSeconds, workload.continuationSeconds());
-        ContinuationValue continuation = new ContinuationValue(model, transitionCost, workload.pastPeriods(), continuationSeconds);
-        SplitValue value = new SplitValue(transitionCost, current, workload.currentPeriod(), remainingSeconds, continuation);
-        SplitSearch search = new SplitSearch(allowedSplits(input, available, current), value::value);
+        double continuationSeconds =
+                Math.min(settings.horizonSeconds() - remainingSeconds, workload.continuationSeconds());
+        ContinuationValue continuation =
+                new ContinuationValue(model, transitionCost, workload.pastPeriods(), continuationSeconds);
+        SplitValue value =
+                new SplitValue(transitionCost, current, workload.currentPeriod(), remainingSeconds, continuation);
+        SplitSearch search = new SplitSearch(allowedSplits(input, available, current), value::valueOf);
         RoleSplit best = search.best(current);
-        double gain = value.value(best) - value.value(current);
+        double gain = value.valueOf(best) - value.valueOf(current);
         double minGain = workload.minGainFraction()
-                        * model.goodputPerSecond(current, workload.currentPeriod().demands())
+                        * model.goodputPerSecond(
+                                current, workload.currentPeriod().demands())
                         * remainingSeconds
                 + MIN_GAIN_FRACTION_OF_PRICE * transitionCost.price(current, best);
         if (best.equals(current) || gain <= minGain) {
-            return keepRoles(input, "No change pays for itself; " + current + ".");
+            return keepRoles(input, "No change gains more than it costs; the split stays at " + current + ".");
         }
         String reason = String.format(
                 Locale.ROOT,
                 "From %s to %s: gains %.1f weighted requests after all costs; the mix has lasted %.0f s"
-                        + " and is expected to last %.0f s on.",
+                        + " and is expected to last another %.0f s.",
                 current,
                 best,
                 gain,
@@ -101,7 +105,7 @@
                 && canRunCurrentSequences(runningSequences, current, split);
     }
 
-    /** While engines change, those that stay and work must still serve both stages. */
+    /** Returns whether the available engines that keep their role serve both stages while the others change. */
     private static boolean keepsBothStagesServed(RoleSplit available, RoleSplit current, RoleSplit split) {
         RoleSplit remaining = available;
         for (EngineRole role : EngineRole.values()) {
@@ -114,7 +118,10 @@
         return remaining.servesBothStages() || !available.servesBothStages();
     }
 
-    /** Answers that run must be taken over by engines that stay; a few may wait, since their deadlines leave slack. */
+    /**
+     * Returns whether the engines that keep their role can continue the running sequences. Some sequences may wait for a
+     * batch slot, because their deadlines leave slack.
+     */
     private boolean canRunCurrentSequences(int runningSequences, RoleSplit current, RoleSplit split) {
         RoleSplit during = current.duringChangeTo(split);
         boolean fewer = during.decode() + during.combined() < current.decode() + current.combined();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleSplit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleSplit.java
@@ -3,19 +3,19 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * How many engines have each role.
+ * The number of engines in each role.
  *
- * @param prefill engines that compute prompts
- * @param decode engines that generate answers
- * @param combined engines that do both
+ * @param prefill engines that run prefill only
+ * @param decode engines that run decode only
+ * @param combined engines that serve both prefill and decode, of the role {@link EngineRole#WHOLE}
  */
 public record RoleSplit(int prefill, int decode, int combined) {
-    /** Returns how many engines there are. */
+    /** Returns the total number of engines. */
     public int total() {
         return prefill + decode + combined;
     }
 
-    /** Returns how many engines have a role. */
+    /** Returns the number of engines in a role. */
     public int count(EngineRole role) {
         return switch (role) {
             case PREFILL -> prefill;
@@ -24,7 +24,7 @@
         };
     }
 
-    /** Returns the split with more or fewer engines of a role. */
+    /** Returns the split with so many engines of a role added; a negative number removes engines. */
     public RoleSplit plus(EngineRole role, int engines) {
         return switch (role) {
             case PREFILL -> new RoleSplit(prefill + engines, decode, combined);
@@ -33,25 +33,25 @@
         };
     }
 
-    /** Returns how many engines change on the way to another split of as many engines. */
+    /** Returns how many engines change their role in a transition to another split with the same total. */
     public int changesTo(RoleSplit other) {
         return Math.max(0, other.prefill - prefill)
                 + Math.max(0, other.decode - decode)
                 + Math.max(0, other.combined - combined);
     }
 
-    /** Returns what works while the engines that change are away. */
+    /** Returns the engines that stay available during a transition to another split. */
     public RoleSplit duringChangeTo(RoleSplit other) {
         return new RoleSplit(
                 Math.min(prefill, other.prefill), Math.min(decode, other.decode), Math.min(combined, other.combined));
     }
 
-    /** Says whether both stages of a request can run. */
+    /** Returns whether both stages of a request can run. */
     public boolean servesBothStages() {
         return combined > 0 || (prefill > 0 && decode > 0);
     }
 
-    /** Says whether no engine waits for a stage that nobody does. */
+    /** Returns whether no engine is idle for lack of engines that run the other stage. */
     public boolean hasNoIdleStage() {
         return (prefill == 0) == (decode == 0) || combined > 0;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
@@ -5,14 +5,14 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * Finds the best split: all of them for a small fleet, else by moving ever smaller groups of engines between roles for
- * as long as that helps.
+ * Finds the split with the greatest value: exhaustively for a small fleet, otherwise by a local search that moves groups
+ * of engines between roles, with decreasing group sizes, as long as the value increases.
  */
 final class SplitSearch {
     private static final int MAX_ENGINES_EXHAUSTIVE = 16;
     private static final EngineRole[] ROLES = EngineRole.values();
 
-    /** Finds the best split of a fleet for any value. */
+    /** Finds the best split of a fleet for a value function. */
     @FunctionalInterface
     interface Finder {
         RoleSplit best(ToDoubleFunction<RoleSplit> value);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What moving to a split is worth, in weighted completed requests: the goodput until the present mix is expected to end,
- * less the price of the changes, plus what the split is worth after that.
+ * The value of a transition to a split, in weighted completed requests: the goodput until the expected end of the present
+ * mix, minus the price of the changes, plus the {@link ContinuationValue} of the split.
  *
- * <p>The present demand is tried higher and lower by its statistical error too, so that a split that only suits the
- * exact mean does not win.
+ * <p>The goodput is also calculated for a demand above and below the mean by its statistical error, so that a split which is
+ * good only for exactly the mean is not preferred.
  */
 final class SplitValue {
     private static final double STANDARD_DEVIATIONS = 1.2;
@@ -35,12 +35,12 @@
         this.lowerDemands = shifted(period, -STANDARD_DEVIATIONS);
     }
 
-    double value(RoleSplit split) {
+    double valueOf(RoleSplit split) {
         double goodput = (2 * transitionCost.goodput(current, split, meanDemands, currentMixSeconds)
                         + transitionCost.goodput(current, split, higherDemands, currentMixSeconds)
                         + transitionCost.goodput(current, split, lowerDemands, currentMixSeconds))
                 / 4;
-        return goodput - transitionCost.price(current, split) + continuation.value(split);
+        return goodput - transitionCost.price(current, split) + continuation.valueOf(split);
     }
 
     private static List<KindDemand> shifted(MixPeriod period, double deviations) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/TransitionCost.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/TransitionCost.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What moving from one split to another loses, in weighted completed requests. */
+/** The cost of a transition from one split to another, in weighted completed requests. */
 final class TransitionCost {
     private final GoodputModel model;
     private final RoleChangeCosts costs;
@@ -12,18 +12,22 @@
         this.costs = costs;
     }
 
-    double unavailableSeconds() {
+    /** Returns how long a changing engine is unavailable, including the drain. */
+    double transitionSeconds() {
         return costs.drainSeconds() + costs.unavailableSeconds();
     }
 
+    /** Returns the price that the team sets for the role changes. */
     double price(RoleSplit from, RoleSplit to) {
         return costs.price() * from.changesTo(to);
     }
 
-    /** Returns the goodput of a stretch of time that begins with the move. */
+    /** Returns the goodput of a period of so many seconds that begins with the transition. */
     double goodput(RoleSplit from, RoleSplit to, List<KindDemand> demands, double seconds) {
-        double unavailableSeconds = from.equals(to) ? 0 : Math.min(seconds, unavailableSeconds());
-        double goodput = model.goodputPerSecond(to, demands) * (seconds - unavailableSeconds);
-        return unavailableSeconds > 0 ? goodput + model.goodputPerSecond(from.duringChangeTo(to), demands) * unavailableSeconds : goodput;
+        double transitionSeconds = from.equals(to) ? 0 : Math.min(seconds, transitionSeconds());
+        double goodput = model.goodputPerSecond(to, demands) * (seconds - transitionSeconds);
+        return transitionSeconds > 0
+                ? goodput + model.goodputPerSecond(from.duringChangeTo(to), demands) * transitionSeconds
+                : goodput;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkCounts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkCounts.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What arrived at one entry during one interval.
+ * The requests that arrived at one entry during one interval.
  *
- * <p>The interval is on the planner's monotonic clock. Where counts come from another process, whose clock has another
- * zero, the receiver sets the end to the moment of arrival and the start to the end of the report before.
+ * <p>The interval is on the monotonic clock of the planner. For counts from another process, whose clock has another origin,
+ * the receiver sets the end to the time of receipt and the start to the end of the previous report.
  *
- * @param source the entry
- * @param sequence counts up with every report of the entry
+ * @param source the name of the entry
+ * @param sequence sequence number, which increases with each report of the entry
  * @param fromNanoseconds the start of the interval
- * @param toNanoseconds its end
+ * @param toNanoseconds the end of the interval
  * @param kinds the counts by kind
  */
 public record WorkCounts(
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkloadForecast.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkloadForecast.java
@@ -3,16 +3,20 @@
 import java.util.List;
 
 /**
- * What the planner expects.
+ * The expected workload.
  *
- * @param currentPeriod the present mix
- * @param remainingSeconds how long it will probably last on
- * @param continuationSeconds how far ahead beyond that to look: no further than was seen back
- * @param minGainFraction the share of the present goodput that a change must gain at least
- * @param pastPeriods the mixes that may come back after it
+ * @param currentPeriod the present mix and its demand
+ * @param remainingSeconds the expected remaining duration of the present mix
+ * @param continuationSeconds how far to look ahead after the present mix; at most as far as the history reaches back
+ * @param minGainFraction the minimum gain of a change, as a fraction of the present goodput
+ * @param pastPeriods the previous mixes, which may recur
  */
 record WorkloadForecast(
-        MixPeriod currentPeriod, double remainingSeconds, double continuationSeconds, double minGainFraction, List<MixPeriod> pastPeriods) {
+        MixPeriod currentPeriod,
+        double remainingSeconds,
+        double continuationSeconds,
+        double minGainFraction,
+        List<MixPeriod> pastPeriods) {
     WorkloadForecast {
         pastPeriods = List.copyOf(pastPeriods);
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/package-info.java
@@ -1,2 +1,5 @@
-/** Decides which engine has which role, from a forecast of the work and what a change costs. */
+/**
+ * Planning of engine roles: decides which engine has which role, from a forecast of the demand and the cost of role
+ * changes.
+ */
 package org.aspenmoor.internal.planning;
