--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -11,7 +11,8 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.RequestId;
 
-/* * The bounded wait queue of one service. Not thread-safe; confined to one thread.
+/**
+ * The bounded wait queue of one service. Not thread-safe; confined to one thread.
  *
  * <p>Teams are served by start-time fair queuing over engine-seconds. Within a team, the request with the greater weight
  * goes first, then the one with the earlier deadline. A request that cannot finish in time at the measured service rate is
@@ -34,7 +35,8 @@
         this.serviceRate = new ServiceRate(settings.initialRate(), settings.rateSmoothingSeconds());
     }
 
-    /*     * Offers a request. A queued or admitted request stays in the queue until {@link #markDispatched},
+    /**
+     * Offers a request. A queued or admitted request stays in the queue until {@link #markDispatched},
      * {@link #removeRefused}, {@link #cancel} or {@link #evict}. Call {@link #evict} after each offer and refuse the
      * requests that it returns.
      */
@@ -117,7 +119,8 @@
         return size;
     }
 
-    /*     * Returns the measured service rate in engine-seconds per second, but at least half of the initial rate. During a role
+    /**
+     * Returns the measured service rate in engine-seconds per second, but at least half of the initial rate. During a role
      * change the measured rate drops for some seconds; without the lower bound, requests would be refused that the engines
      * can serve shortly after.
      */
@@ -211,7 +214,8 @@
         return new AdmissionDecision.Refused(
                 RefusalReason.OVERLOADED,
                 retryAfter(waitSeconds),
-                settings.maxWaiting() + " requests are already waiting, and this one would be the first to be evicted.");
+                settings.maxWaiting()
+                        + " requests are already waiting, and this one would be the first to be evicted.");
     }
 
     private static Duration retryAfter(double seconds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionSettings.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.admission;
 
-/* * Settings of an {@link AdmissionQueue}.
+/**
+ * Settings of an {@link AdmissionQueue}.
  *
  * @param maxWaiting the maximum number of waiting requests
  * @param initialRate the service rate assumed before the first measurement, in engine-seconds per second
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
@@ -6,7 +6,8 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/* * Decides whether the next request of the queue is sent now.
+/**
+ * Decides whether the next request of the queue is sent now.
  *
  * <p>Requests wait in this queue and not at the engines, because only this queue orders all requests by weight: in a long
  * engine queue, requests of low weight would run before requests of greater weight that arrive shortly after them.
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimate.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.admission;
 
-/* * Expected lengths of a request.
+/**
+ * Expected lengths of a request.
  *
  * @param promptTokens the mean prompt length
  * @param outputTokens the mean answer length
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
@@ -3,7 +3,8 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/* * Estimates the lengths of prompts and answers of each kind from answered requests.
+/**
+ * Estimates the lengths of prompts and answers of each kind from answered requests.
  *
  * <p>Means and variances are exponentially weighted and adapt to a change within some dozens of requests. Before the first
  * answer of a kind, a quarter of the maximum answer length is assumed.
@@ -17,7 +18,8 @@
 
     /** Records the lengths of an answered request and how many tokens of its prompt were cached. */
     public void observe(String kind, int promptTokens, int cachedTokens, int outputTokens) {
-        statisticsByKind.computeIfAbsent(kind, name -> new LengthStatistics(WINDOW_REQUESTS))
+        statisticsByKind
+                .computeIfAbsent(kind, name -> new LengthStatistics(WINDOW_REQUESTS))
                 .add(promptTokens, cachedTokens, outputTokens);
     }
 
@@ -25,7 +27,8 @@
     public LengthEstimate estimate(String kind, int maxOutputTokens) {
         LengthStatistics statistics = statisticsByKind.get(kind);
         if (statistics == null) {
-            double initialTokens = maxOutputTokens > 0 ? maxOutputTokens * INITIAL_FRACTION_OF_MAX : INITIAL_TOKENS_WITHOUT_MAX;
+            double initialTokens =
+                    maxOutputTokens > 0 ? maxOutputTokens * INITIAL_FRACTION_OF_MAX : INITIAL_TOKENS_WITHOUT_MAX;
             return new LengthEstimate(0, initialTokens, maxOutputTokens > 0 ? maxOutputTokens : 2 * initialTokens, 0);
         }
         LengthEstimate estimate = statistics.estimate();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/ServiceRate.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.admission;
 
-/* * Measures the rate at which work leaves the queue while requests wait, in engine-seconds per second.
+/**
+ * Measures the rate at which work leaves the queue while requests wait, in engine-seconds per second.
  *
  * <p>Only times with a backlog are measured. Without a backlog, the rate is that of the arrivals and would be too low.
  */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/WaitingRequest.java
@@ -2,7 +2,8 @@
 
 import org.aspenmoor.RequestId;
 
-/* * The properties of a request that admission depends on.
+/**
+ * The properties of a request that admission depends on.
  *
  * @param id the request id
  * @param team the team that the request is accounted to
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
@@ -49,8 +49,7 @@
         AdmissionDecision.Refused refused = (AdmissionDecision.Refused) decision;
         assertEquals(refused.reason(), RefusalReason.CANNOT_FINISH_IN_TIME);
         assertTrue(
-                refused.retryAfter().toMillis() >= 4_000,
-                refused.retryAfter().toString());
+                refused.retryAfter().toMillis() >= 4_000, refused.retryAfter().toString());
         assertEquals(queue.size(), 1);
     }
 
@@ -64,8 +63,8 @@
         assertTrue(late.retryAfter().compareTo(early.retryAfter()) > 0);
     }
 
-    // Later requests of greater weight go ahead of a waiting request, which may then miss its deadline. Its caller must be
-    // refused now and not after the deadline.
+    // Later requests of greater weight go ahead of a waiting request, which may then miss its deadline. Its caller
+    // must be refused now and not after the deadline.
     @Test
     public void should_evict_waiting_work_when_heavier_work_makes_it_miss_its_deadline() {
         queue.offer(request("team", 5, 60, 2), 0);
@@ -105,8 +104,8 @@
         assertEquals(refused.reason(), RefusalReason.OVERLOADED);
     }
 
-    // One team sends far more requests than another. Without fair queuing its requests would fill the queue, and the other
-    // team would be refused.
+    // One team sends far more requests than another. Without fair queuing its requests would fill the queue, and the
+    // other team would be refused.
     @Test
     public void should_serve_teams_equally_when_one_team_floods_the_queue() {
         queue.offer(request("flooding", 9, 600, 1), 0);
