--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEventSequence.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/CacheEventSequence.java
@@ -21,7 +21,7 @@
         return gap;
     }
 
-        /** Invalidates all entries of the engine. */
+    /** Invalidates all entries of the engine. */
     void invalidateAll() {
         generation++;
         oldestTrustedGeneration = generation;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/DisaggregationPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/DisaggregationPolicy.java
@@ -18,7 +18,8 @@
         if (prefill.get().engine() == decode.get().engine()) {
             return combined.map(estimate -> singleEngine(estimate, OptionalDouble.empty()));
         }
-        double disaggregatedFinishSeconds = prefill.get().prefillFinishSeconds() + decode.get().answerSeconds();
+        double disaggregatedFinishSeconds =
+                prefill.get().prefillFinishSeconds() + decode.get().answerSeconds();
         double disaggregatedScore = prefill.get().score() + decode.get().score();
         if (combined.isPresent() && combined.get().score() <= disaggregatedScore) {
             return combined.map(estimate -> singleEngine(estimate, OptionalDouble.of(disaggregatedFinishSeconds)));
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeed.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeed.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/* * The assumed speed of an engine.
+/**
+ * The assumed speed of an engine.
  *
  * @param prefillTokensPerSecond prefill rate of an otherwise idle engine
  * @param decodeStepSeconds duration of a decode step with an empty batch
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineSpeedReader.java
@@ -26,7 +26,8 @@
                 fields.decimal("mixingSlowdown", 0, MAX_SLOWDOWN, defaults.mixingSlowdown()),
                 fields.integer("chunkTokens", 1, MAX_CHUNK_TOKENS, defaults.chunkTokens()),
                 fields.decimal("transferSeconds", 0, 1, defaults.transferSeconds()),
-                fields.decimal("transferTokensPerSecond", 1, MAX_TOKENS_PER_SECOND, defaults.transferTokensPerSecond()));
+                fields.decimal(
+                        "transferTokensPerSecond", 1, MAX_TOKENS_PER_SECOND, defaults.transferTokensPerSecond()));
         fields.refuseUnknownFields();
         return read;
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
@@ -6,7 +6,8 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/* * The state of one engine as known to a router: the last report, extrapolated to the present with the changes made by
+/**
+ * The state of one engine as known to a router: the last report, extrapolated to the present with the changes made by
  * this router and the estimated requests of other entries since then.
  *
  * <p>Reports arrive late. Without the local changes, a router would send requests to one engine until the next report
@@ -47,7 +48,8 @@
      *
      * @return {@code false} if the report is older than the last one and was ignored
      */
-    boolean applyReport(EngineLoad newLoad, EngineRole newRole, boolean newReady, Set<String> newLoaded, long measuredAt) {
+    boolean applyReport(
+            EngineLoad newLoad, EngineRole newRole, boolean newReady, Set<String> newLoaded, long measuredAt) {
         if (newLoad.sequence() < load.sequence() && measuredAt <= reportMeasuredAt) {
             return false;
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/LocalLoadChange.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/LocalLoadChange.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/* * A change of the load of an engine that this router caused and that the last report may not include yet.
+/**
+ * A change of the load of an engine that this router caused and that the last report may not include yet.
  *
  * @param atNanoseconds the time of the change
  * @param prefillTokens prompt tokens added to the prefill queue
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/OutstandingRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/OutstandingRequest.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/* * A request that was sent and has not ended.
+/**
+ * A request that was sent and has not ended.
  *
  * @param engine the name of the engine that runs decode
  */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PoolKey.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PoolKey.java
@@ -2,7 +2,8 @@
 
 import org.aspenmoor.internal.engine.EngineRole;
 
-/* * The common properties of the engines in one {@link EnginePool}.
+/**
+ * The common properties of the engines in one {@link EnginePool}.
  *
  * @param loaded the model or adapter in memory
  * @param role the role of the engines
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixChain.java
@@ -2,7 +2,8 @@
 
 import java.util.Arrays;
 
-/* * The prefix of a prompt that other prompts may share, as hashes of its cache blocks.
+/**
+ * The prefix of a prompt that other prompts may share, as hashes of its cache blocks.
  *
  * <p>Each hash covers its block and all blocks before it, so equal hashes mean equal prefixes.
  */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
@@ -5,7 +5,8 @@
 import java.util.List;
 import java.util.Map;
 
-/* * A bounded index of the cache blocks that engines probably hold. Its entries are hints and may be wrong.
+/**
+ * A bounded index of the cache blocks that engines probably hold. Its entries are hints and may be wrong.
  *
  * <p>Cache events arrive late and some get lost. A lost event may have removed blocks, and a request routed by an outdated
  * entry needs a complete prefill on a busy engine, which shows as a falling cache hit rate of that engine. Therefore a gap
@@ -32,7 +33,8 @@
         }
         boolean gap = eventSequence.advanceTo(sequence);
         switch (event) {
-            case CacheEvent.Stored stored -> stored.hashes().forEach(hash -> addHolder(hash, engine, eventSequence.generation()));
+            case CacheEvent.Stored stored ->
+                stored.hashes().forEach(hash -> addHolder(hash, engine, eventSequence.generation()));
             case CacheEvent.Removed removed -> removed.hashes().forEach(hash -> removeHolder(hash, engine));
             case CacheEvent.Cleared cleared -> eventSequence.invalidateAll();
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
@@ -13,7 +13,8 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/* * Chooses the engine or the pair of engines that serves a request. Not thread-safe; confined to one thread.
+/**
+ * Chooses the engine or the pair of engines that serves a request. Not thread-safe; confined to one thread.
  *
  * <p>A decision compares a random sample of engines and the engines that probably cache the prefix of the prompt. If all
  * engines were compared, all entries with the same outdated report would choose the same engine, which would receive a
@@ -88,7 +89,8 @@
         return engines.containsKey(engineName) && prefixes.apply(engineName, sequence, event);
     }
 
-    /*     * Chooses the accepted engine, or pair of engines, with the lowest score, which is the expected finish plus the delay
+    /**
+     * Chooses the accepted engine, or pair of engines, with the lowest score, which is the expected finish plus the delay
      * caused to running requests. An engine that serves both prefill and decode may also take one stage of a pair.
      */
     public Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long nowNanoseconds) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RouterSettings.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RouterSettings.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/* * Settings of a {@link Router}.
+/**
+ * Settings of a {@link Router}.
  *
  * @param speed the assumed speed of engines
  * @param dataCentre the data centre the router runs in
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
@@ -4,7 +4,8 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 
-/* * The engines chosen for a request, with the expected durations.
+/**
+ * The engines chosen for a request, with the expected durations.
  *
  * @param engine the name of the engine that runs decode
  * @param prefillEngine the name of the engine that runs prefill and hands its cache off to {@code engine}; empty if one engine
@@ -35,7 +36,8 @@
                 .map(prefill -> "prefill on " + prefill + ", decode on " + engine)
                 .orElse("prefill and decode on " + engine);
         String alternative = alternativeFinishSeconds.isPresent()
-                ? String.format(Locale.ROOT, "the alternative would finish in %.3f s", alternativeFinishSeconds.getAsDouble())
+                ? String.format(
+                        Locale.ROOT, "the alternative would finish in %.3f s", alternativeFinishSeconds.getAsDouble())
                 : "no alternative is available";
         return String.format(
                 Locale.ROOT,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingRequest.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingRequest.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 import org.aspenmoor.RequestId;
 
-/* * The properties of a request that routing depends on.
+/**
+ * The properties of a request that routing depends on.
  *
  * @param id the request
  * @param model the model and version, in the form {@code MODEL@VERSION} that engines use
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.routing;
 
-/* * The expected durations of a request, or of one stage of it, on one engine.
+/**
+ * The expected durations of a request, or of one stage of it, on one engine.
  *
  * @param engine the engine
  * @param waitSeconds expected wait before the engine starts
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
@@ -40,7 +40,12 @@
         double wait = overheadSeconds(engine, request) + engine.backlogTokens(now) / rate;
         double computeSeconds = (request.promptTokens() - cached) / rate;
         return new StageEstimate(
-                engine, wait, wait + computeSeconds, 0, cached, interferenceSeconds(engine, request.promptTokens() - cached, now));
+                engine,
+                wait,
+                wait + computeSeconds,
+                0,
+                cached,
+                interferenceSeconds(engine, request.promptTokens() - cached, now));
     }
 
     /** Returns the estimate for decode only, after the handoff of the cache. */
@@ -79,14 +84,17 @@
         return steps + Math.min(queuedChunks, request.expectedOutputTokens()) * chunkSeconds;
     }
 
-    /*     * Returns the expected wait for a slot in the batch, assuming that slots become free at an even rate.
+    /**
+     * Returns the expected wait for a slot in the batch, assuming that slots become free at an even rate.
      *
      * <p>The last slots of a batch are reserved for requests with the greatest recent weight. Otherwise such a request
      * would wait for seconds at an engine whose batch is full of long answers of lower weight, although it goes first.
      */
     private double slotWaitSeconds(EngineView engine, RoutingRequest request, long now) {
         int maxSequences = Math.max(1, engine.load().mostSequences());
-        double availableSlots = request.weight() < maxRecentWeight.weight() ? maxSequences * (1 - RESERVED_SLOT_FRACTION) : maxSequences;
+        double availableSlots = request.weight() < maxRecentWeight.weight()
+                ? maxSequences * (1 - RESERVED_SLOT_FRACTION)
+                : maxSequences;
         double excessSequences = engine.sequences(now) + 1 - Math.max(1, availableSlots);
         if (excessSequences <= 0) {
             return 0;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/routing/RouterTest.java
@@ -34,15 +34,16 @@
     public void should_choose_no_engine_when_none_has_the_model() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
 
-        assertTrue(
-                router.choose(request("other@1", 100, 10), backend -> true, 0).isEmpty());
+        assertTrue(router.choose(request("other@1", 100, 10), engineName -> true, 0)
+                .isEmpty());
     }
 
     @Test
     public void should_choose_no_engine_when_the_filter_accepts_none() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
 
-        assertTrue(router.choose(request(MODEL, 100, 10), backend -> false, 0).isEmpty());
+        assertTrue(
+                router.choose(request(MODEL, 100, 10), engineName -> false, 0).isEmpty());
     }
 
     @Test
@@ -52,13 +53,13 @@
         }
 
         Optional<RoutingDecision> decision =
-                router.choose(request(MODEL, 100, 10), backend -> backend.equals("engine-137"), 0);
+                router.choose(request(MODEL, 100, 10), engineName -> engineName.equals("engine-137"), 0);
 
         assertEquals(decision.orElseThrow().engine(), "engine-137");
     }
 
-    // Load reports arrive seconds late. A router that relied on reports alone would send all requests of a burst to the
-    // engine that was idle in the last report, and callers would wait while other engines are idle.
+    // Load reports arrive seconds late. A router that relied on reports alone would send all requests of a burst to
+    // the engine that was idle in the last report, and callers would wait while other engines are idle.
     @Test
     public void should_count_its_own_requests_when_no_report_includes_them_yet() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
@@ -68,7 +69,7 @@
         for (int number = 0; number < 20; number++) {
             RoutingRequest request = request(MODEL, 4_000, 10);
             RoutingDecision decision =
-                    router.choose(request, backend -> true, SECOND).orElseThrow();
+                    router.choose(request, engineName -> true, SECOND).orElseThrow();
             router.recordSent(request, decision, SECOND);
             sent.merge(decision.engine(), 1, Integer::sum);
         }
@@ -77,8 +78,8 @@
         assertTrue(Math.abs(sent.get("a") - sent.get("b")) <= 4, sent.toString());
     }
 
-    // Many entries have the same outdated report, in which one engine is idle. If each compared all engines, all entries
-    // would choose that engine, and its queue would receive the work of the fleet within one report interval.
+    // Many entries have the same outdated report, in which one engine is idle. If each compared all engines, all
+    // entries would choose that engine, and its queue would receive the work of the fleet within one report interval.
     @Test
     public void should_spread_requests_when_many_entries_have_the_same_report() {
         Map<String, Integer> sent = new HashMap<>();
@@ -87,12 +88,14 @@
             for (int number = 0; number < 50; number++) {
                 report(entryRouter, "engine-" + number, EngineRole.WHOLE, 1, number == 0 ? 0 : 2_000, 4, 0);
             }
-            RoutingDecision decision =
-                    entryRouter.choose(request(MODEL, 1_000, 50), backend -> true, 0).orElseThrow();
+            RoutingDecision decision = entryRouter
+                    .choose(request(MODEL, 1_000, 50), engineName -> true, 0)
+                    .orElseThrow();
             sent.merge(decision.engine(), 1, Integer::sum);
         }
 
-        int maxRequests = sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
+        int maxRequests =
+                sent.values().stream().mapToInt(Integer::intValue).max().orElseThrow();
         assertTrue(maxRequests < 25, "one engine received " + maxRequests + " of 100 requests");
     }
 
@@ -104,7 +107,7 @@
         router.applyCacheEvent("engine-31", 1, new CacheEvent.Stored(List.of(11L, 12L)));
 
         RoutingDecision decision = router.choose(
-                        request(MODEL, 4_100, 20, PrefixChain.of(4_000, 11, 12)), backend -> true, 0)
+                        request(MODEL, 4_100, 20, PrefixChain.of(4_000, 11, 12)), engineName -> true, 0)
                 .orElseThrow();
 
         assertEquals(decision.engine(), "engine-31");
@@ -118,7 +121,7 @@
         router.applyCacheEvent("holder", 1, new CacheEvent.Stored(List.of(11L)));
 
         RoutingDecision decision = router.choose(
-                        request(MODEL, 2_100, 20, PrefixChain.of(2_000, 11)), backend -> true, 0)
+                        request(MODEL, 2_100, 20, PrefixChain.of(2_000, 11)), engineName -> true, 0)
                 .orElseThrow();
 
         assertEquals(decision.engine(), "idle");
@@ -130,7 +133,7 @@
         report(router, "d", EngineRole.DECODE, 1, 0, 0, 0);
 
         RoutingDecision decision =
-                router.choose(request(MODEL, 1_000, 20), backend -> true, 0).orElseThrow();
+                router.choose(request(MODEL, 1_000, 20), engineName -> true, 0).orElseThrow();
 
         assertEquals(decision.engineForPrefill(), "p");
         assertEquals(decision.engine(), "d");
@@ -144,7 +147,7 @@
         report(router, "w", EngineRole.WHOLE, 1, 0, 0, 0);
 
         RoutingDecision decision =
-                router.choose(request(MODEL, 1_000, 20), backend -> true, 0).orElseThrow();
+                router.choose(request(MODEL, 1_000, 20), engineName -> true, 0).orElseThrow();
 
         assertEquals(decision.engine(), "w");
         assertTrue(decision.prefillEngine().isEmpty());
@@ -155,7 +158,7 @@
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         router.removeEngine("a");
 
-        assertTrue(router.choose(request(MODEL, 100, 10), backend -> true, 0).isEmpty());
+        assertTrue(router.choose(request(MODEL, 100, 10), engineName -> true, 0).isEmpty());
     }
 
     @Test
@@ -163,19 +166,19 @@
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         report(router, "a", EngineRole.DECODE, 2, 0, 0, SECOND);
 
-        assertTrue(
-                router.choose(request(MODEL, 100, 10), backend -> true, SECOND).isEmpty());
+        assertTrue(router.choose(request(MODEL, 100, 10), engineName -> true, SECOND)
+                .isEmpty());
     }
 
-    // The network may deliver two reports of one engine in the wrong order. Applying the older one would restore the size
-    // of a queue that is already empty, and requests would avoid an idle engine.
+    // The network may deliver two reports of one engine in the wrong order. Applying the older one would restore the
+    // size of a queue that is already empty, and requests would avoid an idle engine.
     @Test
     public void should_ignore_a_report_when_a_later_one_was_applied() {
         report(router, "a", EngineRole.WHOLE, 5, 0, 0, 3 * SECOND);
         router.applyReport(
                 "a", load(4, 90_000, 0), EngineRole.WHOLE, true, Set.of(MODEL), Duration.ofSeconds(2), 3 * SECOND);
 
-        RoutingDecision decision = router.choose(request(MODEL, 100, 10), backend -> true, 3 * SECOND)
+        RoutingDecision decision = router.choose(request(MODEL, 100, 10), engineName -> true, 3 * SECOND)
                 .orElseThrow();
 
         assertEquals(decision.queueSeconds(), 0, 0.01);
@@ -185,7 +188,7 @@
     public void should_not_count_a_request_as_outstanding_when_it_has_ended() {
         report(router, "a", EngineRole.WHOLE, 1, 0, 0, 0);
         RoutingRequest request = request(MODEL, 100, 10);
-        router.recordSent(request, router.choose(request, backend -> true, 0).orElseThrow(), 0);
+        router.recordSent(request, router.choose(request, engineName -> true, 0).orElseThrow(), 0);
 
         router.recordEnded(request.id(), SECOND);
 
@@ -206,9 +209,22 @@
     }
 
     private static void report(
-            Router router, String backend, EngineRole role, long sequence, long queuedTokens, int runningSequences, long now) {
-        router.addEngine(backend, "one");
-        router.applyReport(backend, load(sequence, queuedTokens, runningSequences), role, true, Set.of(MODEL), Duration.ZERO, now);
+            Router router,
+            String engineName,
+            EngineRole role,
+            long sequence,
+            long queuedTokens,
+            int runningSequences,
+            long now) {
+        router.addEngine(engineName, "one");
+        router.applyReport(
+                engineName,
+                load(sequence, queuedTokens, runningSequences),
+                role,
+                true,
+                Set.of(MODEL),
+                Duration.ZERO,
+                now);
     }
 
     private static EngineLoad load(long sequence, long queuedTokens, int runningSequences) {
