--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutEngine.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 import java.util.Set;
 
-/* * The state of an engine that the rollout depends on.
+/**
+ * The state of an engine that the rollout depends on.
  *
  * @param name the name of the engine
  * @param availability whether it accepts new requests
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutLimits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutLimits.java
@@ -1,6 +1,7 @@
 package org.aspenmoor.internal.rollout;
 
-/* * Limits of a rollout.
+/**
+ * Limits of a rollout.
  *
  * @param maxUnavailable maximum number of engines of the service in the data centre that drain or load at the same time
  */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
@@ -9,7 +9,8 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 import org.aspenmoor.internal.engine.EngineOrder;
 
-/* * Decides which version each engine of one service in one data centre loads next.
+/**
+ * Decides which version each engine of one service in one data centre loads next.
  *
  * <p>The policy compares the versions that the document declares with those loaded on the engines, and keeps no state but
  * the load budget. A planner that takes over during a rollout therefore continues it, and a rollback is the same comparison
@@ -54,7 +55,8 @@
             this.desired = desired;
             this.engines = engines;
             engines.stream()
-                    .filter(engine -> engine.hasAvailability(EngineAvailability.DRAINING) || engine.hasAvailability(EngineAvailability.LOADING))
+                    .filter(engine -> engine.hasAvailability(EngineAvailability.DRAINING)
+                            || engine.hasAvailability(EngineAvailability.LOADING))
                     .forEach(engine -> unavailable.add(engine.name()));
         }
 
@@ -63,7 +65,8 @@
                 return;
             }
             Optional<String> missingItem = desired.firstMissing(engine.loaded());
-            Optional<EngineOrder> order = missingItem.map(desired::order).or(() -> desired.firstUnload(engine.loaded()));
+            Optional<EngineOrder> order =
+                    missingItem.map(desired::order).or(() -> desired.firstUnload(engine.loaded()));
             if (order.isEmpty()) {
                 if (engine.hasAvailability(EngineAvailability.DRAINING)) {
                     decisions.add(new RolloutDecision.Resume(engine.name()));
@@ -92,7 +95,7 @@
             return desired.declaredModelsOn(engine).stream()
                     .filter(model -> !isServedWithout(engine, model))
                     .findFirst()
-                    .map(model -> "no other engine currently serves " + model);
+                    .map(model -> "no other engine serves " + model + " now");
         }
 
         private boolean isKnownToFail(String item, RolloutEngine candidate) {
@@ -122,13 +125,15 @@
         }
 
         private void advance(RolloutEngine engine, EngineOrder order) {
-            if (engine.hasAvailability(EngineAvailability.SERVING) && !engine.loaded().isEmpty()) {
+            if (engine.hasAvailability(EngineAvailability.SERVING)
+                    && !engine.loaded().isEmpty()) {
                 // Drained even without a stream: entries may send requests until they are notified of the drain.
                 decisions.add(new RolloutDecision.Drain(engine.name()));
             } else if (engine.runningStreams() > 0) {
                 decisions.add(new RolloutDecision.Hold(engine.name(), "streams are still running on the engine"));
             } else if (!budget.take()) {
-                decisions.add(new RolloutDecision.Hold(engine.name(), "the load budget of the weight store is exhausted"));
+                decisions.add(
+                        new RolloutDecision.Hold(engine.name(), "the load budget of the weight store is exhausted"));
             } else {
                 decisions.add(new RolloutDecision.SendOrder(engine.name(), order));
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
@@ -4,7 +4,8 @@
 import java.util.List;
 import org.aspenmoor.internal.document.ModelDeclaration;
 
-/* * Selects the engines that may serve a request while engines have different versions of a model loaded.
+/**
+ * Selects the engines that may serve a request while engines have different versions of a model loaded.
  *
  * <p>A new request may start under any version, so that no capacity is lost during a rollout. A started stream stays with
  * its version, because another version would continue a text that it did not generate.
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
@@ -32,9 +32,9 @@
 
     @Test(dataProvider = "seeds")
     public void should_keep_streams_and_the_service_running_when_a_rollout_is_rolled_back(int seed) {
-        // Streams start and end at random, engines become unreachable and reachable, a new planner takes over at each step,
-        // and the version is rolled back before all engines have it. A fault would cut a stream, or refuse requests because
-        // all engines are loading at once.
+        // Streams start and end at random, engines become unreachable and reachable, a new planner takes over at each
+        // step, and the version is rolled back before all engines have it. A fault would cut a stream, or refuse
+        // requests because all engines are loading at once.
         Rollout rollout = new Rollout(2 + seed % 7, seed);
 
         rollout.failuresEnabled = true;
@@ -52,13 +52,13 @@
 
         List<RolloutDecision> decisions = rollout.decide(document("4", "1"));
 
-        assertEquals(decisions, List.of(new RolloutDecision.Hold("e0", "no other engine currently serves m")));
+        assertEquals(decisions, List.of(new RolloutDecision.Hold("e0", "no other engine serves m now")));
     }
 
     @Test
     public void should_stop_the_rollout_when_a_version_cannot_be_loaded() {
-        // The weight store has a version that cannot be loaded. If the rollout continued, each engine in turn would lose the
-        // model.
+        // The weight store has a version that cannot be loaded. If the rollout continued, each engine in turn would
+        // lose the model.
         Rollout rollout = new Rollout(8, 9);
         rollout.unloadableItems = Set.of("m@4");
 
