--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -14,9 +14,10 @@
 /**
  * The bounded wait queue of one service. Not thread-safe; confined to one thread.
  *
- * <p>Teams are served by start-time fair queuing over engine-seconds. Within a team, the request with the greater weight
- * goes first, then the one with the earlier deadline. A request that cannot finish in time at the measured service rate is
- * refused as soon as that is known and not at its deadline, so that its caller still has time to react.
+ * <p>Teams are served by start-time fair queuing over engine-seconds. Within a team, the request with the greater
+ * weight goes first, then the one with the earlier deadline. A request that cannot finish in time at the measured
+ * service rate is refused as soon as that is known and not at its deadline, so that its caller still has time to
+ * react.
  */
 public final class AdmissionQueue {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -120,9 +121,9 @@
     }
 
     /**
-     * Returns the measured service rate in engine-seconds per second, but at least half of the initial rate. During a role
-     * change the measured rate drops for some seconds; without the lower bound, requests would be refused that the engines
-     * can serve shortly after.
+     * Returns the measured service rate in engine-seconds per second, but at least half of the initial rate. During a
+     * role change the measured rate drops for some seconds; without the lower bound, requests would be refused that
+     * the engines can serve shortly after.
      */
     public double rate() {
         double minRate = Math.max(MIN_RATE, MIN_FRACTION_OF_INITIAL_RATE * settings.initialRate());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchDecision.java
@@ -11,7 +11,9 @@
      */
     record Send(RoutingDecision decision) implements DispatchDecision {}
 
-    /** Leave the request in the queue, where requests of greater weight may go first; retry when the load has changed. */
+    /**
+     * Leave the request in the queue, where requests of greater weight may go first; retry when the load has changed.
+     */
     record Wait() implements DispatchDecision {}
 
     /**
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/DispatchPolicy.java
@@ -9,8 +9,9 @@
 /**
  * Decides whether the next request of the queue is sent now.
  *
- * <p>Requests wait in this queue and not at the engines, because only this queue orders all requests by weight: in a long
- * engine queue, requests of low weight would run before requests of greater weight that arrive shortly after them.
+ * <p>Requests wait in this queue and not at the engines, because only this queue orders all requests by weight: in a
+ * long engine queue, requests of low weight would run before requests of greater weight that arrive shortly after
+ * them.
  */
 public final class DispatchPolicy {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/LengthEstimator.java
@@ -6,8 +6,8 @@
 /**
  * Estimates the lengths of prompts and answers of each kind from answered requests.
  *
- * <p>Means and variances are exponentially weighted and adapt to a change within some dozens of requests. Before the first
- * answer of a kind, a quarter of the maximum answer length is assumed.
+ * <p>Means and variances are exponentially weighted and adapt to a change within some dozens of requests. Before the
+ * first answer of a kind, a quarter of the maximum answer length is assumed.
  */
 public final class LengthEstimator {
     private static final double WINDOW_REQUESTS = 64;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/TeamQueue.java
@@ -10,8 +10,8 @@
 import java.util.function.Predicate;
 
 /**
- * The waiting requests of one team, ordered by falling weight and then by deadline, and the virtual time of the team in
- * start-time fair queuing.
+ * The waiting requests of one team, ordered by falling weight and then by deadline, and the virtual time of the team
+ * in start-time fair queuing.
  */
 final class TeamQueue {
     private static final Comparator<WaitingRequest> ORDER = Comparator.comparingDouble(WaitingRequest::weight)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/package-info.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Admission control: decides whether requests wait, in which order and for how long, and estimates the lengths of prompts
- * and answers.
+ * Admission control: decides whether requests wait, in which order and for how long, and estimates the lengths of
+ * prompts and answers.
  */
 package org.aspenmoor.internal.admission;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ChangePointDetector.java
@@ -5,9 +5,9 @@
 /**
  * Detects since when the workload has had its present mix of request kinds.
  *
- * <p>Uses the generalised likelihood ratio of Poisson counts: for each possible time of a change, how much more likely the
- * counts are under two rates than under one. A moving average either detects a change late or reacts to noise. The
- * likelihood ratio avoids both, because it uses exactly the history that belongs to the present mix.
+ * <p>Uses the generalised likelihood ratio of Poisson counts: for each possible time of a change, how much more
+ * likely the counts are under two rates than under one. A moving average either detects a change late or reacts to
+ * noise. The likelihood ratio avoids both, because it uses exactly the history that belongs to the present mix.
  */
 final class ChangePointDetector {
     private static final double THRESHOLD = 10;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/ContinuationValue.java
@@ -5,10 +5,10 @@
 /**
  * The expected value of a split after the present mix has ended, in weighted completed requests.
  *
- * <p>Past mixes are expected to recur unchanged. The planner can then either keep the split or adapt it to each mix. The
- * value of adapting differs between splits only by the first transition, so a change now is charged with the transition
- * back only. If it were charged with the rest of the horizon, a planner that has observed one mix for a long time would
- * never change.
+ * <p>Past mixes are expected to recur unchanged. The planner can then either keep the split or adapt it to each mix.
+ * The value of adapting differs between splits only by the first transition, so a change now is charged with the
+ * transition back only. If it were charged with the rest of the horizon, a planner that has observed one mix for a
+ * long time would never change.
  */
 final class ContinuationValue {
     private static final double DETECTION_SECONDS = 2;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/CountWindow.java
@@ -15,7 +15,10 @@
     private final Map<String, Long> lastSequences = new HashMap<>();
     private final Map<String, Long> reportedUntil = new HashMap<>();
 
-    /** Adds a report; returns {@code false} if it is invalid or not newer than the last one, in which case it is ignored. */
+    /**
+     * Adds a report; returns {@code false} if it is invalid or not newer than the last one, in which case it is
+     * ignored.
+     */
     boolean add(WorkCounts counts) {
         boolean valid = counts.toNanoseconds() > counts.fromNanoseconds()
                 && counts.kinds().stream().allMatch(CountWindow::isValid);
@@ -31,8 +34,8 @@
     }
 
     /**
-     * Returns the time until which all entries have reported, or {@link Long#MIN_VALUE} if there is no entry. Entries whose
-     * last report is older than {@code forgetAfterNanoseconds} are removed first.
+     * Returns the time until which all entries have reported, or {@link Long#MIN_VALUE} if there is no entry. Entries
+     * whose last report is older than {@code forgetAfterNanoseconds} are removed first.
      */
     long completeUntil(long now, long forgetAfterNanoseconds) {
         reportedUntil
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/DemandForecast.java
@@ -32,8 +32,8 @@
     /**
      * Returns the forecast; empty if no requests were counted.
      *
-     * <p>If mixes typically end before a role change pays off, their mean is used, because queues average them out for the
-     * engines. A mean over a short time is biased, so its remaining time is taken as 0.
+     * <p>If mixes typically end before a role change pays off, their mean is used, because queues average them out
+     * for the engines. A mean over a short time is biased, so its remaining time is taken as 0.
      */
     Optional<WorkloadForecast> expectedWorkload(
             List<KindObjective> kinds,
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/GoodputModel.java
@@ -6,9 +6,9 @@
 /**
  * Calculates the weighted goodput that a split of engine roles can reach for a demand.
  *
- * <p>Prefill engines provide engine-seconds of prefill, decode engines provide engine-seconds of decode, and engines that
- * serve both provide either, slowed down by mixing the two. As in admission, kinds are served in the order of their weight,
- * each with the engine-seconds that kinds of greater weight leave.
+ * <p>Prefill engines provide engine-seconds of prefill, decode engines provide engine-seconds of decode, and engines
+ * that serve both provide either, slowed down by mixing the two. As in admission, kinds are served in the order of
+ * their weight, each with the engine-seconds that kinds of greater weight leave.
  */
 public final class GoodputModel {
     private static final double USABLE_DEADLINE_FRACTION = 0.7;
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Returns the fraction of time for prefill on engines that serve both stages. Prefill delays all answers of an engine,
-     * so the kind with the least slack sets the limit.
+     * Returns the fraction of time for prefill on engines that serve both stages. Prefill delays all answers of an
+     * engine, so the kind with the least slack sets the limit.
      */
     private static double maxPrefillFraction(List<KindDemand> demands) {
         double minFraction = 1;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/MixHistory.java
@@ -7,13 +7,13 @@
 /**
  * The observed mixes and their durations, from which the remaining duration of the present mix is estimated.
  *
- * <p>Without the history, the planner would follow every mix, even if mixes change faster than a role change pays off, and
- * engines would be unavailable most of the time. Until a mix has ended, the present mix is expected to last as long again
- * as it has lasted. This is the rule of the rent-or-buy strategy (ski rental), which never costs more than twice the best
- * choice in hindsight.
+ * <p>Without the history, the planner would follow every mix, even if mixes change faster than a role change pays
+ * off, and engines would be unavailable most of the time. Until a mix has ended, the present mix is expected to last
+ * as long again as it has lasted. This is the rule of the rent-or-buy strategy (ski rental), which never costs more
+ * than twice the best choice in hindsight.
  *
- * <p>A mix whose fraction of prefill is close to that of the previous mix continues it: a slow drift is one long mix with
- * changing demand, not a series of short mixes that will recur.
+ * <p>A mix whose fraction of prefill is close to that of the previous mix continues it: a slow drift is one long mix
+ * with changing demand, not a series of short mixes that will recur.
  */
 final class MixHistory {
     private static final int MAX_PAST_PERIODS = 8;
@@ -50,7 +50,10 @@
         currentPeriod = period;
     }
 
-    /** Extends the present mix; its demand is updated only after some seconds of counts, as few counts are mostly noise. */
+    /**
+     * Extends the present mix; its demand is updated only after some seconds of counts, as few counts are mostly
+     * noise.
+     */
     private MixPeriod extendCurrent(MixPeriod period) {
         double durationSeconds = period.firstSecond() - currentPeriod.firstSecond() + period.seconds();
         MixPeriod demandSource = period.seconds() < MIN_COUNTED_SECONDS ? currentPeriod : period;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/PlannedEngine.java
@@ -8,7 +8,8 @@
  * @param name the name of the engine
  * @param role the role that the engine has or is changing to
  * @param availability whether it can serve requests
- * @param runningSequences the number of running sequences, which must end or move to other engines before a role change
+ * @param runningSequences the number of running sequences, which must end or move to other engines before a role
+ *     change
  */
 public record PlannedEngine(String name, EngineRole role, EngineAvailability availability, int runningSequences) {
     /** Returns whether the engine serves requests now. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RoleAssignment.java
@@ -12,7 +12,10 @@
 public final class RoleAssignment {
     private RoleAssignment() {}
 
-    /** Returns the role changes; engines with the fewest running sequences are chosen first, because they drain soonest. */
+    /**
+     * Returns the role changes; engines with the fewest running sequences are chosen first, because they drain
+     * soonest.
+     */
     public static List<RoleChange> changes(List<PlannedEngine> engines, RoleSplit from, RoleSplit to) {
         Map<EngineRole, Integer> missing = new EnumMap<>(EngineRole.class);
         for (EngineRole role : EngineRole.values()) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/RolePlanner.java
@@ -11,8 +11,8 @@
  * Plans the roles of the engines of one service in one data centre. Not thread-safe; confined to one thread.
  *
  * <p>A change is made only if the weighted goodput that it gains over the horizon exceeds the loss while engines are
- * unavailable plus the price that the team sets for changes. If counts are missing, late or invalid, all roles are kept: a
- * change based on wrong counts makes engines unavailable twice, for the change and for its reversal.
+ * unavailable plus the price that the team sets for changes. If counts are missing, late or invalid, all roles are
+ * kept: a change based on wrong counts makes engines unavailable twice, for the change and for its reversal.
  */
 public final class RolePlanner {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Returns whether the engines that keep their role can continue the running sequences. Some sequences may wait for a
-     * batch slot, because their deadlines leave slack.
+     * Returns whether the engines that keep their role can continue the running sequences. Some sequences may wait
+     * for a batch slot, because their deadlines leave slack.
      */
     private boolean canRunCurrentSequences(int runningSequences, RoleSplit current, RoleSplit split) {
         RoleSplit during = current.duringChangeTo(split);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitSearch.java
@@ -5,8 +5,8 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * Finds the split with the greatest value: exhaustively for a small fleet, otherwise by a local search that moves groups
- * of engines between roles, with decreasing group sizes, as long as the value increases.
+ * Finds the split with the greatest value: exhaustively for a small fleet, otherwise by a local search that moves
+ * groups of engines between roles, with decreasing group sizes, as long as the value increases.
  */
 final class SplitSearch {
     private static final int MAX_ENGINES_EXHAUSTIVE = 16;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/SplitValue.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The value of a transition to a split, in weighted completed requests: the goodput until the expected end of the present
- * mix, minus the price of the changes, plus the {@link ContinuationValue} of the split.
+ * The value of a transition to a split, in weighted completed requests: the goodput until the expected end of the
+ * present mix, minus the price of the changes, plus the {@link ContinuationValue} of the split.
  *
- * <p>The goodput is also calculated for a demand above and below the mean by its statistical error, so that a split which is
- * good only for exactly the mean is not preferred.
+ * <p>The goodput is also calculated for a demand above and below the mean by its statistical error, so that a split
+ * which is good only for exactly the mean is not preferred.
  */
 final class SplitValue {
     private static final double STANDARD_DEVIATIONS = 1.2;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkCounts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/planning/WorkCounts.java
@@ -5,8 +5,8 @@
 /**
  * The requests that arrived at one entry during one interval.
  *
- * <p>The interval is on the monotonic clock of the planner. For counts from another process, whose clock has another origin,
- * the receiver sets the end to the time of receipt and the start to the end of the previous report.
+ * <p>The interval is on the monotonic clock of the planner. For counts from another process, whose clock has another
+ * origin, the receiver sets the end to the time of receipt and the start to the end of the previous report.
  *
  * @param source the name of the entry
  * @param sequence sequence number, which increases with each report of the entry
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/LoadBudget.java
@@ -6,8 +6,8 @@
 /**
  * The part of the rate limit of the weight store that one rollout may use.
  *
- * <p>Loads above the rate limit of the weight store are refused or very slow, and an engine that waits for weights serves
- * no requests. Therefore a load is ordered only within the budget.
+ * <p>Loads above the rate limit of the weight store are refused or very slow, and an engine that waits for weights
+ * serves no requests. Therefore a load is ordered only within the budget.
  */
 public final class LoadBudget {
     private final TokenBucket bucket;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutLimits.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutLimits.java
@@ -3,7 +3,8 @@
 /**
  * Limits of a rollout.
  *
- * @param maxUnavailable maximum number of engines of the service in the data centre that drain or load at the same time
+ * @param maxUnavailable maximum number of engines of the service in the data centre that drain or load at the same
+ *     time
  */
 public record RolloutLimits(int maxUnavailable) {
     private static final int ENGINES_PER_UNAVAILABLE = 4;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/RolloutPolicy.java
@@ -12,15 +12,17 @@
 /**
  * Decides which version each engine of one service in one data centre loads next.
  *
- * <p>The policy compares the versions that the document declares with those loaded on the engines, and keeps no state but
- * the load budget. A planner that takes over during a rollout therefore continues it, and a rollback is the same comparison
- * with the earlier version declared.
+ * <p>The policy compares the versions that the document declares with those loaded on the engines, and keeps no state
+ * but the load budget. A planner that takes over during a rollout therefore continues it, and a rollback is the same
+ * comparison with the earlier version declared.
  *
  * <ul>
- *   <li>An engine receives an order only when no stream runs on it, so streams complete under the version they started with.
- *   <li>An engine is drained only if another engine continues to serve each of its models, so each model stays available.
- *   <li>A version that failed to load and that is loaded on no engine is not tried on further engines. Otherwise a version
- *       that cannot be loaded would take one engine after the other out of service.
+ *   <li>An engine receives an order only when no stream runs on it, so streams complete under the version they
+ *       started with.
+ *   <li>An engine is drained only if another engine continues to serve each of its models, so each model stays
+ *       available.
+ *   <li>A version that failed to load and that is loaded on no engine is not tried on further engines. Otherwise a
+ *       version that cannot be loaded would take one engine after the other out of service.
  * </ul>
  */
 public final class RolloutPolicy {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/rollout/VersionCandidates.java
@@ -7,8 +7,8 @@
 /**
  * Selects the engines that may serve a request while engines have different versions of a model loaded.
  *
- * <p>A new request may start under any version, so that no capacity is lost during a rollout. A started stream stays with
- * its version, because another version would continue a text that it did not generate.
+ * <p>A new request may start under any version, so that no capacity is lost during a rollout. A started stream stays
+ * with its version, because another version would continue a text that it did not generate.
  */
 public final class VersionCandidates {
     private final List<RolloutEngine> serving;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/EngineView.java
@@ -11,10 +11,10 @@
  * this router and the estimated requests of other entries since then.
  *
  * <p>Reports arrive late. Without the local changes, a router would send requests to one engine until the next report
- * includes them. Without the requests of other entries, each entry would assume that the queue of the engine holds only
- * its own requests. Either error makes the time to first token oscillate with the report interval. The rate of the other
- * entries is estimated from the difference between each report and the load predicted from the previous report and the
- * local changes.
+ * includes them. Without the requests of other entries, each entry would assume that the queue of the engine holds
+ * only its own requests. Either error makes the time to first token oscillate with the report interval. The rate of
+ * the other entries is estimated from the difference between each report and the load predicted from the previous
+ * report and the local changes.
  */
 final class EngineView {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/MaxRecentWeight.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/MaxRecentWeight.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.routing;
 
-/** Tracks the greatest weight of the requests of the last minute. */
+/** Tracks the greatest weight of recent requests; after a minute, the next request replaces it. */
 final class MaxRecentWeight {
     private static final long RETENTION_NANOSECONDS = 60_000_000_000L;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/PrefixIndex.java
@@ -8,10 +8,10 @@
 /**
  * A bounded index of the cache blocks that engines probably hold. Its entries are hints and may be wrong.
  *
- * <p>Cache events arrive late and some get lost. A lost event may have removed blocks, and a request routed by an outdated
- * entry needs a complete prefill on a busy engine, which shows as a falling cache hit rate of that engine. Therefore a gap
- * in the event sequence ages all entries of the engine: aged entries count half, and only a new event, a snapshot or a
- * request sent to the engine renews them. A second gap invalidates them.
+ * <p>Cache events arrive late and some get lost. A lost event may have removed blocks, and a request routed by an
+ * outdated entry needs a complete prefill on a busy engine, which shows as a falling cache hit rate of that engine.
+ * Therefore a gap in the event sequence ages all entries of the engine: aged entries count half, and only a new
+ * event, a snapshot or a request sent to the engine renews them. A second gap invalidates them.
  */
 final class PrefixIndex {
     private final int maxBlocks;
@@ -25,7 +25,9 @@
         this.maxBlocks = maxBlocks;
     }
 
-    /** Applies an event; returns whether events before it were missed, in which case a snapshot should be requested. */
+    /**
+     * Applies an event; returns whether events before it were missed, in which case a snapshot should be requested.
+     */
     boolean apply(String engine, long sequence, CacheEvent event) {
         CacheEventSequence eventSequence = eventSequences.computeIfAbsent(engine, name -> new CacheEventSequence());
         if (eventSequence.isStale(sequence)) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/Router.java
@@ -16,9 +16,9 @@
 /**
  * Chooses the engine or the pair of engines that serves a request. Not thread-safe; confined to one thread.
  *
- * <p>A decision compares a random sample of engines and the engines that probably cache the prefix of the prompt. If all
- * engines were compared, all entries with the same outdated report would choose the same engine, which would receive a
- * burst after each report. The sample also makes the cost of a decision independent of the fleet size.
+ * <p>A decision compares a random sample of engines and the engines that probably cache the prefix of the prompt. If
+ * all engines were compared, all entries with the same outdated report would choose the same engine, which would
+ * receive a burst after each report. The sample also makes the cost of a decision independent of the fleet size.
  */
 public final class Router {
     private static final int DRAWS_PER_CANDIDATE = 4;
@@ -90,8 +90,9 @@
     }
 
     /**
-     * Chooses the accepted engine, or pair of engines, with the lowest score, which is the expected finish plus the delay
-     * caused to running requests. An engine that serves both prefill and decode may also take one stage of a pair.
+     * Chooses the accepted engine, or pair of engines, with the lowest score, which is the expected finish plus the
+     * delay caused to running requests. An engine that serves both prefill and decode may also take one stage of a
+     * pair.
      */
     public Optional<RoutingDecision> choose(RoutingRequest request, CandidateFilter filter, long nowNanoseconds) {
         maxRecentWeight.observe(request.weight(), nowNanoseconds);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/RoutingDecision.java
@@ -8,8 +8,8 @@
  * The engines chosen for a request, with the expected durations.
  *
  * @param engine the name of the engine that runs decode
- * @param prefillEngine the name of the engine that runs prefill and hands its cache off to {@code engine}; empty if one engine
- *     runs both stages
+ * @param prefillEngine the name of the engine that runs prefill and hands its cache off to {@code engine}; empty if
+ *     one engine runs both stages
  * @param cachedTokens estimated prompt tokens in the cache of the engine that runs prefill
  * @param queueSeconds expected total wait in the queues of the engines
  * @param firstTokenSeconds expected seconds from now to the first token
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimate.java
@@ -6,8 +6,8 @@
  * @param engine the engine
  * @param waitSeconds expected wait before the engine starts
  * @param prefillFinishSeconds seconds until the end of prefill, including the wait; 0 for decode only
- * @param answerSeconds seconds from the end of prefill until the last token, including the handoff and the wait for decode
- *     if decode runs on another engine; 0 for prefill only
+ * @param answerSeconds seconds from the end of prefill until the last token, including the handoff and the wait for
+ *     decode if decode runs on another engine; 0 for prefill only
  * @param cachedTokens prompt tokens in the cache, which need no prefill
  * @param interferenceSeconds weighted delay that the prefill causes to the sequences already running on the engine
  */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/routing/StageEstimator.java
@@ -71,7 +71,10 @@
         return Math.min(cached, request.promptTokens());
     }
 
-    /** Returns the duration of decode with the present batch; steps that run together with a prefill chunk take longer. */
+    /**
+     * Returns the duration of decode with the present batch; steps that run together with a prefill chunk take
+     * longer.
+     */
     private double answerSeconds(EngineView engine, RoutingRequest request, long now) {
         double sequences =
                 Math.min(engine.sequences(now) + 1, Math.max(1, engine.load().mostSequences()));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/rollout/RolloutPolicyTest.java
@@ -175,7 +175,9 @@
             throw new AssertionError("rollout not complete after " + MAX_STEPS + " steps: " + snapshots());
         }
 
-        /** Disables failures and reconnects all engines, because a single remaining engine would be held indefinitely. */
+        /**
+         * Disables failures and reconnects all engines, because a single remaining engine would be held indefinitely.
+         */
         void stopFailures() {
             failuresEnabled = false;
             engines.stream()
