--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/admission/AdmissionQueue.java
@@ -49,7 +49,7 @@
         if (waitSeconds > slackSeconds) {
             return refuseLate(request, waitSeconds, slackSeconds);
         }
-        if (size >= settings.maxWaiting() && isFirstToShed(request)) {
+        if (size >= settings.maxWaiting() && isNextToEvict(request)) {
             return refuseOverload(waitSeconds);
         }
         if (team.waiting().isEmpty()) {
@@ -70,7 +70,7 @@
     public List<EvictedRequest> evict(long nowNanoseconds) {
         List<EvictedRequest> evicted = new ArrayList<>();
         while (size > settings.maxWaiting()) {
-            WaitingRequest evictedRequest = firstToShed().orElseThrow();
+            WaitingRequest evictedRequest = nextToEvict().orElseThrow();
             remove(evictedRequest);
             evicted.add(new EvictedRequest(evictedRequest, refuseOverload(totalEngineSeconds() / rate())));
         }
@@ -184,13 +184,13 @@
                 .sum();
     }
 
-    private Optional<WaitingRequest> firstToShed() {
+    private Optional<WaitingRequest> nextToEvict() {
         return teams.values().stream()
                 .max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds))
                 .flatMap(TeamQueue::last);
     }
 
-    private boolean isFirstToShed(WaitingRequest request) {
+    private boolean isNextToEvict(WaitingRequest request) {
         TeamQueue queue = teams.get(request.team());
         Optional<TeamQueue> largest =
                 teams.values().stream().max(Comparator.comparingDouble(TeamQueue::waitingEngineSeconds));
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/admission/AdmissionQueueTest.java
@@ -31,12 +31,12 @@
 
     @Test
     public void should_order_by_weight_and_then_deadline_when_several_requests_wait() {
-        WaitingRequest light = request("team", 1, 60, 1);
-        WaitingRequest heavy = request("team", 5, 60, 1);
-        WaitingRequest urgent = request("team", 5, 30, 1);
-        List.of(light, heavy, urgent).forEach(request -> queue.offer(request, 0));
+        WaitingRequest lowWeight = request("team", 1, 60, 1);
+        WaitingRequest highWeight = request("team", 5, 60, 1);
+        WaitingRequest earlyDeadline = request("team", 5, 30, 1);
+        List.of(lowWeight, highWeight, earlyDeadline).forEach(request -> queue.offer(request, 0));
 
-        assertEquals(dispatchAll(), List.of(urgent, heavy, light));
+        assertEquals(dispatchAll(), List.of(earlyDeadline, highWeight, lowWeight));
     }
 
     // Otherwise, under overload, a caller whose request cannot be served would be refused only at its deadline.
@@ -66,30 +66,30 @@
     // Later requests of greater weight go ahead of a waiting request, which may then miss its deadline. Its caller
     // must be refused now and not after the deadline.
     @Test
-    public void should_evict_waiting_work_when_heavier_work_makes_it_miss_its_deadline() {
+    public void should_evict_a_request_when_requests_of_greater_weight_make_it_miss_its_deadline() {
         queue.offer(request("team", 5, 60, 2), 0);
-        WaitingRequest light = request("team", 1, 6, 1);
-        queue.offer(light, 0);
+        WaitingRequest lowWeight = request("team", 1, 6, 1);
+        queue.offer(lowWeight, 0);
         queue.offer(request("team", 5, 60, 8), 0);
 
-        List<EvictedRequest> displaced = queue.evict(0);
+        List<EvictedRequest> evicted = queue.evict(0);
 
-        assertEquals(displaced.stream().map(EvictedRequest::request).toList(), List.of(light));
+        assertEquals(evicted.stream().map(EvictedRequest::request).toList(), List.of(lowWeight));
         assertEquals(queue.size(), 2);
     }
 
     @Test
-    public void should_evict_the_lightest_request_when_the_queue_is_over_its_limit() {
-        WaitingRequest lightest = request("team", 1, 600, 1);
-        queue.offer(lightest, 0);
+    public void should_evict_the_request_of_lowest_weight_when_the_queue_is_over_its_limit() {
+        WaitingRequest lowestWeight = request("team", 1, 600, 1);
+        queue.offer(lowestWeight, 0);
         for (int number = 0; number < 4; number++) {
             queue.offer(request("team", 2, 600, 1), 0);
         }
 
-        List<EvictedRequest> displaced = queue.evict(0);
+        List<EvictedRequest> evicted = queue.evict(0);
 
-        assertEquals(displaced.getFirst().request(), lightest);
-        assertEquals(displaced.getFirst().refusal().reason(), RefusalReason.OVERLOADED);
+        assertEquals(evicted.getFirst().request(), lowestWeight);
+        assertEquals(evicted.getFirst().refusal().reason(), RefusalReason.OVERLOADED);
         assertEquals(queue.size(), 4);
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/RolePlannerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/planning/RolePlannerTest.java
@@ -111,14 +111,14 @@
     public void should_not_change_an_engine_when_it_is_withdrawn_or_already_changing() {
         count(0, 30, 14, 1);
         List<PlannedEngine> engines = new ArrayList<>(engines(2, 4));
-        engines.add(new PlannedEngine("gone", EngineRole.DECODE, new EngineAvailability.Withdrawn(), 0));
+        engines.add(new PlannedEngine("withdrawn", EngineRole.DECODE, new EngineAvailability.Withdrawn(), 0));
         engines.add(new PlannedEngine("changing", EngineRole.DECODE, new EngineAvailability.Changing(0), 0));
 
         RolePlan plan = planner.plan(input(engines, CHEAP), 30 * SECOND + SECOND / 2);
 
         assertTrue(plan.changes().stream()
                 .noneMatch(change ->
-                        change.engine().equals("gone") || change.engine().equals("changing")));
+                        change.engine().equals("withdrawn") || change.engine().equals("changing")));
     }
 
     private void count(int fromSecond, int toSecond, int cues, int notes) {
