--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryAdministration.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryAdministration.java
@@ -41,7 +41,7 @@
                 documents,
                 new KindCounts(metrics),
                 entry::dump,
-                id -> entry.trace(id).thenApply(trace -> trace.map(RequestTrace::sentences)),
+                id -> entry.trace(id).thenApply(trace -> trace.map(RequestTrace::events)),
                 entry::duties);
         DocumentAcceptance acceptance =
                 new DocumentAcceptance(store, new RegistryFleetView(documents, source), timeSource, random);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
@@ -26,14 +26,14 @@
 /** The agent's one place of decision: takes dispatches, runs them at the backend server, sends the answers back. */
 final class AgentEventLoop implements DutyHandler<AgentMessage> {
     private static final Logger LOG = Logger.getLogger("agent");
-    private static final int SOON_MILLISECONDS = 1000;
-    private static final int BUSY_MILLISECONDS = 200;
+    private static final int RETRY_AFTER_MILLISECONDS = 1000;
+    private static final int BUSY_RETRY_AFTER_MILLISECONDS = 200;
 
     private final AgentSettings settings;
     private final BackendCaller caller;
-    private final LoadReports loadReports;
+    private final LoadReportFilter loadReports;
     private final AgentMetrics metrics;
-    private final AgentAccount account;
+    private final DispatchCounts dispatchCounts;
     private final Map<AttemptKey, RunningAttempt> running = new HashMap<>();
     private final Set<Link> links = new HashSet<>();
     private final IntConsumer runningChanged;
@@ -45,12 +45,12 @@
     AgentEventLoop(
             AgentSettings settings,
             BackendCaller caller,
-            LoadReports loadReports,
+            LoadReportFilter loadReports,
             IntConsumer runningChanged,
             PauseGuard pauseGuard,
             AgentMetrics metrics) {
         this.metrics = metrics;
-        this.account = new AgentAccount(metrics);
+        this.dispatchCounts = new DispatchCounts(metrics);
         this.pauseGuard = pauseGuard;
         this.runningChanged = runningChanged;
         this.settings = settings;
@@ -60,66 +60,67 @@
 
     @Override
     public void handle(AgentMessage message) {
-        if (pauseGuard.stoodStill()) {
+        if (pauseGuard.detectPause()) {
             LOG.warn("agent: the process has stood still, no new work until its right to the engine is proved");
-            allowServing(false);
+            setServingAllowed(false);
         }
         switch (message) {
-            case AgentMessage.LinkOpened opened -> opened(opened.link());
-            case AgentMessage.LinkClosed closed -> closed(closed.link());
-            case AgentMessage.FrameArrived arrived -> received(arrived.link(), arrived.frame());
-            case AgentMessage.AnswerStarted started -> started(started);
-            case AgentMessage.PiecesArrived arrived -> piecesArrived(arrived);
-            case AgentMessage.AnswerEnded ended -> answerEnded(ended.key(), ended.end());
-            case AgentMessage.StatusRead read -> loadReports.read(read.status()).ifPresent(this::sendToAll);
-            case AgentMessage.StatusMissing missing ->
-                loadReports.missing(missing.cause()).ifPresent(this::sendToAll);
-            case AgentMessage.ServingAllowed serving -> servingAllowed(serving);
-            case AgentMessage.Tick ignored -> checkAccount();
-            case AgentMessage.DrainAsked asked -> drain(asked);
-            case AgentMessage.DumpAsked asked -> asked.answer().complete(dump());
+            case AgentMessage.LinkOpened opened -> linkOpened(opened.link());
+            case AgentMessage.LinkClosed closed -> linkClosed(closed.link());
+            case AgentMessage.FrameArrived arrived -> handleFrame(arrived.link(), arrived.frame());
+            case AgentMessage.AnswerStarted started -> sendStarted(started);
+            case AgentMessage.PiecesArrived arrived -> forwardPieces(arrived);
+            case AgentMessage.AnswerEnded ended -> handleAnswerEnd(ended.key(), ended.end());
+            case AgentMessage.StatusRead statusRead ->
+                loadReports.statusRead(statusRead.status()).ifPresent(this::sendToAll);
+            case AgentMessage.StatusMissing statusMissing ->
+                loadReports.statusMissing(statusMissing.cause()).ifPresent(this::sendToAll);
+            case AgentMessage.ServingAllowed serving -> handleServingAllowed(serving);
+            case AgentMessage.Tick ignored -> logImbalance();
+            case AgentMessage.DrainAsked requested -> drain(requested);
+            case AgentMessage.DumpAsked requested -> requested.answer().complete(dump());
         }
         runningChanged.accept(running.size());
-        metrics.running(running.size());
+        metrics.setRunning(running.size());
     }
 
-    private void servingAllowed(AgentMessage.ServingAllowed serving) {
-        boolean allowed = serving.allowed() && pauseGuard.admits(serving.pausesKnown());
-        allowServing(allowed);
+    private void handleServingAllowed(AgentMessage.ServingAllowed serving) {
+        boolean allowed = serving.allowed() && pauseGuard.isPermissionCurrent(serving.knownPauses());
+        setServingAllowed(allowed);
         // The count must be right before the order thread trusts it.
         runningChanged.accept(running.size());
-        serving.heard().run();
+        serving.acknowledge().run();
     }
 
-    private void allowServing(boolean allowed) {
+    private void setServingAllowed(boolean allowed) {
         servingAllowed = allowed;
-        loadReports.allowed(allowed).ifPresent(this::sendToAll);
+        loadReports.servingAllowed(allowed).ifPresent(this::sendToAll);
     }
 
-    private void opened(Link link) {
+    private void linkOpened(Link link) {
         links.add(link);
         loadReports.latest().ifPresent(link::send);
         leavingReason.ifPresent(reason -> link.send(leavingFrame(reason)));
     }
 
     // Nobody is left to take the answers: the entry is gone, or it has given this agent up and tries elsewhere.
-    private void closed(Link link) {
+    private void linkClosed(Link link) {
         links.remove(link);
         running.values().removeIf(attempt -> {
             if (attempt.link() != link) {
                 return false;
             }
             attempt.call().cancel();
-            account.cancelled();
+            dispatchCounts.recordCancelled();
             return true;
         });
         completeDrainIfIdle();
     }
 
-    private void received(Link link, Frame frame) {
+    private void handleFrame(Link link, Frame frame) {
         switch (frame.getBodyCase()) {
             case DISPATCH -> dispatch(link, frame.getDispatch());
-            case CREDIT -> credit(frame.getCredit());
+            case CREDIT -> addCredit(frame.getCredit());
             case CANCEL -> cancel(AttemptKey.of(frame.getCancel().getId()));
             case PROBE -> answerProbe(link, frame.getProbe());
             default -> LOG.debugf("agent: frame %s is not for an agent", frame.getBodyCase());
@@ -128,10 +129,10 @@
 
     private void dispatch(Link link, Dispatch dispatch) {
         AttemptKey key = AttemptKey.of(dispatch.getId());
-        account.received();
-        Optional<Refused.Builder> refusal = refusalOf(link, dispatch, key);
+        dispatchCounts.recordReceived();
+        Optional<Refused.Builder> refusal = refusalReason(link, dispatch, key);
         if (refusal.isPresent()) {
-            account.refused();
+            dispatchCounts.recordRefused();
             link.send(Frame.newBuilder()
                     .setRefused(refusal.get().setId(dispatch.getId()))
                     .build());
@@ -141,12 +142,13 @@
         running.put(key, new RunningAttempt(key, link, call, dispatch.getChunkCredit()));
     }
 
-    private Optional<Refused.Builder> refusalOf(Link link, Dispatch dispatch, AttemptKey key) {
+    private Optional<Refused.Builder> refusalReason(Link link, Dispatch dispatch, AttemptKey key) {
         if (leavingReason.isPresent()) {
-            return Optional.of(refusal(RefusalReason.STOPPING, SOON_MILLISECONDS, leavingReason.get()));
+            return Optional.of(refusal(RefusalReason.STOPPING, RETRY_AFTER_MILLISECONDS, leavingReason.get()));
         }
         if (!servingAllowed) {
-            return Optional.of(refusal(RefusalReason.NO_BACKEND, SOON_MILLISECONDS, "the engine is to be changed"));
+            return Optional.of(
+                    refusal(RefusalReason.NO_BACKEND, RETRY_AFTER_MILLISECONDS, "the engine is to be changed"));
         }
         if (dispatch.getDeadlineMilliseconds() == 0) {
             return Optional.of(refusal(RefusalReason.CANNOT_FINISH_IN_TIME, 0, "the deadline has passed"));
@@ -155,29 +157,30 @@
         if (running.containsKey(key)) {
             return Optional.of(refusal(RefusalReason.MALFORMED, 0, "the attempt runs already"));
         }
-        long ofThisLink = running.values().stream()
+        long attemptsOfLink = running.values().stream()
                 .filter(attempt -> attempt.link() == link)
                 .count();
-        if (ofThisLink >= settings.requestCredit()) {
-            return Optional.of(refusal(RefusalReason.OVERLOADED, BUSY_MILLISECONDS, "the link's credit is used up"));
+        if (attemptsOfLink >= settings.requestCredit()) {
+            return Optional.of(
+                    refusal(RefusalReason.OVERLOADED, BUSY_RETRY_AFTER_MILLISECONDS, "the link's credit is used up"));
         }
         return Optional.empty();
     }
 
-    private static Refused.Builder refusal(RefusalReason reason, int comeBackMilliseconds, String detail) {
+    private static Refused.Builder refusal(RefusalReason reason, int retryAfterMilliseconds, String detail) {
         return Refused.newBuilder()
                 .setReason(reason.name())
-                .setComeBackMilliseconds(comeBackMilliseconds)
+                .setComeBackMilliseconds(retryAfterMilliseconds)
                 .setDetail(detail);
     }
 
-    private void credit(Credit credit) {
+    private void addCredit(Credit credit) {
         AttemptKey key = AttemptKey.of(credit.getId());
         RunningAttempt attempt = running.get(key);
         if (attempt == null) {
             return;
         }
-        attempt.credited(credit.getChunks());
+        attempt.addCredit(credit.getChunks());
         finishIfDone(key, attempt);
     }
 
@@ -187,7 +190,7 @@
             return;
         }
         attempt.call().cancel();
-        account.cancelled();
+        dispatchCounts.recordCancelled();
         completeDrainIfIdle();
     }
 
@@ -197,7 +200,7 @@
                 .build());
     }
 
-    private void started(AgentMessage.AnswerStarted message) {
+    private void sendStarted(AgentMessage.AnswerStarted message) {
         RunningAttempt attempt = running.get(message.key());
         if (attempt == null) {
             return;
@@ -211,22 +214,23 @@
                         .build());
     }
 
-    private void piecesArrived(AgentMessage.PiecesArrived message) {
+    private void forwardPieces(AgentMessage.PiecesArrived message) {
         RunningAttempt attempt = running.get(message.key());
         if (attempt != null) {
-            attempt.arrived(message.pieces());
+            attempt.addPieces(message.pieces());
         }
     }
 
-    private void answerEnded(AttemptKey key, CallEnd end) {
+    private void handleAnswerEnd(AttemptKey key, CallEnd end) {
         RunningAttempt attempt = running.get(key);
         if (attempt == null) {
             return;
         }
-        if (end instanceof CallEnd.NeverStarted never) {
+        if (end instanceof CallEnd.NeverStarted neverStarted) {
             running.remove(key);
-            account.ended(end);
-            Refused.Builder refusal = refusal(RefusalReason.NO_BACKEND, SOON_MILLISECONDS, never.detail());
+            dispatchCounts.recordEnd(end);
+            Refused.Builder refusal =
+                    refusal(RefusalReason.NO_BACKEND, RETRY_AFTER_MILLISECONDS, neverStarted.detail());
             attempt.link()
                     .send(Frame.newBuilder()
                             .setRefused(refusal.setId(key.toWire()))
@@ -234,7 +238,7 @@
             completeDrainIfIdle();
             return;
         }
-        attempt.ended(end);
+        attempt.recordEnd(end);
         finishIfDone(key, attempt);
     }
 
@@ -244,15 +248,15 @@
             return;
         }
         running.remove(key);
-        attempt.end().ifPresent(account::ended);
+        attempt.end().ifPresent(dispatchCounts::recordEnd);
         attempt.link().send(last.get());
         completeDrainIfIdle();
     }
 
-    private void drain(AgentMessage.DrainAsked asked) {
-        leavingReason = Optional.of(asked.reason());
-        drained = Optional.of(asked.drained());
-        sendToAll(leavingFrame(asked.reason()));
+    private void drain(AgentMessage.DrainAsked message) {
+        leavingReason = Optional.of(message.reason());
+        drained = Optional.of(message.drained());
+        sendToAll(leavingFrame(message.reason()));
         LOG.infof("agent: draining, %d requests run", running.size());
         completeDrainIfIdle();
     }
@@ -275,13 +279,15 @@
         links.forEach(link -> link.send(frame));
     }
 
-    private void checkAccount() {
-        account.imbalance(running.size()).ifPresent(difference -> LOG.errorf("agent: account broken, %s", difference));
+    private void logImbalance() {
+        dispatchCounts
+                .imbalance(running.size())
+                .ifPresent(imbalance -> LOG.errorf("agent: account broken, %s", imbalance));
     }
 
     private ObjectNode dump() {
         ObjectNode dump = JsonNodeFactory.instance.objectNode();
-        AgentAccount.Totals totals = account.totals();
+        DispatchCounts.Totals totals = dispatchCounts.totals();
         dump.putObject("dispatches")
                 .put("received", totals.received())
                 .put("refused", totals.refused())
@@ -289,7 +295,7 @@
                 .put("failed", totals.failed())
                 .put("cancelled", totals.cancelled())
                 .put("running", running.size());
-        dump.put("imbalance", account.imbalance(running.size()).orElse(""));
+        dump.put("imbalance", dispatchCounts.imbalance(running.size()).orElse(""));
         dump.put("servingAllowed", servingAllowed);
         dump.put("leaving", leavingReason.orElse(""));
         var linkNames = dump.putArray("links");
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMessage.java
@@ -23,7 +23,7 @@
     record AnswerStarted(AttemptKey key, int status, List<Header> headers) implements AgentMessage {}
 
     /** The backend server gave pieces of an answer. */
-    record PiecesArrived(AttemptKey key, List<Piece> pieces) implements AgentMessage {}
+    record PiecesArrived(AttemptKey key, List<AnswerPiece> pieces) implements AgentMessage {}
 
     /** The backend server has ended an answer. */
     record AnswerEnded(AttemptKey key, CallEnd end) implements AgentMessage {}
@@ -35,7 +35,7 @@
     record StatusMissing(String cause) implements AgentMessage {}
 
     /** The order thread lets new work in or not; the event loop says once it has heard. */
-    record ServingAllowed(boolean allowed, long pausesKnown, Runnable heard) implements AgentMessage {}
+    record ServingAllowed(boolean allowed, long knownPauses, Runnable acknowledge) implements AgentMessage {}
 
     /** Time has passed. */
     record Tick() implements AgentMessage {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
@@ -21,11 +21,11 @@
                 .register(registry);
     }
 
-    void ended(String end) {
+    void recordEnd(String end) {
         dispatches.labelValues(end).inc();
     }
 
-    void running(int count) {
+    void setRunning(int count) {
         running.set(count);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
@@ -44,11 +44,11 @@
     private final HttpClient client;
     private final Duty<AgentMessage> eventLoop;
     private final LinkNetwork network;
-    private final StatusDuty status;
+    private final StatusPoller statusPoller;
     private final EventLoopDrain drain;
-    private final Optional<OrderDuty> orders;
+    private final Optional<OrderWorker> orderWorker;
     private final Ticker ticker = new Ticker();
-    private RegistrationDuty registration;
+    private RegistrationWorker registrationWorker;
     private volatile boolean stopping;
 
     public AgentProcess(
@@ -63,24 +63,24 @@
                 .executor(callThreads)
                 .build();
         DeferredCaller caller = new DeferredCaller();
-        LoadReports reports = new LoadReports(settings.backend().name(), time);
-        this.drain = new EventLoopDrain(this::tellEventLoop, new PauseWatch(time, SlotTerms.DEFAULT.noticedPause()));
+        LoadReportFilter reports = new LoadReportFilter(settings.backend().name(), time);
+        this.drain = new EventLoopDrain(this::postToEventLoop, new PauseWatch(time, SlotTerms.DEFAULT.noticedPause()));
         boolean takesOrders = settings.backend().type() == BackendType.ENGINE;
         AgentEventLoop handler = new AgentEventLoop(
                 settings, caller, reports, drain::runningChanged, takesOrders ? drain : PauseGuard.NONE, metrics);
         this.eventLoop = new Duty<>("agent-events", RING_SIZE, handler);
-        caller.use(new HttpBackendCaller(client, settings.backend().url(), eventLoop));
+        caller.setCaller(new HttpBackendCaller(client, settings.backend().url(), eventLoop));
         this.network = new LinkNetwork(
                 hello(),
                 new DutyLinkListener<>(
-                        this::tellEventLoop,
+                        this::postToEventLoop,
                         AgentMessage.LinkOpened::new,
                         AgentMessage.FrameArrived::new,
                         (link, cause) -> new AgentMessage.LinkClosed(link)));
         EngineControl control = new HttpEngineControl(client, settings.backend().url());
-        this.status = new StatusDuty(control, eventLoop);
-        this.orders = takesOrders
-                ? Optional.of(new OrderDuty(settings, incarnation, store, control, drain, time, random))
+        this.statusPoller = new StatusPoller(control, eventLoop);
+        this.orderWorker = takesOrders
+                ? Optional.of(new OrderWorker(settings, incarnation, store, control, drain, time, random))
                 : Optional.empty();
     }
 
@@ -89,11 +89,11 @@
         eventLoop.start();
         int port =
                 network.listen(settings.process().address(), settings.process().linkPort());
-        status.start();
-        orders.ifPresent(OrderDuty::start);
+        statusPoller.start();
+        orderWorker.ifPresent(OrderWorker::start);
         ticker.every(TICK, () -> eventLoop.offer(new AgentMessage.Tick()));
-        registration = new RegistrationDuty(store, registrationAt(port), random);
-        registration.start();
+        registrationWorker = new RegistrationWorker(store, registrationFor(port), random);
+        registrationWorker.start();
         LOG.infof(
                 "agent: %s beside %s, link port %d",
                 settings.process().name(), settings.backend().name(), port);
@@ -113,7 +113,7 @@
             node.put("process", settings.process().name());
             node.put("role", "agent");
             node.put("backend", settings.backend().name());
-            orders.ifPresent(duty -> duty.dump(node.putObject("orders")));
+            orderWorker.ifPresent(worker -> worker.dump(node.putObject("orders")));
             eventLoop.state().writeTo(node.putObject("duty"));
             return node;
         });
@@ -129,17 +129,17 @@
 
     @Override
     public void close() {
-        registration.signOff();
-        registration.close();
+        registrationWorker.deregister();
+        registrationWorker.close();
         ticker.close();
-        status.close();
-        orders.ifPresent(OrderDuty::close);
+        statusPoller.close();
+        orderWorker.ifPresent(OrderWorker::close);
         network.close();
         eventLoop.close();
         callThreads.shutdownNow();
     }
 
-    private void tellEventLoop(AgentMessage message) {
+    private void postToEventLoop(AgentMessage message) {
         eventLoop.put(message);
     }
 
@@ -154,7 +154,7 @@
                 .build();
     }
 
-    private AgentRegistration registrationAt(int port) {
+    private AgentRegistration registrationFor(int port) {
         return new AgentRegistration(
                 settings.backend().name(),
                 settings.backend().team(),
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerDecoder.java
@@ -6,7 +6,7 @@
 /** Reads a backend server's answer into pieces. */
 interface AnswerDecoder {
     /** Reads what has arrived. */
-    List<Piece> decode(List<ByteBuffer> buffers) throws AnswerMalformedException;
+    List<AnswerPiece> decode(List<ByteBuffer> buffers) throws AnswerMalformedException;
 
     /** Judges the answer once its connection has ended in order. */
     CallEnd end();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/Piece.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerPiece.java
@@ -6,4 +6,4 @@
  * @param data its bytes
  * @param tokens how many tokens it holds; 0 for plain services
  */
-record Piece(byte[] data, int tokens) {}
+record AnswerPiece(byte[] data, int tokens) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DeferredCaller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DeferredCaller.java
@@ -7,7 +7,7 @@
 final class DeferredCaller implements BackendCaller {
     private Optional<BackendCaller> caller = Optional.empty();
 
-    void use(BackendCaller newCaller) {
+    void setCaller(BackendCaller newCaller) {
         caller = Optional.of(newCaller);
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentAccount.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DispatchCounts.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** Counts the dispatches an agent received by what became of them. */
-final class AgentAccount {
+final class DispatchCounts {
     private final AgentMetrics metrics;
     private long received;
     private long refused;
@@ -11,45 +11,45 @@
     private long failed;
     private long cancelled;
 
-    AgentAccount(AgentMetrics metrics) {
+    DispatchCounts(AgentMetrics metrics) {
         this.metrics = metrics;
     }
 
-    void received() {
+    void recordReceived() {
         received++;
     }
 
-    void refused() {
+    void recordRefused() {
         refused++;
-        metrics.ended("refused");
+        metrics.recordEnd("refused");
     }
 
-    void ended(CallEnd end) {
+    void recordEnd(CallEnd end) {
         switch (end) {
             case CallEnd.Complete ignored -> {
                 complete++;
-                metrics.ended("complete");
+                metrics.recordEnd("complete");
             }
-            case CallEnd.NeverStarted ignored -> refused();
+            case CallEnd.NeverStarted ignored -> recordRefused();
             case CallEnd.Failed ignored -> {
                 failed++;
-                metrics.ended("failed");
+                metrics.recordEnd("failed");
             }
         }
     }
 
-    void cancelled() {
+    void recordCancelled() {
         cancelled++;
-        metrics.ended("cancelled");
+        metrics.recordEnd("cancelled");
     }
 
     /** Checks {@code received = refused + complete + failed + cancelled + running}. */
     Optional<String> imbalance(long running) {
-        long accounted = refused + complete + failed + cancelled + running;
-        if (received == accounted) {
+        long sum = refused + complete + failed + cancelled + running;
+        if (received == sum) {
             return Optional.empty();
         }
-        return Optional.of("dispatches received " + received + " but accounted for " + accounted);
+        return Optional.of("dispatches received " + received + " but accounted for " + sum);
     }
 
     Totals totals() {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
@@ -20,62 +20,63 @@
  */
 final class EventLoopDrain implements StreamDrain, PauseGuard {
     private final AtomicInteger running = new AtomicInteger();
-    private final AtomicBoolean asked = new AtomicBoolean();
-    private final AtomicBoolean acknowledged = new AtomicBoolean();
-    private final AtomicLong pauses = new AtomicLong();
+    private final AtomicBoolean drainRequested = new AtomicBoolean();
+    private final AtomicBoolean drainAcknowledged = new AtomicBoolean();
+    private final AtomicLong pauseCount = new AtomicLong();
     private final Consumer<AgentMessage> eventLoop;
-    private final PauseWatch watch;
-    private long pausesKnownToOrders;
+    private final PauseWatch pauseWatch;
+    private long pausesSeenByOrders;
 
-    EventLoopDrain(Consumer<AgentMessage> eventLoop, PauseWatch watch) {
+    EventLoopDrain(Consumer<AgentMessage> eventLoop, PauseWatch pauseWatch) {
         this.eventLoop = eventLoop;
-        this.watch = watch;
+        this.pauseWatch = pauseWatch;
     }
 
     /** Called by the order thread before each step; says whether the process has stood still since the last one. */
-    boolean learnsOfPause() {
-        long now = pauses.get();
-        boolean news = now != pausesKnownToOrders;
-        pausesKnownToOrders = now;
-        return news;
+    boolean checkForPause() {
+        long now = pauseCount.get();
+        boolean newPause = now != pausesSeenByOrders;
+        pausesSeenByOrders = now;
+        return newPause;
     }
 
     @Override
     public void beginDrain() {
-        if (asked.compareAndSet(false, true)) {
-            eventLoop.accept(new AgentMessage.ServingAllowed(false, pausesKnownToOrders, () -> acknowledged.set(true)));
+        if (drainRequested.compareAndSet(false, true)) {
+            eventLoop.accept(
+                    new AgentMessage.ServingAllowed(false, pausesSeenByOrders, () -> drainAcknowledged.set(true)));
         }
     }
 
     @Override
     public void endDrain() {
-        if (asked.compareAndSet(true, false)) {
-            acknowledged.set(false);
-            eventLoop.accept(new AgentMessage.ServingAllowed(true, pausesKnownToOrders, () -> {}));
+        if (drainRequested.compareAndSet(true, false)) {
+            drainAcknowledged.set(false);
+            eventLoop.accept(new AgentMessage.ServingAllowed(true, pausesSeenByOrders, () -> {}));
         }
     }
 
     @Override
     public int running() {
-        return acknowledged.get() ? running.get() : Math.max(1, running.get());
+        return drainAcknowledged.get() ? running.get() : Math.max(1, running.get());
     }
 
     @Override
-    public boolean stoodStill() {
-        if (!watch.tick()) {
+    public boolean detectPause() {
+        if (!pauseWatch.tick()) {
             return false;
         }
-        pauses.incrementAndGet();
-        closeOnOwnAccount();
+        pauseCount.incrementAndGet();
+        stopServing();
         return true;
     }
 
     @Override
-    public boolean admits(long pausesKnown) {
-        if (pausesKnown == pauses.get()) {
+    public boolean isPermissionCurrent(long knownPauses) {
+        if (knownPauses == pauseCount.get()) {
             return true;
         }
-        closeOnOwnAccount();
+        stopServing();
         return false;
     }
 
@@ -84,8 +85,8 @@
         running.set(count);
     }
 
-    private void closeOnOwnAccount() {
-        asked.set(true);
-        acknowledged.set(true);
+    private void stopServing() {
+        drainRequested.set(true);
+        drainAcknowledged.set(true);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventStreamDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventStreamDecoder.java
@@ -13,16 +13,16 @@
 final class EventStreamDecoder implements AnswerDecoder {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String DATA_PREFIX = "data:";
-    private static final String END_MARK = "[DONE]";
-    private static final int LONGEST_LINE = 1 << 20;
+    private static final String END_MARKER = "[DONE]";
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private String finishReason = "";
     private boolean ended;
 
     @Override
-    public List<Piece> decode(List<ByteBuffer> buffers) throws AnswerMalformedException {
-        List<Piece> pieces = new ArrayList<>();
+    public List<AnswerPiece> decode(List<ByteBuffer> buffers) throws AnswerMalformedException {
+        List<AnswerPiece> pieces = new ArrayList<>();
         for (ByteBuffer buffer : buffers) {
             while (buffer.hasRemaining()) {
                 decodeByte(buffer.get(), pieces);
@@ -39,11 +39,12 @@
         return new CallEnd.Failed("the engine's stream ended before its end mark");
     }
 
-    private void decodeByte(byte next, List<Piece> pieces) throws AnswerMalformedException {
+    private void decodeByte(byte next, List<AnswerPiece> pieces) throws AnswerMalformedException {
         if (next != '\n') {
             line.write(next);
-            if (line.size() > LONGEST_LINE) {
-                throw new AnswerMalformedException("The engine sent an event longer than " + LONGEST_LINE + " bytes.");
+            if (line.size() > MAX_LINE_BYTES) {
+                throw new AnswerMalformedException(
+                        "The engine sent an event longer than " + MAX_LINE_BYTES + " bytes.");
             }
             return;
         }
@@ -54,8 +55,8 @@
         }
     }
 
-    private void decodeEvent(String event, List<Piece> pieces) throws AnswerMalformedException {
-        if (event.equals(END_MARK)) {
+    private void decodeEvent(String event, List<AnswerPiece> pieces) throws AnswerMalformedException {
+        if (event.equals(END_MARKER)) {
             ended = true;
             return;
         }
@@ -70,12 +71,12 @@
         }
     }
 
-    private void decodeChoice(JsonNode choice, List<Piece> pieces) {
+    private void decodeChoice(JsonNode choice, List<AnswerPiece> pieces) {
         String text = choice.has("delta")
                 ? choice.path("delta").path("content").asText("")
                 : choice.path("text").asText("");
         if (!text.isEmpty()) {
-            pieces.add(new Piece(text.getBytes(StandardCharsets.UTF_8), 1));
+            pieces.add(new AnswerPiece(text.getBytes(StandardCharsets.UTF_8), 1));
         }
         String reason = choice.path("finish_reason").asText("");
         if (!reason.isEmpty() && !choice.path("finish_reason").isNull()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
@@ -25,37 +25,37 @@
     private final AttemptKey key;
     private final Duty<AgentMessage> eventLoop;
     private final AnswerDecoder decoder;
-    private final boolean generation;
+    private final boolean isGeneration;
     private final Object lock = new Object();
     private Optional<Flow.Subscription> subscription = Optional.empty();
-    private Optional<CompletableFuture<?>> sending = Optional.empty();
+    private Optional<CompletableFuture<?>> pendingResponse = Optional.empty();
     private boolean cancelled;
     private boolean ended;
 
-    HttpBackendCall(AttemptKey key, Duty<AgentMessage> eventLoop, AnswerDecoder decoder, boolean generation) {
+    HttpBackendCall(AttemptKey key, Duty<AgentMessage> eventLoop, AnswerDecoder decoder, boolean isGeneration) {
         this.key = key;
         this.eventLoop = eventLoop;
         this.decoder = decoder;
-        this.generation = generation;
+        this.isGeneration = isGeneration;
     }
 
     void start(HttpClient client, HttpRequest request) {
-        CompletableFuture<HttpResponse<Flow.Publisher<List<ByteBuffer>>>> answer =
+        CompletableFuture<HttpResponse<Flow.Publisher<List<ByteBuffer>>>> pending =
                 client.sendAsync(request, BodyHandlers.ofPublisher());
         synchronized (lock) {
-            sending = Optional.of(answer);
+            pendingResponse = Optional.of(pending);
         }
-        answer.whenComplete((response, failure) -> {
+        pending.whenComplete((response, failure) -> {
             if (failure != null) {
-                failedToSend(failure);
+                sendFailed(failure);
             } else {
-                answered(response);
+                handleResponse(response);
             }
         });
     }
 
     @Override
-    public void wantMore() {
+    public void requestMore() {
         Optional<Flow.Subscription> current;
         synchronized (lock) {
             current = subscription;
@@ -70,7 +70,7 @@
         synchronized (lock) {
             cancelled = true;
             current = subscription;
-            request = sending;
+            request = pendingResponse;
         }
         current.ifPresent(Flow.Subscription::cancel);
         request.ifPresent(future -> future.cancel(true));
@@ -78,12 +78,12 @@
 
     @Override
     public void onSubscribe(Flow.Subscription newSubscription) {
-        boolean late;
+        boolean cancelledBefore;
         synchronized (lock) {
             subscription = Optional.of(newSubscription);
-            late = cancelled;
+            cancelledBefore = cancelled;
         }
-        if (late) {
+        if (cancelledBefore) {
             newSubscription.cancel();
             return;
         }
@@ -110,8 +110,8 @@
         end(decoder.end());
     }
 
-    private void answered(HttpResponse<Flow.Publisher<List<ByteBuffer>>> response) {
-        if (generation && response.statusCode() != OK) {
+    private void handleResponse(HttpResponse<Flow.Publisher<List<ByteBuffer>>> response) {
+        if (isGeneration && response.statusCode() != OK) {
             end(new CallEnd.Failed("the engine answered with status " + response.statusCode()));
             response.body().subscribe(new DiscardingSubscriber());
             return;
@@ -120,7 +120,7 @@
         response.body().subscribe(this);
     }
 
-    private void failedToSend(Throwable failure) {
+    private void sendFailed(Throwable failure) {
         Throwable cause = failure.getCause() == null ? failure : failure.getCause();
         String detail = cause.getClass().getSimpleName() + " " + cause.getMessage();
         if (cause instanceof ConnectException) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
@@ -51,7 +51,7 @@
         return switch (dispatch.getWorkCase()) {
             case GENERATION -> startGeneration(key, dispatch.getGeneration(), dispatch.getWeight());
             case PLAIN_CALL -> startPlainCall(key, dispatch.getPlainCall());
-            case WORK_NOT_SET -> startNothing(key);
+            case WORK_NOT_SET -> rejectEmptyDispatch(key);
         };
     }
 
@@ -59,9 +59,9 @@
         HttpBackendCall call = new HttpBackendCall(key, eventLoop, new EventStreamDecoder(), true);
         try {
             String path = generation.getChat() ? "/v1/chat/completions" : "/v1/completions";
-            HttpRequest request = requestTo(key, path)
+            HttpRequest request = requestBuilder(key, path)
                     .header("Content-Type", "application/json")
-                    .POST(BodyPublishers.ofByteArray(engineRequest(generation, weight)))
+                    .POST(BodyPublishers.ofByteArray(engineRequestBody(generation, weight)))
                     .build();
             call.start(client, request);
         } catch (IOException malformed) {
@@ -73,7 +73,7 @@
 
     private BackendCall startPlainCall(AttemptKey key, PlainCall plain) {
         HttpBackendCall call = new HttpBackendCall(key, eventLoop, new PlainAnswerDecoder(), false);
-        HttpRequest.Builder request = requestTo(key, plain.getPath());
+        HttpRequest.Builder request = requestBuilder(key, plain.getPath());
         for (Header header : plain.getHeadersList()) {
             if (!NOT_FORWARDED.contains(header.getName().toLowerCase(Locale.ROOT))) {
                 request.header(header.getName(), header.getValue());
@@ -86,19 +86,19 @@
         return call;
     }
 
-    private BackendCall startNothing(AttemptKey key) {
+    private BackendCall rejectEmptyDispatch(AttemptKey key) {
         HttpBackendCall call = new HttpBackendCall(key, eventLoop, new PlainAnswerDecoder(), false);
         eventLoop.put(new AgentMessage.AnswerEnded(key, new CallEnd.NeverStarted("the dispatch holds no work")));
         return call;
     }
 
-    private HttpRequest.Builder requestTo(AttemptKey key, String path) {
+    private HttpRequest.Builder requestBuilder(AttemptKey key, String path) {
         return HttpRequest.newBuilder(backend.resolve(path))
                 .header(REQUEST_ID_HEADER, key.request().toString())
                 .header(ATTEMPT_HEADER, String.valueOf(key.attempt()));
     }
 
-    private static byte[] engineRequest(Generation generation, double weight) throws IOException {
+    private static byte[] engineRequestBody(Generation generation, double weight) throws IOException {
         JsonNode parsed = MAPPER.readTree(generation.getRequest().toByteArray());
         if (!(parsed instanceof ObjectNode request)) {
             throw new IOException("not an object");
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
@@ -87,9 +87,9 @@
         }
     }
 
-    private EngineUnreachableException unreachable(String what) {
+    private EngineUnreachableException unreachable(String problem) {
         return new EngineUnreachableException(
-                "The backend server " + what + ".", backend.toString(), "Look at the backend server's own log.");
+                "The backend server " + problem + ".", backend.toString(), "Look at the backend server's own log.");
     }
 
     private static EngineStatus readStatus(JsonNode status) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReports.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReportFilter.java
@@ -17,44 +17,44 @@
  * the product of entries and engines. A report goes out at once when something changed that alters a routing decision,
  * and otherwise only often enough to show that the backend server is still watched.
  */
-final class LoadReports {
-    private static final Duration QUIET_PERIOD = Duration.ofSeconds(10);
-    private static final double WORTHWHILE_SHARE = 0.1;
-    private static final int WORTHWHILE_TOKENS = 500;
+final class LoadReportFilter {
+    private static final Duration MAX_REPORT_INTERVAL = Duration.ofSeconds(10);
+    private static final double MIN_SEQUENCE_CHANGE_FRACTION = 0.1;
+    private static final int MIN_TOKEN_CHANGE = 500;
 
     private final String backend;
     private final TimeSource time;
-    private Optional<EngineStatus> sent = Optional.empty();
+    private Optional<EngineStatus> sentStatus = Optional.empty();
     private boolean sentReady;
     private long sentAt;
-    private boolean allowed = true;
+    private boolean servingAllowed = true;
     private Optional<Frame> latest = Optional.empty();
 
-    LoadReports(String backend, TimeSource time) {
+    LoadReportFilter(String backend, TimeSource time) {
         this.backend = backend;
         this.time = time;
     }
 
     /** Takes a status; returns the frame to send where it is worth one. */
-    Optional<Frame> read(EngineStatus status) {
+    Optional<Frame> statusRead(EngineStatus status) {
         if (!isWorthSending(status)) {
             return Optional.empty();
         }
-        return remember(status, status.ready() && allowed);
+        return recordReport(status, status.ready() && servingAllowed);
     }
 
     /** Takes whether the agent lets new work in; while it does not, the backend server is reported as not ready. */
-    Optional<Frame> allowed(boolean nowAllowed) {
-        allowed = nowAllowed;
-        return sent.flatMap(status -> remember(status, status.ready() && allowed));
+    Optional<Frame> servingAllowed(boolean newServingAllowed) {
+        servingAllowed = newServingAllowed;
+        return sentStatus.flatMap(status -> recordReport(status, status.ready() && servingAllowed));
     }
 
     /** Takes that the backend server does not answer: it is reported as not ready, once. */
-    Optional<Frame> missing(String cause) {
-        if (sent.isEmpty() || !sentReady) {
+    Optional<Frame> statusMissing(String cause) {
+        if (sentStatus.isEmpty() || !sentReady) {
             return Optional.empty();
         }
-        return remember(sent.get(), false);
+        return recordReport(sentStatus.get(), false);
     }
 
     /** Returns the last frame sent, for an entry that has just connected. */
@@ -65,14 +65,14 @@
     ObjectNode dump() {
         ObjectNode dump = JsonNodeFactory.instance.objectNode();
         dump.put("ready", sentReady);
-        sent.ifPresent(status -> dump.put("role", status.role().name())
+        sentStatus.ifPresent(status -> dump.put("role", status.role().name())
                 .put("runningSequences", status.load().runningSequences())
                 .put("queuedPrefillTokens", status.load().queuedPrefillTokens()));
         return dump;
     }
 
-    private Optional<Frame> remember(EngineStatus status, boolean ready) {
-        sent = Optional.of(status);
+    private Optional<Frame> recordReport(EngineStatus status, boolean ready) {
+        sentStatus = Optional.of(status);
         sentReady = ready;
         sentAt = time.monotonicNanoseconds();
         latest = Optional.of(frameOf(status, ready));
@@ -80,23 +80,24 @@
     }
 
     private boolean isWorthSending(EngineStatus status) {
-        if (sent.isEmpty() || sentReady != (status.ready() && allowed)) {
+        if (sentStatus.isEmpty() || sentReady != (status.ready() && servingAllowed)) {
             return true;
         }
-        EngineStatus before = sent.get();
-        if (before.role() != status.role() || !before.loaded().equals(status.loaded())) {
+        EngineStatus previous = sentStatus.get();
+        if (previous.role() != status.role() || !previous.loaded().equals(status.loaded())) {
             return true;
         }
-        if (time.monotonicNanoseconds() - sentAt > QUIET_PERIOD.toNanos()) {
+        if (time.monotonicNanoseconds() - sentAt > MAX_REPORT_INTERVAL.toNanos()) {
             return true;
         }
-        return loadMoved(before.load(), status.load());
+        return loadChanged(previous.load(), status.load());
     }
 
-    private static boolean loadMoved(EngineLoad before, EngineLoad now) {
-        long tokens = Math.abs(now.queuedPrefillTokens() - before.queuedPrefillTokens());
-        double sequences = Math.abs(now.runningSequences() - before.runningSequences());
-        return tokens >= WORTHWHILE_TOKENS || sequences >= Math.max(1, WORTHWHILE_SHARE * before.mostSequences());
+    private static boolean loadChanged(EngineLoad previous, EngineLoad current) {
+        long tokenChange = Math.abs(current.queuedPrefillTokens() - previous.queuedPrefillTokens());
+        double sequenceChange = Math.abs(current.runningSequences() - previous.runningSequences());
+        return tokenChange >= MIN_TOKEN_CHANGE
+                || sequenceChange >= Math.max(1, MIN_SEQUENCE_CHANGE_FRACTION * previous.mostSequences());
     }
 
     private Frame frameOf(EngineStatus status, boolean ready) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderWorker.java
@@ -25,10 +25,10 @@
 import org.jboss.logging.Logger;
 
 /** The one thread that gives orders to this agent's engine, following the role plan. */
-final class OrderDuty implements AutoCloseable {
+final class OrderWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("orders");
-    private static final Duration STEP = Duration.ofMillis(250);
-    private static final Duration PLAN_PERIOD = Duration.ofSeconds(5);
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(250);
+    private static final Duration PLAN_READ_INTERVAL = Duration.ofSeconds(5);
 
     private final AgentSettings settings;
     private final String incarnation;
@@ -42,7 +42,7 @@
     private volatile String lastStep = "not begun";
     private Optional<Long> planReadAt = Optional.empty();
 
-    OrderDuty(
+    OrderWorker(
             AgentSettings settings,
             String incarnation,
             ObjectStore store,
@@ -79,9 +79,9 @@
         drain.beginDrain();
         try {
             Optional<OrderExecutor> executor = Optional.empty();
-            while (!closed.await(STEP.toMillis(), TimeUnit.MILLISECONDS)) {
+            while (!closed.await(STEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)) {
                 if (executor.isEmpty()) {
-                    executor = tryBegin();
+                    executor = tryCreateExecutor();
                 }
                 executor.ifPresent(this::advance);
             }
@@ -90,23 +90,23 @@
         }
     }
 
-    private Optional<OrderExecutor> tryBegin() {
+    private Optional<OrderExecutor> tryCreateExecutor() {
         try {
-            SlotIdentity slot = slot(engineChecksNumbers());
+            SlotIdentity slot = slotIdentity(engineChecksFencingNumbers());
             return Optional.of(new OrderExecutor(slot, store, control, drain, SlotTerms.DEFAULT, time, random));
         } catch (StoreException unavailable) {
-            remember("waits for the store: " + unavailable.problem());
+            recordStep("waits for the store: " + unavailable.problem());
             return Optional.empty();
         }
     }
 
     private void advance(OrderExecutor executor) {
-        if (drain.learnsOfPause()) {
+        if (drain.checkForPause()) {
             executor.wokeFromPause();
         }
         readPlanIfDue(executor);
         ExecutorStep step = executor.step();
-        remember(describe(step));
+        recordStep(describe(step));
         if (executor.mayServe()) {
             drain.endDrain();
         } else if (step instanceof ExecutorStep.Replaced) {
@@ -116,8 +116,9 @@
 
     private void readPlanIfDue(OrderExecutor executor) {
         long now = time.monotonicNanoseconds();
-        boolean due =
-                planReadAt.map(readAt -> now - readAt >= PLAN_PERIOD.toNanos()).orElse(true);
+        boolean due = planReadAt
+                .map(readAt -> now - readAt >= PLAN_READ_INTERVAL.toNanos())
+                .orElse(true);
         if (!due) {
             return;
         }
@@ -133,7 +134,7 @@
     }
 
     // Not knowing is treated as an engine that ignores the numbers: that way only waits longer.
-    private boolean engineChecksNumbers() throws StoreException {
+    private boolean engineChecksFencingNumbers() throws StoreException {
         BackendSettings backend = settings.backend();
         Optional<StoredObject> document =
                 store.read(StoredDocuments.documentKey(new ServiceName(backend.team(), backend.service())));
@@ -148,10 +149,10 @@
                 .isPresent();
     }
 
-    private SlotIdentity slot(boolean checksNumbers) {
+    private SlotIdentity slotIdentity(boolean checksFencingNumbers) {
         BackendSettings backend = settings.backend();
         ObjectKey record = new ObjectKey(ObjectKind.ENGINE_RECORD, backend.team(), backend.name());
-        return new SlotIdentity(backend.name(), incarnation, record, planKey(), checksNumbers);
+        return new SlotIdentity(backend.name(), incarnation, record, planKey(), checksFencingNumbers);
     }
 
     private ObjectKey planKey() {
@@ -162,7 +163,7 @@
                 backend.service() + "." + settings.process().dataCentre());
     }
 
-    private void remember(String step) {
+    private void recordStep(String step) {
         if (!step.equals(lastStep)) {
             lastStep = step;
             LOG.infof("orders: %s", step);
@@ -172,7 +173,7 @@
     private static String describe(ExecutorStep step) {
         return switch (step) {
             case ExecutorStep.Idle ignored -> "nothing to do";
-            case ExecutorStep.TookOver took -> "took the engine over, slot term " + took.slotTerm();
+            case ExecutorStep.TookOver takenOver -> "took the engine over, slot term " + takenOver.slotTerm();
             case ExecutorStep.Replaced ignored -> "replaced by another agent, gives no orders any more";
             case ExecutorStep.Draining draining -> "drains for an order";
             case ExecutorStep.Waiting waiting -> "waits for " + waiting.reason();
@@ -183,10 +184,10 @@
             case ExecutorStep.Settling settling -> "settles order " + settling.orderId();
             case ExecutorStep.Settled settled -> "order " + settled.orderId() + " ended, " + settled.state();
             case ExecutorStep.PlanBehind behind -> "waits for a plan newer than the record";
-            case ExecutorStep.StoreTrouble trouble ->
-                "waits for the store: " + trouble.cause().problem();
-            case ExecutorStep.EngineSilent silent ->
-                "waits for the engine: " + silent.cause().problem();
+            case ExecutorStep.StoreTrouble storeFailure ->
+                "waits for the store: " + storeFailure.cause().problem();
+            case ExecutorStep.EngineSilent unresponsive ->
+                "waits for the engine: " + unresponsive.cause().problem();
         };
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PauseGuard.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PauseGuard.java
@@ -5,19 +5,19 @@
     /** A guard for backend servers that take no orders: a pause changes nothing for them. */
     PauseGuard NONE = new PauseGuard() {
         @Override
-        public boolean stoodStill() {
+        public boolean detectPause() {
             return false;
         }
 
         @Override
-        public boolean admits(long pausesKnown) {
+        public boolean isPermissionCurrent(long knownPauses) {
             return true;
         }
     };
 
     /** Says whether the process has stood still since the last call; the event loop asks before any work. */
-    boolean stoodStill();
+    boolean detectPause();
 
     /** Says whether a permission given by the order thread still counts: no pause has come after it. */
-    boolean admits(long pausesKnown);
+    boolean isPermissionCurrent(long knownPauses);
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PlainAnswerDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PlainAnswerDecoder.java
@@ -7,13 +7,13 @@
 /** Passes a plain service's answer on as it is. */
 final class PlainAnswerDecoder implements AnswerDecoder {
     @Override
-    public List<Piece> decode(List<ByteBuffer> buffers) {
-        List<Piece> pieces = new ArrayList<>();
+    public List<AnswerPiece> decode(List<ByteBuffer> buffers) {
+        List<AnswerPiece> pieces = new ArrayList<>();
         for (ByteBuffer buffer : buffers) {
             byte[] data = new byte[buffer.remaining()];
             buffer.get(data);
             if (data.length > 0) {
-                pieces.add(new Piece(data, 0));
+                pieces.add(new AnswerPiece(data, 0));
             }
         }
         return pieces;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RegistrationDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RegistrationWorker.java
@@ -14,9 +14,9 @@
 import org.jboss.logging.Logger;
 
 /** Writes the agent's registration into the store, trying again until the store takes it. */
-final class RegistrationDuty implements AutoCloseable {
+final class RegistrationWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("agent");
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(2);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(2);
 
     private final ObjectStore store;
     private final AgentRegistration registration;
@@ -25,7 +25,7 @@
     private final CountDownLatch closed = new CountDownLatch(1);
     private final Thread thread;
 
-    RegistrationDuty(ObjectStore store, AgentRegistration registration, RandomGenerator random) {
+    RegistrationWorker(ObjectStore store, AgentRegistration registration, RandomGenerator random) {
         this.store = store;
         this.registration = registration;
         this.random = random;
@@ -39,10 +39,10 @@
     }
 
     /** Takes the registration back, so that entries see at once that the agent has gone; best effort. */
-    void signOff() {
+    void deregister() {
         try {
             Optional<StoredObject> stored = store.read(key);
-            if (stored.isPresent() && isOurs(stored.get())) {
+            if (stored.isPresent() && isOwn(stored.get())) {
                 store.delete(stored.get());
             }
         } catch (StoreException unavailable) {
@@ -58,7 +58,7 @@
     private void run() {
         boolean done = false;
         while (!done) {
-            done = tryRegister() || pause();
+            done = tryRegister() || waitBeforeRetry();
         }
     }
 
@@ -66,7 +66,7 @@
     private boolean tryRegister() {
         try {
             Optional<StoredObject> stored = store.read(key);
-            if (stored.isPresent() && isOurs(stored.get())) {
+            if (stored.isPresent() && isOwn(stored.get())) {
                 return true;
             }
             if (stored.isPresent()) {
@@ -82,16 +82,16 @@
         }
     }
 
-    private boolean isOurs(StoredObject stored) {
+    private boolean isOwn(StoredObject stored) {
         return AgentRegistration.read(stored)
                 .map(AgentRegistration::incarnation)
                 .filter(registration.incarnation()::equals)
                 .isPresent();
     }
 
-    private boolean pause() {
+    private boolean waitBeforeRetry() {
         try {
-            long milliseconds = 1 + random.nextLong(LONGEST_PAUSE.toMillis());
+            long milliseconds = 1 + random.nextLong(MAX_RETRY_DELAY.toMillis());
             return closed.await(milliseconds, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RunningAttempt.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RunningAttempt.java
@@ -23,7 +23,7 @@
     private final Link link;
     private final BackendCall call;
     private final AttemptChecksum checksum = new AttemptChecksum();
-    private final Deque<Piece> pending = new ArrayDeque<>();
+    private final Deque<AnswerPiece> pending = new ArrayDeque<>();
     private int credit;
     private Optional<CallEnd> end = Optional.empty();
 
@@ -47,24 +47,24 @@
     }
 
     /** Takes pieces that the backend server gave. */
-    void arrived(List<Piece> pieces) {
+    void addPieces(List<AnswerPiece> pieces) {
         pending.addAll(pieces);
-        flush();
-        wantMoreIfEmpty();
+        sendPending();
+        requestMoreIfEmpty();
     }
 
     /** Takes credit that the entry gave. */
-    void credited(int chunks) {
+    void addCredit(int chunks) {
         credit += chunks;
         boolean wasHeldBack = !pending.isEmpty();
-        flush();
+        sendPending();
         if (wasHeldBack) {
-            wantMoreIfEmpty();
+            requestMoreIfEmpty();
         }
     }
 
     /** Takes the end of the backend server's answer. */
-    void ended(CallEnd callEnd) {
+    void recordEnd(CallEnd callEnd) {
         end = Optional.of(callEnd);
     }
 
@@ -76,15 +76,15 @@
         return end.map(this::lastFrame);
     }
 
-    private void wantMoreIfEmpty() {
+    private void requestMoreIfEmpty() {
         if (pending.isEmpty() && end.isEmpty()) {
-            call.wantMore();
+            call.requestMore();
         }
     }
 
-    private void flush() {
+    private void sendPending() {
         while (credit > 0 && !pending.isEmpty()) {
-            Piece piece = pending.removeFirst();
+            AnswerPiece piece = pending.removeFirst();
             credit--;
             link.send(Frame.newBuilder()
                     .setChunk(Chunk.newBuilder()
@@ -102,7 +102,8 @@
         switch (callEnd) {
             case CallEnd.Complete complete -> last.setEnd(Last.End.COMPLETE).setFinishReason(complete.finishReason());
             case CallEnd.Failed failed -> last.setEnd(Last.End.FAILED).setDetail(failed.detail());
-            case CallEnd.NeverStarted never -> last.setEnd(Last.End.FAILED).setDetail(never.detail());
+            case CallEnd.NeverStarted neverStarted ->
+                last.setEnd(Last.End.FAILED).setDetail(neverStarted.detail());
         }
         return Frame.newBuilder().setLast(last).build();
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusPoller.java
@@ -8,15 +8,15 @@
 import org.aspenmoor.internal.engine.EngineUnreachableException;
 
 /** Asks the backend server again and again how it is. */
-final class StatusDuty implements AutoCloseable {
-    private static final Duration PERIOD = Duration.ofMillis(250);
+final class StatusPoller implements AutoCloseable {
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
     private final EngineControl control;
     private final Duty<AgentMessage> eventLoop;
     private final CountDownLatch closed = new CountDownLatch(1);
     private final Thread thread;
 
-    StatusDuty(EngineControl control, Duty<AgentMessage> eventLoop) {
+    StatusPoller(EngineControl control, Duty<AgentMessage> eventLoop) {
         this.control = control;
         this.eventLoop = eventLoop;
         this.thread = Thread.ofPlatform().name("aspenmoor-status").daemon(true).unstarted(this::run);
@@ -34,14 +34,14 @@
     private void run() {
         try {
             do {
-                ask();
-            } while (!closed.await(PERIOD.toMillis(), TimeUnit.MILLISECONDS));
+                poll();
+            } while (!closed.await(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS));
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void ask() {
+    private void poll() {
         try {
             eventLoop.put(new AgentMessage.StatusRead(control.status()));
         } catch (EngineUnreachableException unreachable) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -34,22 +34,22 @@
     public static final BreakerSettings STORE_BREAKER =
             new BreakerSettings(1, Duration.ofSeconds(1), Duration.ofSeconds(5), Duration.ofSeconds(10));
 
-    private static final Duration FLUSH_STEP = Duration.ofMillis(20);
-    private static final int FLUSH_STEPS = 20;
-    private static final Duration LOOK_AGAIN_AFTER = Duration.ofMillis(200);
-    private static final int MOST_LOOKS = 4;
+    private static final Duration FLUSH_INTERVAL = Duration.ofMillis(20);
+    private static final int FLUSH_ROUNDS = 20;
+    private static final Duration RECHECK_DELAY = Duration.ofMillis(200);
+    private static final int MAX_CHECKS = 4;
     private static final Duration SLOW_COMMIT = Duration.ofMillis(500);
-    private static final Duration REST_AFTER_SLOW_COMMIT = Duration.ofSeconds(1);
+    private static final Duration PAUSE_AFTER_SLOW_COMMIT = Duration.ofSeconds(1);
 
     private final ClaimCommitter committer;
     private final ClaimSettings settings;
     private final CircuitBreaker storeBreaker;
     private final TimeSource time;
-    private final Consumer<ClaimVerdict> verdicts;
-    private final TokenBucket pace;
-    private long commitsRestUntil;
-    private final Map<RequestId, Integer> looks = new HashMap<>();
-    private final List<LookAgain> lookAgain = new ArrayList<>();
+    private final Consumer<ClaimVerdict> decisions;
+    private final TokenBucket commitRate;
+    private long commitsPausedUntil;
+    private final Map<RequestId, Integer> checksByRequest = new HashMap<>();
+    private final List<Recheck> pendingRechecks = new ArrayList<>();
 
     public ClaimHandler(
             ClaimCommitter committer,
@@ -57,33 +57,33 @@
             CircuitBreaker storeBreaker,
             TimeSource time,
             double commitsPerSecond,
-            Consumer<ClaimVerdict> verdicts) {
+            Consumer<ClaimVerdict> decisions) {
         this.committer = committer;
         this.settings = settings;
         this.storeBreaker = storeBreaker;
         this.time = time;
-        this.commitsRestUntil = time.monotonicNanoseconds();
-        this.pace = new TokenBucket(time, commitsPerSecond, Math.max(1, commitsPerSecond));
-        this.verdicts = verdicts;
+        this.commitsPausedUntil = time.monotonicNanoseconds();
+        this.commitRate = new TokenBucket(time, commitsPerSecond, Math.max(1, commitsPerSecond));
+        this.decisions = decisions;
     }
 
     @Override
     public void handle(ClaimMessage message) {
         switch (message) {
-            case ClaimMessage.Asked asked -> ask(asked.request());
+            case ClaimMessage.Asked requested -> requestClaim(requested.request());
             case ClaimMessage.Answered answered -> committer.answered(answered.ticket(), answered.answer());
             case ClaimMessage.NeverStarted never -> committer.neverStarted(never.ticket());
-            case ClaimMessage.Tick ignored -> submitDueLooks();
-            case ClaimMessage.FlushAsked asked -> flush(asked.flushed());
+            case ClaimMessage.Tick ignored -> submitDueRechecks();
+            case ClaimMessage.FlushAsked requested -> flush(requested.flushed());
         }
     }
 
     @Override
     public void batchEnded() {
         while (committer.hasDueWork() && mayCommit()) {
-            long began = time.monotonicNanoseconds();
-            committer.commitBatch().forEach(this::judged);
-            restIfSlow(began);
+            long startedAt = time.monotonicNanoseconds();
+            committer.commitBatch().forEach(this::handleDecision);
+            pauseIfSlow(startedAt);
         }
     }
 
@@ -93,22 +93,22 @@
     // go
     // out at once; beyond them each waits for its turn.
     private boolean mayCommit() {
-        return time.monotonicNanoseconds() - commitsRestUntil >= 0 && pace.take();
+        return time.monotonicNanoseconds() - commitsPausedUntil >= 0 && commitRate.take();
     }
 
     // Outcomes that could not be written wait for the next commit. With a silent store this thread would go on from one
     // time-out to the next, and calls that come meanwhile would wait in its ring for a refusal that is certain.
-    private void restIfSlow(long began) {
+    private void pauseIfSlow(long startedAt) {
         long now = time.monotonicNanoseconds();
-        if (now - began >= SLOW_COMMIT.toNanos()) {
+        if (now - startedAt >= SLOW_COMMIT.toNanos()) {
             storeBreaker.failed();
-            commitsRestUntil = now + REST_AFTER_SLOW_COMMIT.toNanos();
+            commitsPausedUntil = now + PAUSE_AFTER_SLOW_COMMIT.toNanos();
         }
     }
 
-    private void ask(ClaimRequest request) {
+    private void requestClaim(ClaimRequest request) {
         if (storeBreaker.ask() instanceof BreakerDecision.Open open) {
-            verdicts.accept(new ClaimVerdict.NotClaimed(
+            decisions.accept(new ClaimVerdict.NotClaimed(
                     request, open.comeBackAfter(), "The store did not answer the claims before this one."));
             return;
         }
@@ -117,56 +117,57 @@
 
     private void submit(ClaimRequest request) {
         if (!committer.submit(request)) {
-            looks.remove(request.id());
-            verdicts.accept(new ClaimVerdict.NotClaimed(
+            checksByRequest.remove(request.id());
+            decisions.accept(new ClaimVerdict.NotClaimed(
                     request, settings.comeBackAfter(), "Too many claims wait for the store."));
         }
     }
 
-    private void judged(ClaimVerdict verdict) {
-        if (verdict instanceof ClaimVerdict.NotClaimed) {
+    private void handleDecision(ClaimVerdict decision) {
+        if (decision instanceof ClaimVerdict.NotClaimed) {
             storeBreaker.failed();
         } else {
             storeBreaker.succeeded();
         }
-        if (verdict instanceof ClaimVerdict.StillUnknown unknown && looksAgain(unknown.request())) {
+        if (decision instanceof ClaimVerdict.StillUnknown unknown && scheduleRecheck(unknown.request())) {
             return;
         }
-        looks.remove(verdict.request().id());
-        verdicts.accept(verdict);
+        checksByRequest.remove(decision.request().id());
+        decisions.accept(decision);
     }
 
     // A caller that repeats its call at another entry right after the answer would be told that nobody knows, only
     // because the outcome is written a moment after the answer is given. A few looks within a second find it.
-    private boolean looksAgain(ClaimRequest request) {
-        int done = looks.merge(request.id(), 1, Integer::sum);
-        if (done >= MOST_LOOKS) {
+    private boolean scheduleRecheck(ClaimRequest request) {
+        int checks = checksByRequest.merge(request.id(), 1, Integer::sum);
+        if (checks >= MAX_CHECKS) {
             return false;
         }
-        lookAgain.add(new LookAgain(request, time.monotonicNanoseconds() + LOOK_AGAIN_AFTER.toNanos()));
+        pendingRechecks.add(new Recheck(request, time.monotonicNanoseconds() + RECHECK_DELAY.toNanos()));
         return true;
     }
 
-    private void submitDueLooks() {
+    private void submitDueRechecks() {
         long now = time.monotonicNanoseconds();
-        List<LookAgain> due =
-                lookAgain.stream().filter(look -> look.dueAt() - now <= 0).toList();
-        lookAgain.removeAll(due);
-        due.forEach(look -> submit(look.request()));
+        List<Recheck> due = pendingRechecks.stream()
+                .filter(recheck -> recheck.dueAt() - now <= 0)
+                .toList();
+        pendingRechecks.removeAll(due);
+        due.forEach(recheck -> submit(recheck.request()));
     }
 
     private void flush(CompletableFuture<Void> flushed) {
-        lookAgain.forEach(look -> verdicts.accept(new ClaimVerdict.StillUnknown(look.request())));
-        lookAgain.clear();
-        for (int step = 0; step < FLUSH_STEPS; step++) {
+        pendingRechecks.forEach(recheck -> decisions.accept(new ClaimVerdict.StillUnknown(recheck.request())));
+        pendingRechecks.clear();
+        for (int round = 0; round < FLUSH_ROUNDS; round++) {
             while (committer.hasDueWork()) {
-                committer.commitBatch().forEach(this::judged);
+                committer.commitBatch().forEach(this::handleDecision);
             }
-            LockSupport.parkNanos(FLUSH_STEP.toNanos());
+            LockSupport.parkNanos(FLUSH_INTERVAL.toNanos());
         }
         flushed.complete(null);
     }
 
     /** A claim that is looked at again. */
-    private record LookAgain(ClaimRequest request, long dueAt) {}
+    private record Recheck(ClaimRequest request, long dueAt) {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
@@ -22,7 +22,7 @@
     private final AnswerAssembly assembly = new AnswerAssembly();
     private final StringBuilder deliveredText = new StringBuilder();
     private final ByteArrayOutputStream plainBody = new ByteArrayOutputStream();
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> triedBackends = new HashSet<>();
     private Optional<AgentPeer> peer = Optional.empty();
     private int plainStatus;
     private List<Header> plainHeaders = new ArrayList<>();
@@ -75,7 +75,7 @@
         return ticket;
     }
 
-    void claimed(ClaimTicket newTicket) {
+    void recordClaim(ClaimTicket newTicket) {
         ticket = Optional.of(newTicket);
     }
 
@@ -84,7 +84,7 @@
         return versionLabel;
     }
 
-    void runsUnder(String label) {
+    void setVersionLabel(String label) {
         versionLabel = label;
     }
 
@@ -104,12 +104,12 @@
         return peer;
     }
 
-    Set<String> tried() {
-        return tried;
+    Set<String> triedBackends() {
+        return triedBackends;
     }
 
     /** Says whether the caller already holds a part of the answer, so that a refusal would be a lie. */
-    boolean hasBegun() {
+    boolean hasDeliveredTokens() {
         return assembly.deliveredTokens() > 0;
     }
 
@@ -121,29 +121,29 @@
         return lastProgressAt;
     }
 
-    void progressed(long now) {
+    void recordProgress(long now) {
         lastProgressAt = now;
     }
 
     /** Begins an attempt at an agent and returns its number. */
-    int dispatchedTo(AgentPeer newPeer, long now) {
+    int beginAttempt(AgentPeer newPeer, long now) {
         peer = Optional.of(newPeer);
-        tried.add(newPeer.backend());
+        triedBackends.add(newPeer.backend());
         lastProgressAt = now;
         plainBody.reset();
         plainHeaders = List.of();
-        newPeer.dispatched();
+        newPeer.incrementOutstanding();
         return assembly.beginAttempt();
     }
 
     /** Ends the current attempt; frames of it that still arrive are dropped once the next begins. */
-    void attemptOver(boolean thisMayHaveRun) {
-        peer.ifPresent(AgentPeer::released);
+    void endAttempt(boolean attemptMayHaveRun) {
+        peer.ifPresent(AgentPeer::decrementOutstanding);
         peer = Optional.empty();
-        mayHaveRun |= thisMayHaveRun;
+        mayHaveRun |= attemptMayHaveRun;
     }
 
-    void delivered(String text) {
+    void appendDelivered(String text) {
         deliveredText.append(text);
     }
 
@@ -151,13 +151,13 @@
         return deliveredText.toString();
     }
 
-    void plainStarted(int status, List<Header> headers) {
+    void startPlainAnswer(int status, List<Header> headers) {
         plainStatus = status;
         plainHeaders = headers;
     }
 
     /** Adds to a plain service's answer and returns its length so far. */
-    int plainData(byte[] data) {
+    int appendPlainBody(byte[] data) {
         plainBody.writeBytes(data);
         return plainBody.size();
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
@@ -22,96 +22,100 @@
 /** The backend servers this entry knows of, the links to their agents, and whether each may be given work. */
 final class AgentDirectory {
     private static final Logger LOG = Logger.getLogger("entry");
-    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(500);
-    private static final int PROBES_REMEMBERED = 64;
+    private static final Duration RECONNECT_INTERVAL = Duration.ofMillis(500);
+    private static final int PROBE_HISTORY_SIZE = 64;
 
     private final Map<String, AgentPeer> peers = new HashMap<>();
-    private final Map<Link, AgentPeer> byLink = new HashMap<>();
-    private final Map<String, Boolean> hostsLeaving = new HashMap<>();
-    private final long[] probeSentAt = new long[PROBES_REMEMBERED];
+    private final Map<Link, AgentPeer> peersByLink = new HashMap<>();
+    private final Map<String, Boolean> leavingByHost = new HashMap<>();
+    private final long[] probeSentAt = new long[PROBE_HISTORY_SIZE];
     private final LinkNetwork network;
     private final MembershipView membership;
-    private final Supplier<CircuitBreaker> breakers;
+    private final Supplier<CircuitBreaker> breakerFactory;
     private final PeerListener listener;
-    private boolean hostListKnown;
-    private long connections;
-    private long probes;
+    private boolean hostListComplete;
+    private long lastConnectionNumber;
+    private long lastProbeNumber;
 
     AgentDirectory(
-            LinkNetwork network, MembershipView membership, Supplier<CircuitBreaker> breakers, PeerListener listener) {
+            LinkNetwork network,
+            MembershipView membership,
+            Supplier<CircuitBreaker> breakerFactory,
+            PeerListener listener) {
         this.network = network;
         this.membership = membership;
-        this.breakers = breakers;
+        this.breakerFactory = breakerFactory;
         this.listener = listener;
     }
 
-    void registered(AgentRegistration registration, long now) {
+    void register(AgentRegistration registration, long now) {
         AgentPeer peer = peers.get(registration.backend());
         if (peer == null) {
-            peers.put(registration.backend(), new AgentPeer(registration, breakers.get()));
+            peers.put(registration.backend(), new AgentPeer(registration, breakerFactory.get()));
             applyHostList();
         } else {
             // An open link still leads to the earlier incarnation; it ends by itself or by its probes.
-            peer.registered(registration);
+            peer.updateRegistration(registration);
         }
         connectMissing(now);
     }
 
     /** Takes that an agent has signed off: it said itself that it leaves. */
-    void unregistered(String backend) {
+    void unregister(String backend) {
         AgentPeer peer = peers.get(backend);
         if (peer != null) {
             membership.leaving(backend, peer.registration().incarnation());
         }
     }
 
-    void hostChanged(String host, boolean leaving) {
-        hostsLeaving.put(host, leaving);
+    void updateHost(String host, boolean leaving) {
+        leavingByHost.put(host, leaving);
         applyHostList();
     }
 
-    void hostGone(String host) {
-        hostsLeaving.remove(host);
+    void removeHost(String host) {
+        leavingByHost.remove(host);
         applyHostList();
     }
 
     /** Takes that the host list was told whole; before that, a missing host says nothing. */
-    void hostListKnown() {
-        hostListKnown = true;
+    void completeHostList() {
+        hostListComplete = true;
         applyHostList();
     }
 
     /** Takes a new link; empty where it leads to no known agent. */
-    Optional<AgentPeer> opened(Link link) {
+    Optional<AgentPeer> linkOpened(Link link) {
         AgentPeer peer = peers.get(link.peer().getBackend());
         if (peer == null || peer.link().isPresent()) {
             link.close();
             return Optional.empty();
         }
-        connections++;
-        peer.opened(link, connections);
-        membership.hello(peer.backend(), link.peer().getIncarnation(), connections, peer.connectTriedAt());
-        byLink.put(link, peer);
+        lastConnectionNumber++;
+        peer.linkOpened(link, lastConnectionNumber);
+        membership.hello(
+                peer.backend(), link.peer().getIncarnation(), lastConnectionNumber, peer.lastConnectAttemptAt());
+        peersByLink.put(link, peer);
         return Optional.of(peer);
     }
 
-    Optional<AgentPeer> closed(Link link) {
-        AgentPeer peer = byLink.remove(link);
+    Optional<AgentPeer> linkClosed(Link link) {
+        AgentPeer peer = peersByLink.remove(link);
         if (peer == null) {
             return Optional.empty();
         }
-        membership.linkLost(peer.backend(), peer.connection());
-        peer.closed();
-        listener.gone(peer);
+        membership.linkLost(peer.backend(), peer.connectionNumber());
+        peer.linkClosed();
+        listener.linkClosed(peer);
         return Optional.of(peer);
     }
 
-    Optional<AgentPeer> of(Link link) {
-        return Optional.ofNullable(byLink.get(link));
+    Optional<AgentPeer> findByLink(Link link) {
+        return Optional.ofNullable(peersByLink.get(link));
     }
 
     /** Takes an agent's word that its backend server leaves. */
-    void leaving(AgentPeer peer, String reason) {
+    void markLeaving(AgentPeer peer, String reason) {
         LOG.infof("entry: backend %s is leaving, %s", peer.backend(), reason);
         peer.link()
                 .ifPresent(
@@ -120,7 +124,7 @@
 
     void connectMissing(long now) {
         for (AgentPeer peer : peers.values()) {
-            if (peer.shouldConnect(now, RECONNECT_PAUSE.toNanos())) {
+            if (peer.beginConnectIfDue(now, RECONNECT_INTERVAL.toNanos())) {
                 AgentRegistration registration = peer.registration();
                 network.connect(registration.address(), registration.port(), () -> {});
             }
@@ -128,24 +132,24 @@
     }
 
     /** Sends a probe on every link. */
-    void probe(long now) {
-        probes++;
-        probeSentAt[slotOf(probes)] = now;
+    void sendProbes(long now) {
+        lastProbeNumber++;
+        probeSentAt[slotOf(lastProbeNumber)] = now;
         Frame probe = Frame.newBuilder()
-                .setProbe(Probe.newBuilder().setNumber(probes))
+                .setProbe(Probe.newBuilder().setNumber(lastProbeNumber))
                 .build();
-        byLink.keySet().forEach(link -> link.send(probe));
+        peersByLink.keySet().forEach(link -> link.send(probe));
     }
 
     /** Takes the answer to a probe. */
     void probeAnswered(AgentPeer peer, long number) {
-        if (number > probes - PROBES_REMEMBERED && number <= probes) {
-            membership.probeAnswered(peer.backend(), peer.connection(), probeSentAt[slotOf(number)]);
+        if (number > lastProbeNumber - PROBE_HISTORY_SIZE && number <= lastProbeNumber) {
+            membership.probeAnswered(peer.backend(), peer.connectionNumber(), probeSentAt[slotOf(number)]);
         }
     }
 
     /** Says whether new work may go to a backend server. */
-    boolean takesWork(AgentPeer peer) {
+    boolean acceptsWork(AgentPeer peer) {
         return peer.isReady() && membership.takesNewWork(peer.backend());
     }
 
@@ -154,7 +158,7 @@
     }
 
     /** Lists the backend servers of a service. */
-    List<AgentPeer> ofService(String team, String service) {
+    List<AgentPeer> findByService(String team, String service) {
         List<AgentPeer> found = new ArrayList<>();
         for (AgentPeer peer : peers.values()) {
             AgentRegistration registration = peer.registration();
@@ -174,12 +178,12 @@
     }
 
     private void applyHostList() {
-        if (!hostListKnown) {
+        if (!hostListComplete) {
             return;
         }
         List<HostListEntry> entries = new ArrayList<>();
         for (AgentPeer peer : peers.values()) {
-            Boolean leaving = hostsLeaving.get(peer.registration().host());
+            Boolean leaving = leavingByHost.get(peer.registration().host());
             if (leaving != null) {
                 entries.add(new HostListEntry(peer.backend(), leaving));
             }
@@ -188,6 +192,6 @@
     }
 
     private static int slotOf(long probe) {
-        return (int) (probe % PROBES_REMEMBERED);
+        return (int) (probe % PROBE_HISTORY_SIZE);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentPeer.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentPeer.java
@@ -14,8 +14,8 @@
     private Optional<LoadReport> load = Optional.empty();
     private int outstanding;
     private int requestCredit;
-    private long connectTriedAt;
-    private long connection;
+    private long lastConnectAttemptAt;
+    private long connectionNumber;
 
     AgentPeer(AgentRegistration registration, CircuitBreaker breaker) {
         this.registration = registration;
@@ -30,7 +30,7 @@
         return registration;
     }
 
-    void registered(AgentRegistration newRegistration) {
+    void updateRegistration(AgentRegistration newRegistration) {
         registration = newRegistration;
     }
 
@@ -39,37 +39,37 @@
     }
 
     /** Takes a new link, numbered among this process's connections. */
-    void opened(Link newLink, long connectionNumber) {
+    void linkOpened(Link newLink, long newConnectionNumber) {
         link = Optional.of(newLink);
-        connection = connectionNumber;
+        connectionNumber = newConnectionNumber;
         requestCredit = newLink.peer().getRequestCredit();
         load = Optional.empty();
         outstanding = 0;
     }
 
-    long connection() {
-        return connection;
+    long connectionNumber() {
+        return connectionNumber;
     }
 
-    long connectTriedAt() {
-        return connectTriedAt;
+    long lastConnectAttemptAt() {
+        return lastConnectAttemptAt;
     }
 
     CircuitBreaker breaker() {
         return breaker;
     }
 
-    void closed() {
+    void linkClosed() {
         link = Optional.empty();
         load = Optional.empty();
         outstanding = 0;
     }
 
-    void reported(LoadReport report) {
-        boolean older = load.isPresent()
+    void updateLoad(LoadReport report) {
+        boolean outdated = load.isPresent()
                 && report.getReady() == load.get().getReady()
                 && report.getSequence() < load.get().getSequence();
-        if (!older) {
+        if (!outdated) {
             load = Optional.of(report);
         }
     }
@@ -91,20 +91,20 @@
         return outstanding;
     }
 
-    void dispatched() {
+    void incrementOutstanding() {
         outstanding++;
     }
 
-    void released() {
+    void decrementOutstanding() {
         outstanding = Math.max(0, outstanding - 1);
     }
 
     /** Says whether a connection should be tried now, and remembers that it was. */
-    boolean shouldConnect(long now, long pauseNanoseconds) {
-        if (link.isPresent() || now - connectTriedAt < pauseNanoseconds) {
+    boolean beginConnectIfDue(long now, long intervalNanoseconds) {
+        if (link.isPresent() || now - lastConnectAttemptAt < intervalNanoseconds) {
             return false;
         }
-        connectTriedAt = now;
+        lastConnectAttemptAt = now;
         return true;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
@@ -16,17 +16,21 @@
     private static final int STATUS_OK = 200;
 
     private final RequestTable requestTable;
-    private final AttemptDriver driver;
+    private final RequestDispatcher dispatcher;
     private final CallerLimits limits;
     private final EntryMetrics metrics;
-    private final Claims claims;
+    private final ClaimClient claims;
     private final ChunkAccount chunks = new ChunkAccount();
 
     AnswerReceiver(
-            RequestTable requestTable, AttemptDriver driver, CallerLimits limits, EntryMetrics metrics, Claims claims) {
+            RequestTable requestTable,
+            RequestDispatcher dispatcher,
+            CallerLimits limits,
+            EntryMetrics metrics,
+            ClaimClient claims) {
         this.claims = claims;
         this.requestTable = requestTable;
-        this.driver = driver;
+        this.dispatcher = dispatcher;
         this.limits = limits;
         this.metrics = metrics;
     }
@@ -35,129 +39,129 @@
         return chunks;
     }
 
-    void started(Started started, long now) {
-        requestTable.findCurrent(started.getId()).ifPresent(request -> {
-            request.progressed(now);
-            request.plainStarted(started.getStatus(), started.getHeadersList());
+    void handleStarted(Started started, long now) {
+        requestTable.findByCurrentAttempt(started.getId()).ifPresent(request -> {
+            request.recordProgress(now);
+            request.startPlainAnswer(started.getStatus(), started.getHeadersList());
         });
     }
 
-    void chunk(Chunk chunk, long now) {
+    void handleChunk(Chunk chunk, long now) {
         chunks.received();
-        Optional<ActiveRequest> found = requestTable.findCurrent(chunk.getId());
+        Optional<ActiveRequest> found = requestTable.findByCurrentAttempt(chunk.getId());
         if (found.isEmpty()) {
             chunks.discarded();
-            metrics.chunkDiscarded();
+            metrics.recordDiscardedChunk();
             return;
         }
         ActiveRequest request = found.get();
         byte[] data = chunk.getData().toByteArray();
         boolean first = request.assembly().deliveredBytes() == 0;
-        ChunkVerdict verdict =
+        ChunkVerdict decision =
                 request.assembly().chunk(chunk.getId().getAttempt(), chunk.getSequence(), data, chunk.getTokens());
-        chunks.judged(verdict);
-        switch (verdict) {
+        chunks.judged(decision);
+        switch (decision) {
             case ChunkVerdict.Deliver ignored -> deliver(request, chunk, data, first, now);
-            case ChunkVerdict.Discard ignored -> metrics.chunkDiscarded();
-            case ChunkVerdict.Broken broken -> abandon(request, broken.detail(), now);
+            case ChunkVerdict.Discard ignored -> metrics.recordDiscardedChunk();
+            case ChunkVerdict.Broken broken -> failAttempt(request, broken.detail(), now);
         }
     }
 
-    void last(Last last, long now) {
-        Optional<ActiveRequest> found = requestTable.findCurrent(last.getId());
+    void handleLast(Last last, long now) {
+        Optional<ActiveRequest> found = requestTable.findByCurrentAttempt(last.getId());
         if (found.isEmpty()) {
             return;
         }
         ActiveRequest request = found.get();
         if (last.getEnd() != Last.End.COMPLETE) {
-            driver.lost(request, last.getDetail(), now);
+            dispatcher.attemptLost(request, last.getDetail(), now);
             return;
         }
-        EndVerdict verdict =
+        EndVerdict decision =
                 request.assembly().complete(last.getId().getAttempt(), last.getCount(), last.getChecksum());
-        switch (verdict) {
-            case EndVerdict.Whole ignored -> whole(request, last, now);
-            case EndVerdict.Discard ignored -> metrics.chunkDiscarded();
-            case EndVerdict.Broken broken -> driver.lost(request, broken.detail(), now);
+        switch (decision) {
+            case EndVerdict.Whole ignored -> completeAnswer(request, last, now);
+            case EndVerdict.Discard ignored -> metrics.recordDiscardedChunk();
+            case EndVerdict.Broken broken -> dispatcher.attemptLost(request, broken.detail(), now);
         }
     }
 
-    void refused(Refused refused, long now) {
+    void handleRefused(Refused refused, long now) {
         requestTable
-                .findCurrent(refused.getId())
-                .ifPresent(request -> driver.neverStarted(request, refused.getDetail(), now));
+                .findByCurrentAttempt(refused.getId())
+                .ifPresent(request -> dispatcher.attemptNotStarted(request, refused.getDetail(), now));
     }
 
     /** Passes credit for what the caller has taken on to the agent. */
     void returnCredit(ActiveRequest request) {
-        int taken = request.sink().takeTaken();
-        if (taken > 0) {
-            credit(request, taken);
+        int consumed = request.sink().takeConsumedPieces();
+        if (consumed > 0) {
+            sendCredit(request, consumed);
         }
     }
 
     private void deliver(ActiveRequest request, Chunk chunk, byte[] data, boolean first, long now) {
-        request.progressed(now);
+        request.recordProgress(now);
         switch (request.incoming().work()) {
             case CallerWork.Generation ignored -> {
                 if (first) {
                     double seconds = (now - request.receivedAt()) / (double) TimeUnit.SECONDS.toNanos(1);
-                    metrics.firstToken(request.document(), request.kind(), seconds);
+                    metrics.recordFirstToken(request.document(), request.kind(), seconds);
                     requestTable.trace(request, now, "first token");
                 }
                 String text = chunk.getData().toStringUtf8();
-                request.delivered(text);
-                request.sink().piece(text);
+                request.appendDelivered(text);
+                request.sink().onText(text);
                 returnCredit(request);
             }
-            case CallerWork.PlainCall ignored -> deliverPlain(request, data, now);
+            case CallerWork.PlainCall ignored -> deliverPlainData(request, data, now);
         }
     }
 
-    private void deliverPlain(ActiveRequest request, byte[] data, long now) {
-        int length = request.plainData(data);
+    private void deliverPlainData(ActiveRequest request, byte[] data, long now) {
+        int length = request.appendPlainBody(data);
         if (length > limits.answerBytes()) {
             cancelAtAgent(request);
-            driver.endAttempt(request, true, now);
-            requestTable.unknown(
+            dispatcher.endAttempt(request, true, now);
+            requestTable.endUnknown(
                     request, "The service's answer is longer than " + limits.answerBytes() + " bytes.", now);
             return;
         }
-        credit(request, 1);
+        sendCredit(request, 1);
     }
 
-    private void whole(ActiveRequest request, Last last, long now) {
-        driver.answered(request);
-        driver.endAttempt(request, true, now);
+    private void completeAnswer(ActiveRequest request, Last last, long now) {
+        dispatcher.recordSuccess(request);
+        dispatcher.endAttempt(request, true, now);
         switch (request.incoming().work()) {
             case CallerWork.Generation generation -> {
-                requestTable.answered(request, STATUS_OK, now);
+                requestTable.endAnswered(request, STATUS_OK, now);
                 request.sink()
-                        .generationDone(
+                        .onGenerationComplete(
                                 last.getFinishReason(),
                                 generation.request().promptTokens(),
                                 request.assembly().deliveredTokens());
             }
             case CallerWork.PlainCall ignored -> {
                 PlainAnswer answer = request.plainAnswer();
-                request.ticket().ifPresent(ticket -> claims.answered(ticket, answer));
-                requestTable.answered(request, answer.status(), now);
-                request.sink().plainAnswer(answer);
+                request.ticket().ifPresent(ticket -> claims.recordAnswer(ticket, answer));
+                requestTable.endAnswered(request, answer.status(), now);
+                request.sink().onPlainAnswer(answer);
             }
         }
         requestTable.trace(request, now, "answered whole, " + last.getCount() + " chunks in the last attempt");
     }
 
-    private void abandon(ActiveRequest request, String detail, long now) {
+    private void failAttempt(ActiveRequest request, String detail, long now) {
         cancelAtAgent(request);
-        driver.lost(request, detail, now);
+        dispatcher.attemptLost(request, detail, now);
     }
 
     private static void cancelAtAgent(ActiveRequest request) {
         request.peer().flatMap(AgentPeer::link).ifPresent(link -> link.send(DispatchFrames.cancel(request)));
     }
 
-    private static void credit(ActiveRequest request, int count) {
+    private static void sendCredit(ActiveRequest request, int count) {
         request.peer().flatMap(AgentPeer::link).ifPresent(link -> link.send(DispatchFrames.credit(request, count)));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/Claims.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ClaimClient.java
@@ -19,14 +19,14 @@
 import org.aspenmoor.internal.wire.v1.Header;
 
 /** Claims calls that carry a key before they are dispatched, and reports what became of them. */
-final class Claims {
-    private static final Duration FULL_RING_COME_BACK = Duration.ofSeconds(1);
+final class ClaimClient {
+    private static final Duration FULL_RING_RETRY_AFTER = Duration.ofSeconds(1);
     private static final String CONTENT_TYPE = "content-type";
 
-    private final Duty<ClaimMessage> duty;
+    private final Duty<ClaimMessage> claimWorker;
 
-    Claims(Duty<ClaimMessage> duty) {
-        this.duty = duty;
+    ClaimClient(Duty<ClaimMessage> claimWorker) {
+        this.claimWorker = claimWorker;
     }
 
     /** Says whether a request must be claimed first. */
@@ -36,43 +36,43 @@
     }
 
     /** Asks for a claim; a refusal where the claim duty cannot take more. */
-    Optional<Outcome.NotRun> ask(ActiveRequest request) {
+    Optional<Outcome.NotRun> requestClaim(ActiveRequest request) {
         ClaimKey key = new ClaimKey(
                 request.document().team(),
                 request.document().service(),
                 request.incoming().idempotencyKey().orElseThrow());
-        ClaimRequest claim =
-                new ClaimRequest(request.id(), key, digestOf(request.incoming().work()));
-        if (duty.offer(new ClaimMessage.Asked(claim))) {
+        ClaimRequest claim = new ClaimRequest(
+                request.id(), key, requestDigest(request.incoming().work()));
+        if (claimWorker.offer(new ClaimMessage.Asked(claim))) {
             return Optional.empty();
         }
         return Optional.of(new Outcome.NotRun(
-                RefusalReason.OVERLOADED, FULL_RING_COME_BACK, "Too many calls wait for their claims."));
+                RefusalReason.OVERLOADED, FULL_RING_RETRY_AFTER, "Too many calls wait for their claims."));
     }
 
     /** Records the answer of a claimed call. */
-    void answered(ClaimTicket ticket, PlainAnswer answer) {
-        String type = answer.headers().stream()
+    void recordAnswer(ClaimTicket ticket, PlainAnswer answer) {
+        String contentType = answer.headers().stream()
                 .filter(header -> header.getName().equalsIgnoreCase(CONTENT_TYPE))
                 .map(Header::getValue)
                 .findFirst()
                 .orElse("");
         RecordedAnswer recorded = new RecordedAnswer(
                 answer.status(),
-                type,
+                contentType,
                 Optional.of(Base64.getEncoder().encodeToString(answer.body())),
-                digest(answer.body()));
-        duty.offer(new ClaimMessage.Answered(ticket, recorded));
+                sha256(answer.body()));
+        claimWorker.offer(new ClaimMessage.Answered(ticket, recorded));
     }
 
     /** Frees the key of a claimed call that certainly never started. */
-    void neverStarted(ClaimTicket ticket) {
-        duty.offer(new ClaimMessage.NeverStarted(ticket));
+    void releaseClaim(ClaimTicket ticket) {
+        claimWorker.offer(new ClaimMessage.NeverStarted(ticket));
     }
 
     /** Turns a recorded answer back into the one the first caller got. */
     static PlainAnswer replay(RecordedAnswer recorded) {
-        Header type = Header.newBuilder()
+        Header contentType = Header.newBuilder()
                 .setName(CONTENT_TYPE)
                 .setValue(recorded.contentType())
                 .build();
@@ -81,27 +81,27 @@
                 .setValue(recorded.bodyBase64().isPresent() ? "whole" : "body-not-kept")
                 .build();
         byte[] body = recorded.bodyBase64().map(Base64.getDecoder()::decode).orElse(new byte[0]);
-        List<Header> headers = recorded.contentType().isEmpty() ? List.of(repeated) : List.of(type, repeated);
+        List<Header> headers = recorded.contentType().isEmpty() ? List.of(repeated) : List.of(contentType, repeated);
         return new PlainAnswer(recorded.status(), headers, body);
     }
 
-    private static String digestOf(CallerWork work) {
+    private static String requestDigest(CallerWork work) {
         return switch (work) {
-            case CallerWork.Generation generation -> digest(generation.request().json());
+            case CallerWork.Generation generation -> sha256(generation.request().json());
             case CallerWork.PlainCall call ->
-                digest((call.method() + " " + call.path() + "\n").getBytes(StandardCharsets.UTF_8), call.body());
+                sha256((call.method() + " " + call.path() + "\n").getBytes(StandardCharsets.UTF_8), call.body());
         };
     }
 
-    private static String digest(byte[]... parts) {
+    private static String sha256(byte[]... parts) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             for (byte[] part : parts) {
                 digest.update(part);
             }
             return HexFormat.of().formatHex(digest.digest());
-        } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+        } catch (NoSuchAlgorithmException unavailable) {
+            throw new IllegalStateException("every Java platform has SHA-256", unavailable);
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DispatchFrames.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DispatchFrames.java
@@ -23,7 +23,7 @@
                 .setService(request.document().service())
                 .setKind(request.kind().name())
                 .setDocumentRevision(request.document().revision())
-                .setDeadlineMilliseconds(millisecondsLeft(request, now))
+                .setDeadlineMilliseconds(remainingMilliseconds(request, now))
                 .setIdempotent(request.kind().idempotent())
                 .setWeight(request.kind().weight())
                 .setChunkCredit(chunkCredit);
@@ -52,9 +52,9 @@
     }
 
     // A stream that has begun is finished even past its deadline, so it never goes out with nothing left.
-    private static int millisecondsLeft(ActiveRequest request, long now) {
-        long left = TimeUnit.NANOSECONDS.toMillis(request.deadlineAt() - now);
-        return (int) Math.clamp(left, request.hasBegun() ? 1 : 0, Integer.MAX_VALUE);
+    private static int remainingMilliseconds(ActiveRequest request, long now) {
+        long remaining = TimeUnit.NANOSECONDS.toMillis(request.deadlineAt() - now);
+        return (int) Math.clamp(remaining, request.hasDeliveredTokens() ? 1 : 0, Integer.MAX_VALUE);
     }
 
     private static Generation generation(ActiveRequest request, CompletionRequest completion) {
@@ -71,13 +71,16 @@
                 .setDeliveredTokens(request.assembly().deliveredTokens())
                 .setDeliveredText(request.deliveredText())
                 .setPromptTokens(completion.promptTokens())
-                .setMostTokens(mostTokens(request, completion))
+                .setMostTokens(maxTokens(request, completion))
                 .build();
     }
 
-    private static int mostTokens(ActiveRequest request, CompletionRequest completion) {
-        int longest = request.kind().longestOutputTokens();
-        return completion.maxTokens().map(wanted -> Math.min(wanted, longest)).orElse(longest);
+    private static int maxTokens(ActiveRequest request, CompletionRequest completion) {
+        int kindLimit = request.kind().longestOutputTokens();
+        return completion
+                .maxTokens()
+                .map(requested -> Math.min(requested, kindLimit))
+                .orElse(kindLimit);
     }
 
     private static PlainCall plainCall(CallerWork.PlainCall call) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
@@ -35,12 +35,12 @@
         if (result != OfferResult.APPLIED) {
             return false;
         }
-        rebuildTokens();
+        rebuildTokenIndex();
         return true;
     }
 
     /** Returns the documents whose service the holder of a token may call. */
-    List<ServiceDocument> forToken(String token) {
+    List<ServiceDocument> findByToken(String token) {
         return byTokenHash.getOrDefault(TokenHash.of(token), List.of()).stream()
                 .map(registry::find)
                 .flatMap(Optional::stream)
@@ -51,7 +51,7 @@
         return registry.all().stream().map(DocumentInForce::document).toList();
     }
 
-    private void rebuildTokens() {
+    private void rebuildTokenIndex() {
         byTokenHash.clear();
         for (ServiceDocument document : all()) {
             for (String hash : document.callerTokenHashes()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
@@ -35,17 +35,17 @@
         this.dataCentre = dataCentre;
     }
 
-    void reported(AgentPeer peer, ServiceDocument document, long now) {
+    void updateLoad(AgentPeer peer, ServiceDocument document, long now) {
         if (peer.load().isEmpty()) {
             return;
         }
         LoadReport report = peer.load().get();
-        Set<String> loaded = loadedOf(report, document);
+        Set<String> loaded = loadedLabels(report, document);
         loadedByBackend.put(peer.backend(), loaded);
         router.added(peer.backend(), peer.registration().dataCentre());
         router.reported(
                 peer.backend(),
-                loadOf(report),
+                engineLoad(report),
                 EngineRole.valueOf(report.getRole()),
                 report.getReady(),
                 loaded,
@@ -53,33 +53,34 @@
                 now);
     }
 
-    void gone(AgentPeer peer) {
+    void remove(AgentPeer peer) {
         loadedByBackend.remove(peer.backend());
         router.removed(peer.backend());
     }
 
-    Optional<RoutingDecision> decide(ActiveRequest request, LengthEstimate estimate, Predicate<String> open, long now) {
-        return labelsFor(request).stream()
+    Optional<RoutingDecision> decide(
+            ActiveRequest request, LengthEstimate estimate, Predicate<String> isAvailable, long now) {
+        return usableVersionLabels(request).stream()
                 .map(label -> routingRequest(request, label, estimate))
                 .flatMap(Optional::stream)
-                .map(routed -> router.choose(routed, open::test, now))
+                .map(routing -> router.choose(routing, isAvailable::test, now))
                 .flatMap(Optional::stream)
                 .filter(decision -> decision.prefillBackend().isEmpty())
                 .min(Comparator.comparingDouble(RoutingDecision::finishSeconds));
     }
 
-    void sent(ActiveRequest request, LengthEstimate estimate, RoutingDecision decision, long now) {
-        String label = labelsFor(request).stream()
+    void recordDispatch(ActiveRequest request, LengthEstimate estimate, RoutingDecision decision, long now) {
+        String label = usableVersionLabels(request).stream()
                 .filter(candidate -> loadedByBackend
                         .getOrDefault(decision.backend(), Set.of())
                         .contains(candidate))
                 .findFirst()
                 .orElse("");
-        request.runsUnder(label);
-        routingRequest(request, label, estimate).ifPresent(routed -> router.sent(routed, decision, now));
+        request.setVersionLabel(label);
+        routingRequest(request, label, estimate).ifPresent(routing -> router.sent(routing, decision, now));
     }
 
-    void ended(ActiveRequest request, long now) {
+    void recordEnd(ActiveRequest request, long now) {
         router.ended(request.id(), now);
     }
 
@@ -89,21 +90,21 @@
      * <p>While a version is rolled out, some engines hold the old one and some the new. A new request may start under
      * either; a stream that has begun stays with its version, or the text would go on in another's words.
      */
-    private Set<String> labelsFor(ActiveRequest request) {
-        if (request.hasBegun()) {
+    private Set<String> usableVersionLabels(ActiveRequest request) {
+        if (request.hasDeliveredTokens()) {
             return Set.of(request.versionLabel());
         }
-        Set<String> labels = new LinkedHashSet<>();
+        Set<String> versionLabels = new LinkedHashSet<>();
         if (request.incoming().work() instanceof CallerWork.Generation generation) {
             String model = generation.request().model();
-            request.document().model(model).map(EngineRouter::label).ifPresent(labels::add);
+            request.document().model(model).map(EngineRouter::modelLabel).ifPresent(versionLabels::add);
             loadedByBackend.values().stream()
                     .flatMap(Set::stream)
                     .filter(loaded -> loaded.startsWith(model + "@"))
                     .sorted()
-                    .forEach(labels::add);
+                    .forEach(versionLabels::add);
         }
-        return labels;
+        return versionLabels;
     }
 
     private Optional<RoutingRequest> routingRequest(ActiveRequest request, String label, LengthEstimate estimate) {
@@ -124,7 +125,7 @@
                 dataCentre));
     }
 
-    private static String label(ModelDeclaration model) {
+    private static String modelLabel(ModelDeclaration model) {
         return model.name() + "@" + model.version();
     }
 
@@ -136,16 +137,16 @@
     }
 
     // An engine that does not say what it has loaded is taken to run what the team's document declares.
-    private static Set<String> loadedOf(LoadReport report, ServiceDocument document) {
+    private static Set<String> loadedLabels(LoadReport report, ServiceDocument document) {
         if (!report.getLoadedList().isEmpty()) {
             return new HashSet<>(report.getLoadedList());
         }
         List<String> declared =
-                document.models().stream().map(EngineRouter::label).toList();
+                document.models().stream().map(EngineRouter::modelLabel).toList();
         return new HashSet<>(declared);
     }
 
-    private static EngineLoad loadOf(LoadReport report) {
+    private static EngineLoad engineLoad(LoadReport report) {
         return new EngineLoad(
                 report.getSequence(),
                 report.getQueuedPrefillTokens(),
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -29,49 +29,49 @@
 /** The entry's one place of decision: admits requests, follows their attempts, watches over agents. */
 public final class EntryEventLoop implements DutyHandler<EntryMessage> {
     private static final Logger LOG = Logger.getLogger("entry");
-    private static final int PROBES_WITHIN_SILENCE = 4;
-    private static final int STALLS_WITHIN_DEADLINE = 3;
-    private static final Duration LEAST_STALL = Duration.ofMillis(500);
-    private static final Duration STOPPING_COME_BACK = Duration.ofSeconds(1);
+    private static final int PROBES_PER_LINK_TIMEOUT = 4;
+    private static final int STALL_TIMEOUTS_PER_DEADLINE = 3;
+    private static final Duration MIN_STALL_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration STOPPING_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final EntrySettings settings;
     private final TimeSource time;
     private final RequestTable requestTable;
     private final AgentDirectory directory;
     private final WaitingRequests waitingRequests;
-    private final AttemptDriver driver;
+    private final RequestDispatcher dispatcher;
     private final AnswerReceiver receiver;
-    private final StoreObjects objects;
+    private final StoreObjectHandler storeObjects;
     private final TraceLog traces;
     private final RequestMatcher matcher;
-    private final Claims claims;
+    private final ClaimClient claimClient;
     private final ServiceQueues serviceQueues;
     private final long probePeriodNanoseconds;
     private Optional<CompletableFuture<Void>> drained = Optional.empty();
-    private long probedAt;
+    private long lastProbeAt;
 
     EntryEventLoop(
             EntrySettings settings,
             TimeSource time,
             AgentDirectory directory,
             ServiceQueues serviceQueues,
-            Claims claims,
+            ClaimClient claimClient,
             DocumentIndex documentIndex,
             EntryMetrics metrics) {
-        this.claims = claims;
+        this.claimClient = claimClient;
         this.serviceQueues = serviceQueues;
         this.probePeriodNanoseconds =
-                MembershipBounds.silence(settings.leavingBound()).toNanos() / PROBES_WITHIN_SILENCE;
+                MembershipTimeouts.linkTimeout(settings.leavingBound()).toNanos() / PROBES_PER_LINK_TIMEOUT;
         this.settings = settings;
         this.time = time;
         this.directory = directory;
         this.traces = new TraceLog();
         this.requestTable = new RequestTable(traces, metrics);
         this.waitingRequests = new WaitingRequests(settings.limits().waitingRequests());
-        this.driver = new AttemptDriver(
-                requestTable, directory, serviceQueues, waitingRequests, settings.limits(), metrics, claims);
-        this.receiver = new AnswerReceiver(requestTable, driver, settings.limits(), metrics, claims);
-        this.objects = new StoreObjects(documentIndex, directory);
+        this.dispatcher = new RequestDispatcher(
+                requestTable, directory, serviceQueues, waitingRequests, settings.limits(), metrics, claimClient);
+        this.receiver = new AnswerReceiver(requestTable, dispatcher, settings.limits(), metrics, claimClient);
+        this.storeObjects = new StoreObjectHandler(documentIndex, directory);
         this.matcher = new RequestMatcher(documentIndex);
     }
 
@@ -79,35 +79,36 @@
     public void handle(EntryMessage message) {
         long now = time.monotonicNanoseconds();
         switch (message) {
-            case EntryMessage.RequestCame came -> requestCame(came.request(), now);
-            case EntryMessage.CallerTook took -> requestTable.find(took.id()).ifPresent(receiver::returnCredit);
-            case EntryMessage.CallerGone gone ->
-                requestTable.find(gone.id()).ifPresent(request -> driver.cancel(request, now));
-            case EntryMessage.LinkOpened opened -> directory.opened(opened.link());
-            case EntryMessage.LinkClosed closed -> linkClosed(closed, now);
-            case EntryMessage.FrameArrived arrived -> received(arrived.link(), arrived.frame(), now);
-            case EntryMessage.ObjectChanged changed -> objects.changed(changed.object(), now);
-            case EntryMessage.ObjectDeleted deleted -> objects.deleted(deleted.object());
-            case EntryMessage.CollectionKnown known -> objects.known(known.kind());
-            case EntryMessage.ClaimJudged judged -> claimJudged(judged.verdict(), now);
+            case EntryMessage.RequestCame received -> handleRequest(received.request(), now);
+            case EntryMessage.CallerTook consumed ->
+                requestTable.find(consumed.id()).ifPresent(receiver::returnCredit);
+            case EntryMessage.CallerGone disconnected ->
+                requestTable.find(disconnected.id()).ifPresent(request -> dispatcher.cancel(request, now));
+            case EntryMessage.LinkOpened opened -> directory.linkOpened(opened.link());
+            case EntryMessage.LinkClosed closed -> handleLinkClosed(closed, now);
+            case EntryMessage.FrameArrived arrived -> handleFrame(arrived.link(), arrived.frame(), now);
+            case EntryMessage.ObjectChanged changed -> storeObjects.objectChanged(changed.object(), now);
+            case EntryMessage.ObjectDeleted deleted -> storeObjects.objectDeleted(deleted.object());
+            case EntryMessage.CollectionKnown listed -> storeObjects.collectionListed(listed.kind());
+            case EntryMessage.ClaimJudged decided -> handleClaimDecision(decided.decision(), now);
             case EntryMessage.Tick ignored -> tick(now);
-            case EntryMessage.DrainAsked asked -> drained = Optional.of(asked.drained());
-            case EntryMessage.EnginesAsked asked -> asked.answer().complete(engines());
-            case EntryMessage.DumpAsked asked -> asked.answer().complete(dump());
-            case EntryMessage.TraceAsked asked -> asked.answer().complete(traces.trace(asked.id()));
+            case EntryMessage.DrainAsked requested -> drained = Optional.of(requested.drained());
+            case EntryMessage.EnginesAsked requested -> requested.answer().complete(engineSnapshots());
+            case EntryMessage.DumpAsked requested -> requested.answer().complete(dump());
+            case EntryMessage.TraceAsked requested -> requested.answer().complete(traces.trace(requested.id()));
         }
         completeDrainIfIdle();
     }
 
-    private void requestCame(IncomingRequest incoming, long now) {
+    private void handleRequest(IncomingRequest incoming, long now) {
         if (drained.isPresent()) {
-            requestTable.refusedAtOnce(
+            requestTable.refuseUnmatched(
                     incoming,
-                    new Outcome.NotRun(RefusalReason.STOPPING, STOPPING_COME_BACK, "This entry is stopping."));
+                    new Outcome.NotRun(RefusalReason.STOPPING, STOPPING_RETRY_AFTER, "This entry is stopping."));
             return;
         }
         switch (matcher.match(incoming)) {
-            case RequestMatch.Missing missing -> requestTable.refusedAtOnce(incoming, missing.refusal());
+            case RequestMatch.NoMatch noMatch -> requestTable.refuseUnmatched(incoming, noMatch.refusal());
             case RequestMatch.Found found -> {
                 ActiveRequest request = new ActiveRequest(incoming, found.document(), found.kind(), now);
                 requestTable.put(request);
@@ -124,112 +125,114 @@
     }
 
     private void claimOrAdmit(ActiveRequest request, long now) {
-        if (!Claims.needsClaim(request)) {
-            driver.admit(request, now);
+        if (!ClaimClient.needsClaim(request)) {
+            dispatcher.admit(request, now);
             return;
         }
         requestTable.trace(request, now, "waits for the store to grant its key");
-        claims.ask(request).ifPresent(refusal -> requestTable.refused(request, refusal, now));
+        claimClient.requestClaim(request).ifPresent(refusal -> requestTable.endRefused(request, refusal, now));
     }
 
-    private void claimJudged(ClaimVerdict verdict, long now) {
-        Optional<ActiveRequest> found = requestTable.find(verdict.request().id());
+    private void handleClaimDecision(ClaimVerdict decision, long now) {
+        Optional<ActiveRequest> found = requestTable.find(decision.request().id());
         if (found.isEmpty()) {
-            releaseUnwanted(verdict);
+            releaseUnneededClaim(decision);
             return;
         }
         ActiveRequest request = found.get();
-        switch (verdict) {
+        switch (decision) {
             case ClaimVerdict.Granted granted -> {
-                request.claimed(granted.ticket());
-                driver.admit(request, now);
+                request.recordClaim(granted.ticket());
+                dispatcher.admit(request, now);
             }
             case ClaimVerdict.AlreadyAnswered already -> {
                 requestTable.trace(request, now, "its key was answered before, the recorded answer is given again");
-                requestTable.answered(request, already.answer().status(), now);
-                request.sink().plainAnswer(Claims.replay(already.answer()));
+                requestTable.endAnswered(request, already.answer().status(), now);
+                request.sink().onPlainAnswer(ClaimClient.replay(already.answer()));
             }
             case ClaimVerdict.StillUnknown ignored ->
-                requestTable.unknown(request, "The key was used before and what came of it is not known.", now);
+                requestTable.endUnknown(request, "The key was used before and what came of it is not known.", now);
             case ClaimVerdict.KeyReused ignored ->
-                requestTable.refused(
+                requestTable.endRefused(
                         request,
                         new Outcome.NotRun(
                                 RefusalReason.KEY_REUSED,
                                 Duration.ZERO,
                                 "The idempotency key was used before with another request; draw a new key."),
                         now);
-            case ClaimVerdict.NotClaimed not ->
-                requestTable.refused(
+            case ClaimVerdict.NotClaimed notClaimed ->
+                requestTable.endRefused(
                         request,
-                        new Outcome.NotRun(RefusalReason.STORE_UNAVAILABLE, not.comeBackAfter(), not.detail()),
+                        new Outcome.NotRun(
+                                RefusalReason.STORE_UNAVAILABLE, notClaimed.comeBackAfter(), notClaimed.detail()),
                         now);
         }
     }
 
     // The caller went away while the claim was made: nothing ran, so its key is freed for a repeat.
-    private void releaseUnwanted(ClaimVerdict verdict) {
-        if (verdict instanceof ClaimVerdict.Granted granted) {
-            claims.neverStarted(granted.ticket());
+    private void releaseUnneededClaim(ClaimVerdict decision) {
+        if (decision instanceof ClaimVerdict.Granted granted) {
+            claimClient.releaseClaim(granted.ticket());
         }
     }
 
-    private void linkClosed(EntryMessage.LinkClosed closed, long now) {
+    private void handleLinkClosed(EntryMessage.LinkClosed closed, long now) {
         List<ActiveRequest> affected = directory
-                .of(closed.link())
+                .findByLink(closed.link())
                 .map(peer -> requestTable.all().stream()
                         .filter(request -> request.peer().equals(Optional.of(peer)))
                         .toList())
                 .orElse(List.of());
-        Optional<AgentPeer> peer = directory.closed(closed.link());
-        peer.ifPresent(lost -> LOG.infof(
+        Optional<AgentPeer> peer = directory.linkClosed(closed.link());
+        peer.ifPresent(closedPeer -> LOG.infof(
                 "entry: link to agent of %s ended with %d requests, %s",
-                lost.backend(), affected.size(), closed.cause()));
-        affected.forEach(request -> driver.lost(request, "the link to the agent ended, " + closed.cause(), now));
+                closedPeer.backend(), affected.size(), closed.cause()));
+        affected.forEach(
+                request -> dispatcher.attemptLost(request, "the link to the agent ended, " + closed.cause(), now));
     }
 
-    private void received(Link link, Frame frame, long now) {
-        Optional<AgentPeer> peer = directory.of(link);
+    private void handleFrame(Link link, Frame frame, long now) {
+        Optional<AgentPeer> peer = directory.findByLink(link);
         if (peer.isEmpty()) {
             return;
         }
         switch (frame.getBodyCase()) {
-            case STARTED -> receiver.started(frame.getStarted(), now);
-            case CHUNK -> receiver.chunk(frame.getChunk(), now);
+            case STARTED -> receiver.handleStarted(frame.getStarted(), now);
+            case CHUNK -> receiver.handleChunk(frame.getChunk(), now);
             case LAST -> {
-                receiver.last(frame.getLast(), now);
-                driver.startWaiting(now);
+                receiver.handleLast(frame.getLast(), now);
+                dispatcher.dispatchWaiting(now);
             }
-            case REFUSED -> receiver.refused(frame.getRefused(), now);
-            case LOAD_REPORT -> reported(peer.get(), frame.getLoadReport(), now);
-            case LEAVING -> directory.leaving(peer.get(), frame.getLeaving().getReason());
+            case REFUSED -> receiver.handleRefused(frame.getRefused(), now);
+            case LOAD_REPORT -> handleLoadReport(peer.get(), frame.getLoadReport(), now);
+            case LEAVING -> directory.markLeaving(peer.get(), frame.getLeaving().getReason());
             case PROBE_ANSWER ->
                 directory.probeAnswered(peer.get(), frame.getProbeAnswer().getNumber());
             default -> LOG.debugf("entry: frame %s is not for an entry", frame.getBodyCase());
         }
     }
 
-    private void reported(AgentPeer peer, LoadReport report, long now) {
-        peer.reported(report);
-        serviceQueues.reported(peer, now);
-        driver.startWaiting(now);
+    private void handleLoadReport(AgentPeer peer, LoadReport report, long now) {
+        peer.updateLoad(report);
+        serviceQueues.loadReported(peer, now);
+        dispatcher.dispatchWaiting(now);
     }
 
     private void tick(long now) {
         directory.connectMissing(now);
-        if (now - probedAt >= probePeriodNanoseconds) {
-            probedAt = now;
-            directory.probe(now);
-            closeSilentLinks();
+        if (now - lastProbeAt >= probePeriodNanoseconds) {
+            lastProbeAt = now;
+            directory.sendProbes(now);
+            closeUnresponsiveLinks();
         }
-        requestTable.all().forEach(request -> watchOver(request, now));
-        driver.startWaiting(now);
-        requestTable.checkAccount();
+        requestTable.all().forEach(request -> checkProgress(request, now));
+        dispatcher.dispatchWaiting(now);
+        requestTable.reportImbalance();
     }
 
     // A paused or cut-off agent keeps its connection open: nothing arrives and nothing fails. Without the probes its
     // requests would hang until the caller's own time-out. An agent that answers none within the bound loses its link.
-    private void closeSilentLinks() {
+    private void closeUnresponsiveLinks() {
         for (AgentPeer peer : directory.all()) {
             if (peer.link().isPresent() && directory.standing(peer) instanceof Standing.Silent) {
                 LOG.warnf("entry: agent of %s is silent, closing its link", peer.backend());
@@ -238,26 +241,29 @@
         }
     }
 
-    private void watchOver(ActiveRequest request, long now) {
+    private void checkProgress(ActiveRequest request, long now) {
         receiver.returnCredit(request);
         boolean stalled = request.peer().isPresent()
-                && !request.sink().isHeldByCaller()
-                && now - request.lastProgressAt() > stallNanoseconds(request);
+                && !request.sink().isWaitingForCaller()
+                && now - request.lastProgressAt() > stallTimeoutNanoseconds(request);
         if (stalled && request.kind().idempotent()) {
             request.peer().flatMap(AgentPeer::link).ifPresent(link -> link.send(DispatchFrames.cancel(request)));
-            driver.lost(
-                    request, "no sign for " + TimeUnit.NANOSECONDS.toMillis(stallNanoseconds(request)) + " ms", now);
+            dispatcher.attemptLost(
+                    request,
+                    "no sign for " + TimeUnit.NANOSECONDS.toMillis(stallTimeoutNanoseconds(request)) + " ms",
+                    now);
         } else if (stalled && now > request.deadlineAt()) {
-            driver.lost(request, "no answer before its deadline", now);
+            dispatcher.attemptLost(request, "no answer before its deadline", now);
         }
     }
 
     // A time-out longer than the deadline allows would give a stalled request up when nobody wants it any more.
-    private long stallNanoseconds(ActiveRequest request) {
-        Duration share = request.kind().deadline().dividedBy(STALLS_WITHIN_DEADLINE);
-        Duration least = share.compareTo(LEAST_STALL) < 0 ? LEAST_STALL : share;
-        Duration stall = settings.stallTimeout().compareTo(least) < 0 ? settings.stallTimeout() : least;
-        return stall.toNanos();
+    private long stallTimeoutNanoseconds(ActiveRequest request) {
+        Duration fraction = request.kind().deadline().dividedBy(STALL_TIMEOUTS_PER_DEADLINE);
+        Duration timeoutByDeadline = fraction.compareTo(MIN_STALL_TIMEOUT) < 0 ? MIN_STALL_TIMEOUT : fraction;
+        Duration timeout =
+                settings.stallTimeout().compareTo(timeoutByDeadline) < 0 ? settings.stallTimeout() : timeoutByDeadline;
+        return timeout.toNanos();
     }
 
     private void completeDrainIfIdle() {
@@ -266,7 +272,7 @@
         }
     }
 
-    private List<EngineSnapshot> engines() {
+    private List<EngineSnapshot> engineSnapshots() {
         return directory.all().stream()
                 .filter(peer -> peer.load().isPresent())
                 .map(peer -> new EngineSnapshot(
@@ -275,7 +281,7 @@
                                 peer.registration().team(), peer.registration().service()),
                         peer.registration().dataCentre(),
                         peer.link().isPresent(),
-                        directory.takesWork(peer),
+                        directory.acceptsWork(peer),
                         EngineRole.valueOf(peer.load().get().getRole()),
                         Set.copyOf(peer.load().get().getLoadedList()),
                         peer.load().get().getRunningSequences()))
@@ -304,7 +310,7 @@
                 requestTable.imbalance().or(() -> receiver.chunks().imbalance()).orElse(""));
         dump.put("stopping", drained.isPresent());
         dumpBackends(dump.putArray("backends"));
-        objects.dump(dump.putArray("documents"));
+        storeObjects.dump(dump.putArray("documents"));
         return dump;
     }
 
@@ -319,7 +325,7 @@
         load.getLoadedList().forEach(loaded::add);
     }
 
-    private static String leavingText(Standing standing) {
+    private static String leavingDescription(Standing standing) {
         return switch (standing) {
             case Standing.Leaving leaving -> "said by " + leaving.said();
             case Standing.Silent ignored -> "its agent is silent";
@@ -336,8 +342,8 @@
             node.put("service", peer.registration().service());
             node.put("dataCentre", peer.registration().dataCentre());
             node.put("linked", peer.link().isPresent());
-            node.put("takesWork", directory.takesWork(peer));
-            node.put("leaving", leavingText(directory.standing(peer)));
+            node.put("takesWork", directory.acceptsWork(peer));
+            node.put("leaving", leavingDescription(directory.standing(peer)));
             node.put("outstanding", peer.outstanding());
             node.put("role", peer.load().map(LoadReport::getRole).orElse(""));
             peer.load().ifPresent(load -> dumpLoad(node, load));
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
@@ -42,7 +42,7 @@
     record CollectionKnown(ObjectKind kind) implements EntryMessage {}
 
     /** The store has judged a claim. */
-    record ClaimJudged(ClaimVerdict verdict) implements EntryMessage {}
+    record ClaimJudged(ClaimVerdict decision) implements EntryMessage {}
 
     /** Time has passed. */
     record Tick() implements EntryMessage {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMetrics.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMetrics.java
@@ -11,8 +11,8 @@
 public final class EntryMetrics {
     private final Counter requests;
     private final Counter refusals;
-    private final Counter resumed;
-    private final Counter retried;
+    private final Counter resumedStreams;
+    private final Counter retriedAttempts;
     private final Counter goodput;
     private final Counter discardedChunks;
     private final Counter imbalances;
@@ -29,11 +29,11 @@
                 .help("Requests that did not run, by reason.")
                 .labelNames("reason")
                 .register(registry);
-        this.resumed = Counter.builder()
+        this.resumedStreams = Counter.builder()
                 .name("aspenmoor_streams_resumed_total")
                 .help("Streams continued at another engine after tokens had been delivered.")
                 .register(registry);
-        this.retried = Counter.builder()
+        this.retriedAttempts = Counter.builder()
                 .name("aspenmoor_attempts_retried_total")
                 .help("Attempts beyond the first.")
                 .register(registry);
@@ -57,7 +57,7 @@
                 .register(registry);
     }
 
-    void ended(ServiceDocument document, RequestKind kind, Outcome outcome, boolean inTime) {
+    void recordOutcome(ServiceDocument document, RequestKind kind, Outcome outcome, boolean inTime) {
         String name = switch (outcome) {
             case Outcome.Answered ignored -> "answered";
             case Outcome.NotRun ignored -> "not-run";
@@ -74,31 +74,31 @@
         }
     }
 
-    void refusedUnmatched(Outcome.NotRun refusal) {
+    void recordUnmatchedRefusal(Outcome.NotRun refusal) {
         refusals.labelValues(refusal.reason().name()).inc();
     }
 
-    void cancelled(ServiceDocument document, RequestKind kind) {
+    void recordCancellation(ServiceDocument document, RequestKind kind) {
         requests.labelValues(document.team(), document.service(), kind.name(), "cancelled")
                 .inc();
     }
 
-    void retried(boolean afterTokens) {
-        retried.inc();
+    void recordRetry(boolean afterTokens) {
+        retriedAttempts.inc();
         if (afterTokens) {
-            resumed.inc();
+            resumedStreams.inc();
         }
     }
 
-    void chunkDiscarded() {
+    void recordDiscardedChunk() {
         discardedChunks.inc();
     }
 
-    void imbalance() {
+    void recordImbalance() {
         imbalances.inc();
     }
 
-    void firstToken(ServiceDocument document, RequestKind kind, double seconds) {
+    void recordFirstToken(ServiceDocument document, RequestKind kind, double seconds) {
         firstTokenSeconds
                 .labelValues(document.team(), document.service(), kind.name())
                 .observe(seconds);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -24,8 +24,8 @@
 import org.aspenmoor.internal.link.LinkNetwork;
 import org.aspenmoor.internal.membership.MembershipView;
 import org.aspenmoor.internal.planner.EngineSnapshot;
-import org.aspenmoor.internal.planner.PlanDraft;
-import org.aspenmoor.internal.planner.PlannerDuty;
+import org.aspenmoor.internal.planner.PlanDrafter;
+import org.aspenmoor.internal.planner.PlannerWorker;
 import org.aspenmoor.internal.retry.BreakerSettings;
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.rollout.LoadBudget;
@@ -48,30 +48,30 @@
     private static final Logger LOG = Logger.getLogger("entry");
     private static final int RING_SIZE = 8192;
     private static final int CLAIM_RING_SIZE = 4096;
-    private static final double CLAIM_SHARE = 0.75;
-    private static final double CALLS_OF_COMMIT = 2;
-    private static final long PLANNER_PATIENCE_SECONDS = 2;
+    private static final double CLAIM_SHARE_OF_STORE_CALLS = 0.75;
+    private static final double STORE_CALLS_PER_COMMIT = 2;
+    private static final long PLANNER_QUERY_TIMEOUT_SECONDS = 2;
     private static final double LOADS_PER_SECOND = 1;
-    private static final double MOST_LOADS_SAVED = 10;
+    private static final double MAX_SAVED_LOADS = 10;
     private static final Duration TICK = Duration.ofMillis(50);
-    private static final List<ObjectKind> FOLLOWED =
+    private static final List<ObjectKind> WATCHED_KINDS =
             List.of(ObjectKind.DOCUMENT, ObjectKind.AGENT_REGISTRATION, ObjectKind.HOST);
 
     private final EntrySettings settings;
     private final Duty<EntryMessage> eventLoop;
-    private final Duty<ClaimMessage> claimDuty;
+    private final Duty<ClaimMessage> claimWorker;
     private final DocumentRegistry registry;
-    private final PlannerDuty planner;
+    private final PlannerWorker planner;
     private final LinkNetwork network;
     private final Ticker ticker = new Ticker();
-    private final List<WatchedCollection> followed = new ArrayList<>();
+    private final List<WatchedCollection> watchedCollections = new ArrayList<>();
     private final AtomicInteger synchronisedKinds = new AtomicInteger();
     private volatile boolean stopping;
 
     public EntryProcess(
             EntrySettings settings,
             ObjectStore store,
-            CollectionFactory collections,
+            CollectionFactory collectionFactory,
             TimeSource time,
             RandomGenerator random,
             EntryMetrics metrics) {
@@ -79,14 +79,14 @@
         this.network = new LinkNetwork(
                 hello(settings.process(), random),
                 new DutyLinkListener<>(
-                        this::tellEventLoop,
+                        this::postToEventLoop,
                         EntryMessage.LinkOpened::new,
                         EntryMessage.FrameArrived::new,
                         EntryMessage.LinkClosed::new));
         this.registry = new DocumentRegistry(time);
         ClaimSettings claimSettings = ClaimSettings.DEFAULT;
         ClaimCommitter claimCommitter = new ClaimCommitter(store, claimSettings, time, random);
-        this.claimDuty = new Duty<>(
+        this.claimWorker = new Duty<>(
                 "entry-claims",
                 CLAIM_RING_SIZE,
                 new ClaimHandler(
@@ -94,39 +94,46 @@
                         claimSettings,
                         new CircuitBreaker(ClaimHandler.STORE_BREAKER, time, random),
                         time,
-                        settings.process().storeCallsPerSecond() * CLAIM_SHARE / CALLS_OF_COMMIT,
-                        this::claimJudged));
+                        settings.process().storeCallsPerSecond() * CLAIM_SHARE_OF_STORE_CALLS / STORE_CALLS_PER_COMMIT,
+                        this::postClaimDecision));
         ServiceQueues serviceQueues = new ServiceQueues(
                 registry, routerSettings(settings), settings.limits().waitingRequests(), random);
-        MembershipView membership = new MembershipView(MembershipBounds.of(settings.leavingBound()), time);
+        MembershipView membership = new MembershipView(MembershipTimeouts.of(settings.leavingBound()), time);
         AgentDirectory directory = new AgentDirectory(
                 network, membership, () -> new CircuitBreaker(BreakerSettings.DEFAULT, time, random), serviceQueues);
         EntryEventLoop handler = new EntryEventLoop(
-                settings, time, directory, serviceQueues, new Claims(claimDuty), new DocumentIndex(registry), metrics);
+                settings,
+                time,
+                directory,
+                serviceQueues,
+                new ClaimClient(claimWorker),
+                new DocumentIndex(registry),
+                metrics);
         this.eventLoop = new Duty<>("entry-events", RING_SIZE, handler);
-        LoadBudget loadBudget = new LoadBudget(time, LOADS_PER_SECOND, MOST_LOADS_SAVED);
-        this.planner = new PlannerDuty(
+        LoadBudget loadBudget = new LoadBudget(time, LOADS_PER_SECOND, MAX_SAVED_LOADS);
+        this.planner = new PlannerWorker(
                 settings.process().name() + "/" + RequestId.draw(random),
                 settings.process().dataCentre(),
                 store,
                 registry,
-                this::engines,
-                new PlanDraft(loadBudget),
+                this::queryEngines,
+                new PlanDrafter(loadBudget),
                 time,
                 random);
-        FOLLOWED.forEach(kind -> followed.add(collections.follow(store, kind, new EventLoopObjects(kind))));
+        WATCHED_KINDS.forEach(
+                kind -> watchedCollections.add(collectionFactory.follow(store, kind, new StoreChangeForwarder(kind))));
     }
 
     /** Starts the threads and returns the link port. */
     public int start() throws AspenmoorException {
         eventLoop.start();
-        claimDuty.start();
+        claimWorker.start();
         int port =
                 network.listen(settings.process().address(), settings.process().linkPort());
-        followed.forEach(WatchedCollection::start);
+        watchedCollections.forEach(WatchedCollection::start);
         planner.start();
         ticker.every(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
-        ticker.every(TICK, () -> claimDuty.offer(new ClaimMessage.Tick()));
+        ticker.every(TICK, () -> claimWorker.offer(new ClaimMessage.Tick()));
         LOG.infof(
                 "entry: %s in %s, link port %d",
                 settings.process().name(), settings.process().dataCentre(), port);
@@ -140,7 +147,7 @@
 
     /** Says whether the entry knows its documents and takes requests. */
     public boolean isReady() {
-        return !stopping && synchronisedKinds.get() >= FOLLOWED.size();
+        return !stopping && synchronisedKinds.get() >= WATCHED_KINDS.size();
     }
 
     /** Asks for the state. */
@@ -160,10 +167,10 @@
         return planner.duties();
     }
 
-    private List<EngineSnapshot> engines() {
+    private List<EngineSnapshot> queryEngines() {
         CompletableFuture<List<EngineSnapshot>> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.EnginesAsked(answer));
-        return answer.completeOnTimeout(List.of(), PLANNER_PATIENCE_SECONDS, TimeUnit.SECONDS)
+        return answer.completeOnTimeout(List.of(), PLANNER_QUERY_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
@@ -189,37 +196,37 @@
 
     private CompletableFuture<Void> flushClaims() {
         CompletableFuture<Void> flushed = new CompletableFuture<>();
-        claimDuty.put(new ClaimMessage.FlushAsked(flushed));
+        claimWorker.put(new ClaimMessage.FlushAsked(flushed));
         return flushed;
     }
 
-    private void claimJudged(ClaimVerdict verdict) {
-        eventLoop.put(new EntryMessage.ClaimJudged(verdict));
+    private void postClaimDecision(ClaimVerdict decision) {
+        eventLoop.put(new EntryMessage.ClaimJudged(decision));
     }
 
     private static RouterSettings routerSettings(EntrySettings settings) {
-        RouterSettings usual = RouterSettings.usual(settings.process().dataCentre());
+        RouterSettings defaults = RouterSettings.usual(settings.process().dataCentre());
         return new RouterSettings(
                 settings.engineSpeed(),
-                usual.dataCentre(),
-                usual.remoteSeconds(),
-                usual.sampledCandidates(),
-                usual.adapterLoadSeconds(),
-                usual.mostIndexedPieces(),
-                usual.pieceTokens());
+                defaults.dataCentre(),
+                defaults.remoteSeconds(),
+                defaults.sampledCandidates(),
+                defaults.adapterLoadSeconds(),
+                defaults.mostIndexedPieces(),
+                defaults.pieceTokens());
     }
 
     @Override
     public void close() {
         planner.close();
         ticker.close();
-        followed.forEach(WatchedCollection::close);
+        watchedCollections.forEach(WatchedCollection::close);
         network.close();
-        claimDuty.close();
+        claimWorker.close();
         eventLoop.close();
     }
 
-    private void tellEventLoop(EntryMessage message) {
+    private void postToEventLoop(EntryMessage message) {
         eventLoop.put(message);
     }
 
@@ -233,11 +240,11 @@
     }
 
     /** Puts what changes in the store into the event loop's ring. */
-    private final class EventLoopObjects implements CollectionListener {
+    private final class StoreChangeForwarder implements CollectionListener {
         private final ObjectKind kind;
         private boolean synchronisedOnce;
 
-        private EventLoopObjects(ObjectKind kind) {
+        private StoreChangeForwarder(ObjectKind kind) {
             this.kind = kind;
         }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PromptPrefix.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PromptPrefix.java
@@ -9,8 +9,8 @@
 /** Names the start of a prompt by its cache pieces, so that prompts that start alike can meet at one engine. */
 public final class PromptPrefix {
     private static final int PIECE_TOKENS = 2000;
-    private static final int CHARACTERS_OF_TOKEN = 4;
-    private static final int PIECE_CHARACTERS = PIECE_TOKENS * CHARACTERS_OF_TOKEN;
+    private static final int CHARACTERS_PER_TOKEN = 4;
+    private static final int PIECE_CHARACTERS = PIECE_TOKENS * CHARACTERS_PER_TOKEN;
 
     private PromptPrefix() {}
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/QueueStep.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/QueueStep.java
@@ -11,5 +11,5 @@
     record Refuse(Refusal refusal) implements QueueStep {}
 
     /** Has nothing to do now. */
-    record Rest() implements QueueStep {}
+    record Idle() implements QueueStep {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AttemptDriver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestDispatcher.java
@@ -17,12 +17,12 @@
 import org.aspenmoor.internal.settings.CallerLimits;
 
 /** Brings requests to backend servers: first attempts, retries, and streams that go on elsewhere. */
-final class AttemptDriver {
-    private static final int MOST_ATTEMPTS = 4;
-    private static final int MOST_ATTEMPTS_OF_BEGUN_STREAM = 12;
-    private static final Duration NO_BACKEND_COME_BACK = Duration.ofSeconds(1);
-    private static final double RETRIES_EARNED_BY_REQUEST = 0.1;
-    private static final double MOST_RETRIES_SAVED = 50;
+final class RequestDispatcher {
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_ATTEMPTS_OF_STARTED_STREAM = 12;
+    private static final Duration NO_BACKEND_RETRY_AFTER = Duration.ofSeconds(1);
+    private static final double RETRIES_PER_REQUEST = 0.1;
+    private static final double MAX_SAVED_RETRIES = 50;
 
     private final RequestTable requestTable;
     private final AgentDirectory directory;
@@ -30,65 +30,65 @@
     private final WaitingRequests waitingRequests;
     private final CallerLimits limits;
     private final EntryMetrics metrics;
-    private final Claims claims;
+    private final ClaimClient claimClient;
     private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
 
-    AttemptDriver(
+    RequestDispatcher(
             RequestTable requestTable,
             AgentDirectory directory,
             ServiceQueues serviceQueues,
             WaitingRequests waitingRequests,
             CallerLimits limits,
             EntryMetrics metrics,
-            Claims claims) {
+            ClaimClient claimClient) {
         this.requestTable = requestTable;
         this.directory = directory;
         this.serviceQueues = serviceQueues;
         this.waitingRequests = waitingRequests;
         this.limits = limits;
         this.metrics = metrics;
-        this.claims = claims;
+        this.claimClient = claimClient;
     }
 
     /** Starts a new request, lets it wait, or refuses it at once. */
     void admit(ActiveRequest request, long now) {
-        budgetOf(request).firstAttempt();
-        if (request.isGeneration() && anyTakesWork(request)) {
+        retryBudgetOf(request).firstAttempt();
+        if (request.isGeneration() && anyAcceptsWork(request)) {
             serviceQueues.of(request.document()).offer(request, now).forEach(refusal -> refuse(refusal, now));
-            pump(serviceQueues.of(request.document()), now);
+            dispatchQueued(serviceQueues.of(request.document()), now);
             return;
         }
-        startOrWait(request, now);
+        dispatchOrWait(request, now);
     }
 
     /** Gives waiting requests to backend servers that have room again. */
-    void startWaiting(long now) {
+    void dispatchWaiting(long now) {
         for (ActiveRequest request : waitingRequests.inOrder()) {
-            if (now > request.deadlineAt() && !request.hasBegun()) {
-                waitingRequests.leave(request);
-                giveUp(request, tooLate(), now);
+            if (now > request.deadlineAt() && !request.hasDeliveredTokens()) {
+                waitingRequests.remove(request);
+                giveUp(request, deadlineRefusal(), now);
             } else if (dispatchIfPossible(request, now)) {
-                waitingRequests.leave(request);
-                waitingRequests.started(now);
+                waitingRequests.remove(request);
+                waitingRequests.recordStart(now);
             }
         }
-        serviceQueues.all().forEach(serviceQueue -> pump(serviceQueue, now));
+        serviceQueues.all().forEach(serviceQueue -> dispatchQueued(serviceQueue, now));
     }
 
     /** Takes that an agent stated it never started the attempt. */
-    void neverStarted(ActiveRequest request, String detail, long now) {
+    void attemptNotStarted(ActiveRequest request, String detail, long now) {
         endAttempt(request, false, now);
         requestTable.trace(request, now, "the agent did not start it: " + detail);
         retry(request, detail, now);
     }
 
     /** Takes that an attempt was lost after it was sent. */
-    void lost(ActiveRequest request, String detail, long now) {
+    void attemptLost(ActiveRequest request, String detail, long now) {
         request.peer().ifPresent(peer -> peer.breaker().failed());
         endAttempt(request, true, now);
         requestTable.trace(request, now, "attempt " + request.assembly().attempt() + " lost: " + detail);
         if (!request.kind().idempotent()) {
-            requestTable.unknown(request, "The request was sent and its answer was lost: " + detail + ".", now);
+            requestTable.endUnknown(request, "The request was sent and its answer was lost: " + detail + ".", now);
             return;
         }
         retry(request, detail, now);
@@ -100,44 +100,44 @@
         if (request.ticket().isPresent() && request.peer().isPresent()) {
             return;
         }
-        waitingRequests.leave(request);
+        waitingRequests.remove(request);
         serviceQueues.of(request.document()).cancel(request);
         request.peer().flatMap(AgentPeer::link).ifPresent(link -> link.send(DispatchFrames.cancel(request)));
         boolean mayHaveRun = request.mayHaveRun() || request.peer().isPresent();
         endAttempt(request, mayHaveRun, now);
         if (!mayHaveRun) {
-            request.ticket().ifPresent(claims::neverStarted);
+            request.ticket().ifPresent(claimClient::releaseClaim);
         }
-        requestTable.cancelled(request, now);
+        requestTable.endCancelled(request, now);
     }
 
     /** Ends the current attempt, whatever came of it. */
     void endAttempt(ActiveRequest request, boolean mayHaveRun, long now) {
         if (request.isGeneration()) {
-            serviceQueues.of(request.document()).router().ended(request, now);
+            serviceQueues.of(request.document()).router().recordEnd(request, now);
         }
-        request.attemptOver(mayHaveRun);
+        request.endAttempt(mayHaveRun);
     }
 
     /** Learns from a whole generation. */
-    void answered(ActiveRequest request) {
+    void recordSuccess(ActiveRequest request) {
         request.peer().ifPresent(peer -> peer.breaker().succeeded());
         if (request.isGeneration()) {
             serviceQueues
                     .of(request.document())
-                    .answered(
+                    .recordAnswer(
                             request, request.promptTokens(), request.assembly().deliveredTokens());
         }
     }
 
-    private void pump(ServiceQueue serviceQueue, long now) {
-        Set<String> closedBreakers = new HashSet<>();
-        boolean resting = false;
-        while (!resting) {
-            switch (serviceQueue.next(backend -> isOpen(backend, closedBreakers), now)) {
-                case QueueStep.Send send -> send(serviceQueue, send.request(), send.decision(), closedBreakers, now);
+    private void dispatchQueued(ServiceQueue serviceQueue, long now) {
+        Set<String> refusedByBreaker = new HashSet<>();
+        boolean idle = false;
+        while (!idle) {
+            switch (serviceQueue.next(backend -> isAvailable(backend, refusedByBreaker), now)) {
+                case QueueStep.Send send -> send(serviceQueue, send.request(), send.decision(), refusedByBreaker, now);
                 case QueueStep.Refuse refused -> refuse(refused.refusal(), now);
-                case QueueStep.Rest ignored -> resting = true;
+                case QueueStep.Idle ignored -> idle = true;
             }
         }
     }
@@ -146,47 +146,47 @@
             ServiceQueue serviceQueue,
             ActiveRequest request,
             RoutingDecision decision,
-            Set<String> closedBreakers,
+            Set<String> refusedByBreaker,
             long now) {
-        Optional<AgentPeer> peer = directory.find(decision.backend()).filter(AttemptDriver::passesBreaker);
+        Optional<AgentPeer> peer = directory.find(decision.backend()).filter(RequestDispatcher::breakerPermits);
         if (peer.isEmpty()) {
-            closedBreakers.add(decision.backend());
+            refusedByBreaker.add(decision.backend());
             return;
         }
-        serviceQueue.sent(request, decision, now);
+        serviceQueue.recordDispatch(request, decision, now);
         requestTable.trace(request, now, decision.reason());
         dispatch(request, peer.get(), now);
     }
 
-    private void startOrWait(ActiveRequest request, long now) {
+    private void dispatchOrWait(ActiveRequest request, long now) {
         if (dispatchIfPossible(request, now)) {
             return;
         }
-        if (!anyTakesWork(request) && !request.hasBegun()) {
+        if (!anyAcceptsWork(request) && !request.hasDeliveredTokens()) {
             giveUp(
                     request,
                     new Outcome.NotRun(
                             RefusalReason.NO_BACKEND,
-                            NO_BACKEND_COME_BACK,
+                            NO_BACKEND_RETRY_AFTER,
                             "No backend server of the service can be reached."),
                     now);
             return;
         }
-        wait(request, now);
+        waitForBackend(request, now);
     }
 
     private void retry(ActiveRequest request, String detail, long now) {
-        int most = request.hasBegun() ? MOST_ATTEMPTS_OF_BEGUN_STREAM : MOST_ATTEMPTS;
-        if (request.assembly().attempt() >= most) {
+        int maxAttempts = request.hasDeliveredTokens() ? MAX_ATTEMPTS_OF_STARTED_STREAM : MAX_ATTEMPTS;
+        if (request.assembly().attempt() >= maxAttempts) {
             giveUp(
                     request,
                     new Outcome.NotRun(
-                            RefusalReason.NO_BACKEND, NO_BACKEND_COME_BACK, "All attempts failed: " + detail),
+                            RefusalReason.NO_BACKEND, NO_BACKEND_RETRY_AFTER, "All attempts failed: " + detail),
                     now);
             return;
         }
         // A stream that has begun is always finished; only work that has given nothing yet competes for retries.
-        if (!request.hasBegun() && budgetOf(request).retry() instanceof RetryDecision.Spent spent) {
+        if (!request.hasDeliveredTokens() && retryBudgetOf(request).retry() instanceof RetryDecision.Spent spent) {
             giveUp(
                     request,
                     new Outcome.NotRun(
@@ -196,18 +196,18 @@
                     now);
             return;
         }
-        metrics.retried(request.hasBegun());
-        startOrWait(request, now);
+        metrics.recordRetry(request.hasDeliveredTokens());
+        dispatchOrWait(request, now);
     }
 
-    private void wait(ActiveRequest request, long now) {
-        Optional<ActiveRequest> displaced = waitingRequests.enter(request);
+    private void waitForBackend(ActiveRequest request, long now) {
+        Optional<ActiveRequest> displaced = waitingRequests.add(request);
         requestTable.trace(request, now, "waits for a backend server with room, " + waitingRequests.size() + " wait");
-        displaced.ifPresent(loser -> giveUp(
-                loser,
+        displaced.ifPresent(displacedRequest -> giveUp(
+                displacedRequest,
                 new Outcome.NotRun(
                         RefusalReason.OVERLOADED,
-                        waitingRequests.timeToEmpty(),
+                        waitingRequests.estimatedTimeToEmpty(),
                         "The queue is full and requests of greater weight go first."),
                 now));
     }
@@ -219,88 +219,92 @@
     // "Not run" must be true: once an attempt may have run, only "unknown" is left.
     private void giveUp(ActiveRequest request, Outcome.NotRun refusal, long now) {
         if (request.mayHaveRun()) {
-            requestTable.unknown(request, refusal.detail(), now);
+            requestTable.endUnknown(request, refusal.detail(), now);
             return;
         }
-        request.ticket().ifPresent(claims::neverStarted);
-        requestTable.refused(request, refusal, now);
+        request.ticket().ifPresent(claimClient::releaseClaim);
+        requestTable.endRefused(request, refusal, now);
     }
 
-    private Outcome.NotRun tooLate() {
+    private Outcome.NotRun deadlineRefusal() {
         return new Outcome.NotRun(
                 RefusalReason.CANNOT_FINISH_IN_TIME,
-                waitingRequests.timeToEmpty(),
+                waitingRequests.estimatedTimeToEmpty(),
                 "Its turn did not come before its deadline.");
     }
 
     private boolean dispatchIfPossible(ActiveRequest request, long now) {
-        Set<String> passedOver = new HashSet<>();
-        Optional<AgentPeer> chosen = choose(request, passedOver, now);
-        while (chosen.isPresent() && !passesBreaker(chosen.get())) {
-            passedOver.add(chosen.get().backend());
-            chosen = choose(request, passedOver, now);
+        Set<String> excluded = new HashSet<>();
+        Optional<AgentPeer> chosen = chooseBackend(request, excluded, now);
+        while (chosen.isPresent() && !breakerPermits(chosen.get())) {
+            excluded.add(chosen.get().backend());
+            chosen = chooseBackend(request, excluded, now);
         }
         chosen.ifPresent(peer -> dispatch(request, peer, now));
         return chosen.isPresent();
     }
 
-    private Optional<AgentPeer> choose(ActiveRequest request, Set<String> passedOver, long now) {
+    private Optional<AgentPeer> chooseBackend(ActiveRequest request, Set<String> excluded, long now) {
         if (!request.isGeneration()) {
-            return chooseLeastBusy(request, passedOver);
+            return chooseLeastLoaded(request, excluded);
         }
         ServiceQueue serviceQueue = serviceQueues.of(request.document());
-        Set<String> alsoTried = new HashSet<>(passedOver);
-        alsoTried.addAll(request.tried());
+        Set<String> excludedOrTried = new HashSet<>(excluded);
+        excludedOrTried.addAll(request.triedBackends());
         Optional<RoutingDecision> decision = serviceQueue
-                .decideAgain(request, backend -> isOpen(backend, alsoTried), now)
-                .or(() -> serviceQueue.decideAgain(request, backend -> isOpen(backend, passedOver), now));
+                .decideForRetry(request, backend -> isAvailable(backend, excludedOrTried), now)
+                .or(() -> serviceQueue.decideForRetry(request, backend -> isAvailable(backend, excluded), now));
         decision.ifPresent(
-                decided -> serviceQueue.router().sent(request, serviceQueue.estimate(request), decided, now));
-        return decision.flatMap(decided -> directory.find(decided.backend()));
+                routing -> serviceQueue.router().recordDispatch(request, serviceQueue.estimate(request), routing, now));
+        return decision.flatMap(routing -> directory.find(routing.backend()));
     }
 
-    private Optional<AgentPeer> chooseLeastBusy(ActiveRequest request, Set<String> passedOver) {
-        List<AgentPeer> open = directory
-                .ofService(request.document().team(), request.document().service())
-                .stream()
-                .filter(peer -> isOpen(peer.backend(), passedOver))
-                .toList();
-        Comparator<AgentPeer> leastBusy = Comparator.<AgentPeer, Boolean>comparing(
-                        peer -> request.tried().contains(peer.backend()))
+    private Optional<AgentPeer> chooseLeastLoaded(ActiveRequest request, Set<String> excluded) {
+        List<AgentPeer> available =
+                directory
+                        .findByService(
+                                request.document().team(), request.document().service())
+                        .stream()
+                        .filter(peer -> isAvailable(peer.backend(), excluded))
+                        .toList();
+        Comparator<AgentPeer> leastLoaded = Comparator.<AgentPeer, Boolean>comparing(
+                        peer -> request.triedBackends().contains(peer.backend()))
                 .thenComparingInt(AgentPeer::outstanding)
                 .thenComparingInt(peer -> (peer.backend() + request.id()).hashCode());
-        return open.stream().min(leastBusy);
+        return available.stream().min(leastLoaded);
     }
 
-    private boolean isOpen(String backend, Set<String> passedOver) {
-        if (passedOver.contains(backend)) {
+    private boolean isAvailable(String backend, Set<String> excluded) {
+        if (excluded.contains(backend)) {
             return false;
         }
         return directory
                 .find(backend)
-                .filter(directory::takesWork)
+                .filter(directory::acceptsWork)
                 .filter(AgentPeer::hasCredit)
                 .isPresent();
     }
 
-    private boolean anyTakesWork(ActiveRequest request) {
-        return directory.ofService(request.document().team(), request.document().service()).stream()
-                .anyMatch(directory::takesWork);
+    private boolean anyAcceptsWork(ActiveRequest request) {
+        return directory
+                .findByService(request.document().team(), request.document().service())
+                .stream()
+                .anyMatch(directory::acceptsWork);
     }
 
-    private static boolean passesBreaker(AgentPeer peer) {
+    private static boolean breakerPermits(AgentPeer peer) {
         return !(peer.breaker().ask() instanceof BreakerDecision.Open);
     }
 
     private void dispatch(ActiveRequest request, AgentPeer peer, long now) {
-        int attempt = request.dispatchedTo(peer, now);
+        int attempt = request.beginAttempt(peer, now);
         requestTable.trace(request, now, "attempt " + attempt + " sent to " + peer.backend());
         peer.link().ifPresent(link -> link.send(DispatchFrames.dispatch(request, attempt, limits.chunkCredit(), now)));
     }
 
-    private RetryBudget budgetOf(ActiveRequest request) {
+    private RetryBudget retryBudgetOf(ActiveRequest request) {
         return retryBudgets.computeIfAbsent(
                 request.document().team(),
-                team -> new RetryBudget(RETRIES_EARNED_BY_REQUEST, MOST_RETRIES_SAVED, NO_BACKEND_COME_BACK));
+                team -> new RetryBudget(RETRIES_PER_REQUEST, MAX_SAVED_RETRIES, NO_BACKEND_RETRY_AFTER));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatch.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatch.java
@@ -10,5 +10,5 @@
     record Found(ServiceDocument document, RequestKind kind) implements RequestMatch {}
 
     /** It belongs nowhere. */
-    record Missing(Outcome.NotRun refusal) implements RequestMatch {}
+    record NoMatch(Outcome.NotRun refusal) implements RequestMatch {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatcher.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatcher.java
@@ -12,7 +12,7 @@
 
 /** Finds the service and kind of a request among the documents that its token opens, and no others. */
 final class RequestMatcher {
-    private static final Duration NEVER_BY_ITSELF = Duration.ZERO;
+    private static final Duration RETRY_NOT_USEFUL = Duration.ZERO;
 
     private final DocumentIndex documentIndex;
 
@@ -21,13 +21,13 @@
     }
 
     RequestMatch match(IncomingRequest request) {
-        List<ServiceDocument> documents = documentIndex.forToken(request.token());
+        List<ServiceDocument> documents = documentIndex.findByToken(request.token());
         if (documents.isEmpty()) {
-            return missing(RefusalReason.NOT_AUTHORISED, "The token opens no service; send the team's token.");
+            return noMatch(RefusalReason.NOT_AUTHORISED, "The token opens no service; send the team's token.");
         }
         return switch (request.work()) {
             case CallerWork.Generation generation -> matchGeneration(documents, generation.request());
-            case CallerWork.PlainCall call -> matchCall(documents, call);
+            case CallerWork.PlainCall call -> matchPlainCall(documents, call);
         };
     }
 
@@ -36,7 +36,7 @@
                 .filter(candidate -> candidate.model(request.model()).isPresent())
                 .findFirst();
         if (document.isEmpty()) {
-            return missing(
+            return noMatch(
                     RefusalReason.NO_SUCH_SERVICE,
                     "No service of the team runs the model '" + request.model() + "'; see GET /v1/models.");
         }
@@ -45,12 +45,12 @@
         return matchKind(document.get(), traits);
     }
 
-    private static RequestMatch matchCall(List<ServiceDocument> documents, CallerWork.PlainCall call) {
+    private static RequestMatch matchPlainCall(List<ServiceDocument> documents, CallerWork.PlainCall call) {
         Optional<ServiceDocument> document = documents.stream()
                 .filter(candidate -> candidate.service().equals(call.service()))
                 .findFirst();
         if (document.isEmpty()) {
-            return missing(
+            return noMatch(
                     RefusalReason.NO_SUCH_SERVICE, "The team has no service '" + call.service() + "'; mend the path.");
         }
         return matchKind(
@@ -60,14 +60,14 @@
     private static RequestMatch matchKind(ServiceDocument document, RequestTraits traits) {
         Optional<RequestKind> kind = KindClassifier.classify(document, traits);
         if (kind.isEmpty()) {
-            return missing(
+            return noMatch(
                     RefusalReason.NO_SUCH_SERVICE,
                     "The service '" + document.service() + "' takes no request of this kind.");
         }
         return new RequestMatch.Found(document, kind.get());
     }
 
-    private static RequestMatch missing(RefusalReason reason, String detail) {
-        return new RequestMatch.Missing(new Outcome.NotRun(reason, NEVER_BY_ITSELF, detail));
+    private static RequestMatch noMatch(RefusalReason reason, String detail) {
+        return new RequestMatch.NoMatch(new Outcome.NotRun(reason, RETRY_NOT_USEFUL, detail));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger("entry");
 
     private final Map<RequestId, ActiveRequest> active = new HashMap<>();
-    private final RequestAccount account = new RequestAccount();
+    private final RequestAccount requestCounts = new RequestAccount();
     private final TraceLog traces;
     private final EntryMetrics metrics;
 
@@ -27,17 +27,17 @@
     }
 
     void put(ActiveRequest request) {
-        account.received();
+        requestCounts.received();
         active.put(request.id(), request);
     }
 
     /** Counts a request that was refused before it belonged to a service. */
-    void refusedAtOnce(IncomingRequest request, Outcome.NotRun refusal) {
-        account.received();
-        account.ended(refusal);
-        metrics.refusedUnmatched(refusal);
+    void refuseUnmatched(IncomingRequest request, Outcome.NotRun refusal) {
+        requestCounts.received();
+        requestCounts.ended(refusal);
+        metrics.recordUnmatchedRefusal(refusal);
         traces.add(request.id(), 0, "refused, not run: " + refusal.detail());
-        request.sink().refused(refusal);
+        request.sink().onRefused(refusal);
     }
 
     Optional<ActiveRequest> find(RequestId id) {
@@ -45,7 +45,7 @@
     }
 
     /** Finds the request of a frame if the frame is of its current attempt. */
-    Optional<ActiveRequest> findCurrent(AttemptId id) {
+    Optional<ActiveRequest> findByCurrentAttempt(AttemptId id) {
         return find(new RequestId(id.getRequestHigh(), id.getRequestLow()))
                 .filter(request -> request.assembly().isCurrent(id.getAttempt()))
                 .filter(request -> request.peer().isPresent());
@@ -59,54 +59,54 @@
         return active.size();
     }
 
-    void answered(ActiveRequest request, int status, long now) {
-        leave(request, new Outcome.Answered(status), now);
+    void endAnswered(ActiveRequest request, int status, long now) {
+        end(request, new Outcome.Answered(status), now);
     }
 
-    void refused(ActiveRequest request, Outcome.NotRun refusal, long now) {
-        leave(request, refusal, now);
+    void endRefused(ActiveRequest request, Outcome.NotRun refusal, long now) {
+        end(request, refusal, now);
         trace(request, now, "refused, not run: " + refusal.reason() + ", " + refusal.detail());
-        request.sink().refused(refusal);
+        request.sink().onRefused(refusal);
     }
 
-    void unknown(ActiveRequest request, String detail, long now) {
+    void endUnknown(ActiveRequest request, String detail, long now) {
         Outcome.Unknown unknown = new Outcome.Unknown(detail);
-        leave(request, unknown, now);
+        end(request, unknown, now);
         trace(request, now, "given up, nobody knows whether it ran: " + detail);
-        request.sink().unknown(unknown);
+        request.sink().onUnknown(unknown);
     }
 
-    void cancelled(ActiveRequest request, long now) {
+    void endCancelled(ActiveRequest request, long now) {
         if (active.remove(request.id()) == null) {
             return;
         }
-        account.cancelled();
-        metrics.cancelled(request.document(), request.kind());
+        requestCounts.cancelled();
+        metrics.recordCancellation(request.document(), request.kind());
         trace(request, now, "cancelled, the caller has gone away");
     }
 
-    void trace(ActiveRequest request, long now, String sentence) {
-        traces.add(request.id(), TimeUnit.NANOSECONDS.toMillis(now - request.receivedAt()), sentence);
+    void trace(ActiveRequest request, long now, String event) {
+        traces.add(request.id(), TimeUnit.NANOSECONDS.toMillis(now - request.receivedAt()), event);
     }
 
     RequestAccount.Totals totals() {
-        return account.totals();
+        return requestCounts.totals();
     }
 
     Optional<String> imbalance() {
-        return account.imbalance(active.size());
+        return requestCounts.imbalance(active.size());
     }
 
-    void checkAccount() {
-        imbalance().ifPresent(difference -> {
-            metrics.imbalance();
-            LOG.errorf("entry: account broken, %s", difference);
+    void reportImbalance() {
+        imbalance().ifPresent(imbalance -> {
+            metrics.recordImbalance();
+            LOG.errorf("entry: account broken, %s", imbalance);
         });
     }
 
-    private void leave(ActiveRequest request, Outcome outcome, long now) {
+    private void end(ActiveRequest request, Outcome outcome, long now) {
         active.remove(request.id());
-        account.ended(outcome);
-        metrics.ended(request.document(), request.kind(), outcome, now <= request.deadlineAt());
+        requestCounts.ended(outcome);
+        metrics.recordOutcome(request.document(), request.kind(), outcome, now <= request.deadlineAt());
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTrace.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTrace.java
@@ -7,10 +7,10 @@
  * What happened to a request, in sentences.
  *
  * @param id the request
- * @param sentences each starts with the milliseconds since the request came
+ * @param events each starts with the milliseconds since the request came
  */
-public record RequestTrace(RequestId id, List<String> sentences) {
+public record RequestTrace(RequestId id, List<String> events) {
     public RequestTrace {
-        sentences = List.copyOf(sentences);
+        events = List.copyOf(events);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -21,11 +21,11 @@
 
 /** Generations of one service that wait for their first attempt, in the order that admission gives them. */
 final class ServiceQueue {
-    private static final int USUAL_BATCH = 16;
+    private static final int TYPICAL_BATCH_SIZE = 16;
 
     private final AdmissionQueue queue;
     private final DispatchPolicy policy = DispatchPolicy.usual();
-    private final LengthEstimator lengths = new LengthEstimator();
+    private final LengthEstimator lengthEstimator = new LengthEstimator();
     private final EngineRouter router;
     private final EngineSpeed speed;
     private final Map<RequestId, Waiting> waiting = new HashMap<>();
@@ -47,45 +47,45 @@
     /** Takes a request in; returns those that have to be refused, this one or others, with the answer for each. */
     List<Refusal> offer(ActiveRequest request, long now) {
         List<Refusal> refusals = new ArrayList<>();
-        WaitingWork work = workOf(request);
+        WaitingWork work = waitingWork(request);
         waiting.put(request.id(), new Waiting(request, work));
         if (queue.offer(work, now) instanceof AdmissionDecision.Refused refused) {
             waiting.remove(request.id());
-            refusals.add(new Refusal(request, outcome(refused)));
+            refusals.add(new Refusal(request, refusalOutcome(refused)));
         }
         for (Displaced displaced : queue.displaced(now)) {
-            Waiting loser = waiting.remove(displaced.work().id());
-            if (loser != null) {
-                refusals.add(new Refusal(loser.request(), outcome(displaced.refusal())));
+            Waiting displacedRequest = waiting.remove(displaced.work().id());
+            if (displacedRequest != null) {
+                refusals.add(new Refusal(displacedRequest.request(), refusalOutcome(displaced.refusal())));
             }
         }
         return refusals;
     }
 
     /** Decides on the request that is next; the caller repeats it while it gives a step that is not to wait. */
-    QueueStep next(Predicate<String> open, long now) {
+    QueueStep next(Predicate<String> isAvailable, long now) {
         Optional<WaitingWork> next = queue.next();
         if (next.isEmpty()) {
-            return new QueueStep.Rest();
+            return new QueueStep.Idle();
         }
         WaitingWork work = next.get();
         ActiveRequest request = waiting.get(work.id()).request();
-        Optional<RoutingDecision> decision = router.decide(request, estimate(request), open, now);
+        Optional<RoutingDecision> decision = router.decide(request, estimate(request), isAvailable, now);
         return switch (policy.judge(work, decision, now)) {
             case DispatchVerdict.Send send -> new QueueStep.Send(request, send.decision());
-            case DispatchVerdict.Wait ignored -> new QueueStep.Rest();
+            case DispatchVerdict.Wait ignored -> new QueueStep.Idle();
             case DispatchVerdict.GiveUp giveUp -> {
                 queue.giveUp(work, now);
                 waiting.remove(work.id());
-                yield new QueueStep.Refuse(new Refusal(request, outcome(giveUp.refusal())));
+                yield new QueueStep.Refuse(new Refusal(request, refusalOutcome(giveUp.refusal())));
             }
         };
     }
 
     /** Takes a request out because it is being sent as decided. */
-    void sent(ActiveRequest request, RoutingDecision decision, long now) {
+    void recordDispatch(ActiveRequest request, RoutingDecision decision, long now) {
         queue.take(waiting.remove(request.id()).work(), now);
-        router.sent(request, estimate(request), decision, now);
+        router.recordDispatch(request, estimate(request), decision, now);
     }
 
     /** Takes a request out because its caller has gone. */
@@ -96,34 +96,34 @@
     }
 
     /** Learns the length of a whole answer. */
-    void answered(ActiveRequest request, int promptTokens, int outputTokens) {
-        lengths.seen(request.kind().name(), promptTokens, 0, outputTokens);
+    void recordAnswer(ActiveRequest request, int promptTokens, int outputTokens) {
+        lengthEstimator.seen(request.kind().name(), promptTokens, 0, outputTokens);
     }
 
     /** Decides where a request goes on that has had an attempt before; it does not wait behind others. */
-    Optional<RoutingDecision> decideAgain(ActiveRequest request, Predicate<String> open, long now) {
-        return router.decide(request, estimate(request), open, now);
+    Optional<RoutingDecision> decideForRetry(ActiveRequest request, Predicate<String> isAvailable, long now) {
+        return router.decide(request, estimate(request), isAvailable, now);
     }
 
     LengthEstimate estimate(ActiveRequest request) {
-        return lengths.estimate(request.kind().name(), request.kind().longestOutputTokens());
+        return lengthEstimator.estimate(request.kind().name(), request.kind().longestOutputTokens());
     }
 
-    private WaitingWork workOf(ActiveRequest request) {
+    private WaitingWork waitingWork(ActiveRequest request) {
         LengthEstimate estimate = estimate(request);
-        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
-        double decode = estimate.outputTokens() * speed.stepSeconds(USUAL_BATCH);
+        double prefillSeconds = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
+        double decodeSeconds = estimate.outputTokens() * speed.stepSeconds(TYPICAL_BATCH_SIZE);
         return new WaitingWork(
                 request.id(),
                 request.document().team(),
                 request.kind().name(),
                 request.kind().weight(),
                 request.deadlineAt(),
-                prefill + decode / USUAL_BATCH,
-                prefill + decode);
+                prefillSeconds + decodeSeconds / TYPICAL_BATCH_SIZE,
+                prefillSeconds + decodeSeconds);
     }
 
-    private static Outcome.NotRun outcome(AdmissionDecision.Refused refused) {
+    private static Outcome.NotRun refusalOutcome(AdmissionDecision.Refused refused) {
         return new Outcome.NotRun(refused.reason(), refused.comeBackAfter(), refused.detail());
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
@@ -20,20 +20,20 @@
     private final DocumentRegistry registry;
     private final RouterSettings routerSettings;
     private final EngineSpeed speed;
-    private final int mostWaiting;
+    private final int maxWaiting;
     private final RandomGenerator random;
     private final Map<ServiceName, ServiceQueue> serviceQueues = new HashMap<>();
 
-    ServiceQueues(DocumentRegistry registry, RouterSettings routerSettings, int mostWaiting, RandomGenerator random) {
+    ServiceQueues(DocumentRegistry registry, RouterSettings routerSettings, int maxWaiting, RandomGenerator random) {
         this.registry = registry;
         this.routerSettings = routerSettings;
         this.speed = routerSettings.speed();
-        this.mostWaiting = mostWaiting;
+        this.maxWaiting = maxWaiting;
         this.random = random;
     }
 
     ServiceQueue of(ServiceDocument document) {
-        return serviceQueues.computeIfAbsent(ServiceName.of(document), name -> newLane(document));
+        return serviceQueues.computeIfAbsent(ServiceName.of(document), name -> newQueue(document));
     }
 
     Collection<ServiceQueue> all() {
@@ -41,13 +41,13 @@
     }
 
     @Override
-    public void reported(AgentPeer peer, long now) {
-        documentOf(peer).ifPresent(document -> of(document).router().reported(peer, document, now));
+    public void loadReported(AgentPeer peer, long now) {
+        documentOf(peer).ifPresent(document -> of(document).router().updateLoad(peer, document, now));
     }
 
     @Override
-    public void gone(AgentPeer peer) {
-        documentOf(peer).ifPresent(document -> of(document).router().gone(peer));
+    public void linkClosed(AgentPeer peer) {
+        documentOf(peer).ifPresent(document -> of(document).router().remove(peer));
     }
 
     private Optional<ServiceDocument> documentOf(AgentPeer peer) {
@@ -55,13 +55,13 @@
                 new ServiceName(peer.registration().team(), peer.registration().service()));
     }
 
-    private ServiceQueue newLane(ServiceDocument document) {
+    private ServiceQueue newQueue(ServiceDocument document) {
         long engines = document.backends().stream()
                 .filter(backend -> backend instanceof BackendDeclaration.EngineDeclaration)
                 .count();
-        AdmissionSettings usual = AdmissionSettings.usual((double) Math.max(1, engines));
+        AdmissionSettings defaults = AdmissionSettings.usual((double) Math.max(1, engines));
         AdmissionSettings settings =
-                new AdmissionSettings(mostWaiting, usual.initialEngines(), usual.rateMemorySeconds());
+                new AdmissionSettings(maxWaiting, defaults.initialEngines(), defaults.rateMemorySeconds());
         EngineRouter router = new EngineRouter(new Router(routerSettings, random), routerSettings.dataCentre());
         return new ServiceQueue(new AdmissionQueue(settings), router, speed);
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjects.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjectHandler.java
@@ -13,7 +13,7 @@
 import org.jboss.logging.Logger;
 
 /** Turns the store's objects into what the event loop knows. */
-final class StoreObjects {
+final class StoreObjectHandler {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String LEAVING = "leaving";
@@ -21,32 +21,32 @@
     private final DocumentIndex documentIndex;
     private final AgentDirectory directory;
 
-    StoreObjects(DocumentIndex documentIndex, AgentDirectory directory) {
+    StoreObjectHandler(DocumentIndex documentIndex, AgentDirectory directory) {
         this.documentIndex = documentIndex;
         this.directory = directory;
     }
 
-    void changed(StoredObject object, long now) {
+    void objectChanged(StoredObject object, long now) {
         switch (object.key().kind()) {
-            case DOCUMENT -> documentChanged(object);
+            case DOCUMENT -> applyDocument(object);
             case AGENT_REGISTRATION ->
-                AgentRegistration.read(object).ifPresent(registration -> directory.registered(registration, now));
-            case HOST -> hostChanged(object);
+                AgentRegistration.read(object).ifPresent(registration -> directory.register(registration, now));
+            case HOST -> applyHost(object);
             default -> LOG.debugf("entry: object %s is not for an entry", object.key());
         }
     }
 
-    void deleted(StoredObject object) {
+    void objectDeleted(StoredObject object) {
         switch (object.key().kind()) {
-            case AGENT_REGISTRATION -> directory.unregistered(object.key().name());
-            case HOST -> directory.hostGone(object.key().name());
+            case AGENT_REGISTRATION -> directory.unregister(object.key().name());
+            case HOST -> directory.removeHost(object.key().name());
             default -> LOG.infof("entry: object %s was deleted, what it said stays in force", object.key());
         }
     }
 
-    void known(ObjectKind kind) {
+    void collectionListed(ObjectKind kind) {
         if (kind == ObjectKind.HOST) {
-            directory.hostListKnown();
+            directory.completeHostList();
         }
     }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    private void documentChanged(StoredObject object) {
+    private void applyDocument(StoredObject object) {
         try {
             ServiceDocument document = StoredDocuments.read(object).document();
             if (documentIndex.put(document)) {
@@ -73,11 +73,11 @@
         }
     }
 
-    private void hostChanged(StoredObject object) {
+    private void applyHost(StoredObject object) {
         try {
             JsonNode host = MAPPER.readTree(object.value());
             String name = host.path("name").asText(object.key().name());
-            directory.hostChanged(name, LEAVING.equals(host.path("state").asText()));
+            directory.updateHost(name, LEAVING.equals(host.path("state").asText()));
         } catch (JsonProcessingException malformed) {
             LOG.warnf("entry: host %s is malformed, ignored", object.key());
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/WaitingRequests.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/WaitingRequests.java
@@ -10,31 +10,31 @@
 /** Requests that wait for a backend server: greater weight first, then the nearer deadline. Bounded. */
 final class WaitingRequests {
     private static final double SMOOTHING = 0.1;
-    private static final Duration LEAST_COME_BACK = Duration.ofMillis(200);
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
 
-    private final TreeSet<ActiveRequest> waiting = new TreeSet<>(Comparator.comparing(ActiveRequest::hasBegun)
+    private final TreeSet<ActiveRequest> waiting = new TreeSet<>(Comparator.comparing(ActiveRequest::hasDeliveredTokens)
             .reversed()
             .thenComparing(request -> request.kind().weight(), Comparator.reverseOrder())
             .thenComparingLong(ActiveRequest::deadlineAt)
             .thenComparing(request -> request.id().toString()));
-    private final int mostWaiting;
+    private final int maxWaiting;
     private double secondsBetweenStarts;
     private long lastStartAt;
 
-    WaitingRequests(int mostWaiting) {
-        this.mostWaiting = mostWaiting;
+    WaitingRequests(int maxWaiting) {
+        this.maxWaiting = maxWaiting;
     }
 
     /** Lets a request in; returns the one that has to go for it, which may be the same. */
-    Optional<ActiveRequest> enter(ActiveRequest request) {
+    Optional<ActiveRequest> add(ActiveRequest request) {
         waiting.add(request);
-        if (waiting.size() <= mostWaiting || waiting.last().hasBegun()) {
+        if (waiting.size() <= maxWaiting || waiting.last().hasDeliveredTokens()) {
             return Optional.empty();
         }
         return Optional.ofNullable(waiting.pollLast());
     }
 
-    void leave(ActiveRequest request) {
+    void remove(ActiveRequest request) {
         waiting.remove(request);
     }
 
@@ -47,15 +47,15 @@
     }
 
     /** Takes that a waiting request has started, for the estimate of how fast they start. */
-    void started(long now) {
+    void recordStart(long now) {
         double seconds = (now - lastStartAt) / (double) Duration.ofSeconds(1).toNanos();
         secondsBetweenStarts = (1 - SMOOTHING) * secondsBetweenStarts + SMOOTHING * seconds;
         lastStartAt = now;
     }
 
     /** Returns how long the requests now waiting will take to start. */
-    Duration timeToEmpty() {
+    Duration estimatedTimeToEmpty() {
         Duration estimate = Duration.ofMillis((long) (waiting.size() * secondsBetweenStarts * 1000));
-        return estimate.compareTo(LEAST_COME_BACK) < 0 ? LEAST_COME_BACK : estimate;
+        return estimate.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : estimate;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
@@ -41,7 +41,7 @@
                 Optional.ofNullable(context.getRequest().getHeaders().get(KEY_HEADER));
         IncomingRequest request = new IncomingRequest(id, tokenOf(context), work, key, sink);
         if (!eventLoop.offer(new EntryMessage.RequestCame(request))) {
-            sink.refused(new Outcome.NotRun(
+            sink.onRefused(new Outcome.NotRun(
                     RefusalReason.OVERLOADED, FULL_RING_COME_BACK, "The entry has more requests than it can look at."));
             return;
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamSink.java
@@ -47,14 +47,14 @@
     }
 
     @Override
-    public void piece(String text) {
+    public void onText(String text) {
         enqueue(events.piece(text));
         signal.complete(new FirstSignal.StreamBegins());
         drain();
     }
 
     @Override
-    public void generationDone(String finishReason, int promptTokens, int outputTokens) {
+    public void onGenerationComplete(String finishReason, int promptTokens, int outputTokens) {
         synchronized (this) {
             pieces.addLast(events.end(finishReason, promptTokens, outputTokens));
             finished = true;
@@ -64,19 +64,19 @@
     }
 
     @Override
-    public void plainAnswer(PlainAnswer answer) {
+    public void onPlainAnswer(PlainAnswer answer) {
         signal.complete(new FirstSignal.Plain(answer));
     }
 
     @Override
-    public void refused(Outcome.NotRun refusal) {
+    public void onRefused(Outcome.NotRun refusal) {
         signal.complete(new FirstSignal.Refused(refusal));
     }
 
     // A cut answer must not look like a whole one: it ends with an error event, without the end mark, and the
     // connection is closed without the last chunk of its encoding.
     @Override
-    public void unknown(Outcome.Unknown unknown) {
+    public void onUnknown(Outcome.Unknown unknown) {
         if (signal.complete(new FirstSignal.Lost(unknown))) {
             return;
         }
@@ -88,14 +88,14 @@
     }
 
     @Override
-    public synchronized int takeTaken() {
+    public synchronized int takeConsumedPieces() {
         int count = taken;
         taken = 0;
         return count;
     }
 
     @Override
-    public synchronized boolean isHeldByCaller() {
+    public synchronized boolean isWaitingForCaller() {
         return !pieces.isEmpty();
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/WholeSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/WholeSink.java
@@ -17,38 +17,38 @@
     }
 
     @Override
-    public void piece(String piece) {
+    public void onText(String piece) {
         text.append(piece);
         taken.incrementAndGet();
     }
 
     @Override
-    public void generationDone(String finishReason, int promptTokens, int outputTokens) {
+    public void onGenerationComplete(String finishReason, int promptTokens, int outputTokens) {
         signal.complete(new FirstSignal.WholeText(text.toString(), finishReason, promptTokens, outputTokens));
     }
 
     @Override
-    public void plainAnswer(PlainAnswer answer) {
+    public void onPlainAnswer(PlainAnswer answer) {
         signal.complete(new FirstSignal.Plain(answer));
     }
 
     @Override
-    public void refused(Outcome.NotRun refusal) {
+    public void onRefused(Outcome.NotRun refusal) {
         signal.complete(new FirstSignal.Refused(refusal));
     }
 
     @Override
-    public void unknown(Outcome.Unknown unknown) {
+    public void onUnknown(Outcome.Unknown unknown) {
         signal.complete(new FirstSignal.Lost(unknown));
     }
 
     @Override
-    public int takeTaken() {
+    public int takeConsumedPieces() {
         return taken.getAndSet(0);
     }
 
     @Override
-    public boolean isHeldByCaller() {
+    public boolean isWaitingForCaller() {
         return false;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlanDraft.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlanDrafter.java
@@ -27,42 +27,44 @@
  * keeps what was assigned to it before. So a new version moves from engine to engine, and each engine's streams end
  * before it changes.
  */
-public final class PlanDraft {
+public final class PlanDrafter {
     private final LoadBudget budget;
 
-    public PlanDraft(LoadBudget budget) {
+    public PlanDrafter(LoadBudget budget) {
         this.budget = budget;
     }
 
     Map<String, EngineAssignment> draft(
-            ServiceDocument document, List<EngineSnapshot> engines, Map<String, EngineAssignment> before) {
+            ServiceDocument document, List<EngineSnapshot> engines, Map<String, EngineAssignment> previous) {
         RolloutPolicy rollout = new RolloutPolicy(RolloutLimits.forEngines(Math.max(1, engines.size())), budget);
-        Set<String> held = new HashSet<>();
-        for (RolloutDecision decision : rollout.decide(document, rolloutEngines(engines, before))) {
+        Set<String> heldEngines = new HashSet<>();
+        for (RolloutDecision decision : rollout.decide(document, rolloutEngines(engines, previous))) {
             if (decision instanceof RolloutDecision.Hold hold) {
-                held.add(hold.engine());
+                heldEngines.add(hold.engine());
             }
         }
-        EngineAssignment whole = new EngineAssignment(EngineRole.WHOLE, declaredLoads(document));
-        Map<String, EngineAssignment> draft = new HashMap<>(before);
+        EngineAssignment fullAssignment = new EngineAssignment(EngineRole.WHOLE, declaredLoads(document));
+        Map<String, EngineAssignment> draft = new HashMap<>(previous);
         for (EngineSnapshot engine : engines) {
             if (!engine.linked()) {
                 continue;
             }
-            Optional<EngineAssignment> earlier = Optional.ofNullable(before.get(engine.name()));
-            boolean waits = held.contains(engine.name());
-            draft.put(engine.name(), waits ? earlier.orElse(EngineAssignment.ofRole(EngineRole.WHOLE)) : whole);
+            Optional<EngineAssignment> previousAssignment = Optional.ofNullable(previous.get(engine.name()));
+            boolean held = heldEngines.contains(engine.name());
+            draft.put(
+                    engine.name(),
+                    held ? previousAssignment.orElse(EngineAssignment.ofRole(EngineRole.WHOLE)) : fullAssignment);
         }
         draft.keySet().removeIf(name -> document.backend(name).isEmpty());
         return draft;
     }
 
     private static List<RolloutEngine> rolloutEngines(
-            List<EngineSnapshot> engines, Map<String, EngineAssignment> before) {
+            List<EngineSnapshot> engines, Map<String, EngineAssignment> previous) {
         return engines.stream()
                 .map(engine -> new RolloutEngine(
                         engine.name(),
-                        availability(engine, before),
+                        availability(engine, previous),
                         engine.loaded(),
                         engine.running(),
                         Optional.empty()))
@@ -71,14 +73,14 @@
 
     // An engine that was assigned a load which it does not hold yet is taken already, though it still serves: its agent
     // reads plans every few seconds. Without this a second engine would be taken meanwhile, and both be away at once.
-    private static EngineAvailability availability(EngineSnapshot engine, Map<String, EngineAssignment> before) {
+    private static EngineAvailability availability(EngineSnapshot engine, Map<String, EngineAssignment> previous) {
         if (!engine.linked()) {
             return EngineAvailability.GONE;
         }
-        EngineAssignment assigned = before.get(engine.name());
-        boolean taken = assigned != null
+        EngineAssignment assigned = previous.get(engine.name());
+        boolean changing = assigned != null
                 && assigned.loads().stream().anyMatch(load -> !engine.loaded().contains(load.label()));
-        if (taken) {
+        if (changing) {
             return EngineAvailability.DRAINING;
         }
         return engine.ready() ? EngineAvailability.SERVING : EngineAvailability.LOADING;
