--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerWorker.java
@@ -36,33 +36,33 @@
  * <p>Any entry of a data centre may hold the plan of a service there. Each looks at a plan that it does not hold only
  * every few seconds, so that watching for a lapsed lease costs the store little.
  */
-public final class PlannerDuty implements AutoCloseable {
+public final class PlannerWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("planner");
-    private static final Duration STEP = Duration.ofSeconds(1);
-    private static final Duration LOOK_PERIOD = Duration.ofSeconds(3);
-    private static final String DUTY = "planner";
+    private static final Duration STEP_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration OBSERVATION_INTERVAL = Duration.ofSeconds(3);
+    private static final String DUTY_NAME = "planner";
 
     private final String owner;
     private final String dataCentre;
     private final ObjectStore store;
     private final DocumentRegistry registry;
     private final Supplier<List<EngineSnapshot>> engines;
-    private final PlanDraft draft;
+    private final PlanDrafter drafter;
     private final TimeSource time;
     private final RandomGenerator random;
     private final Map<ServiceName, PlanHolder> holders = new HashMap<>();
-    private final Map<ServiceName, Long> lookedAt = new HashMap<>();
+    private final Map<ServiceName, Long> lastObservedAt = new HashMap<>();
     private final Map<ServiceName, DutyStatus> duties = new ConcurrentHashMap<>();
     private final CountDownLatch closed = new CountDownLatch(1);
     private final Thread thread;
 
-    public PlannerDuty(
+    public PlannerWorker(
             String owner,
             String dataCentre,
             ObjectStore store,
             DocumentRegistry registry,
             Supplier<List<EngineSnapshot>> engines,
-            PlanDraft draft,
+            PlanDrafter drafter,
             TimeSource time,
             RandomGenerator random) {
         this.owner = owner;
@@ -70,7 +70,7 @@
         this.store = store;
         this.registry = registry;
         this.engines = engines;
-        this.draft = draft;
+        this.drafter = drafter;
         this.time = time;
         this.random = random;
         this.thread = Thread.ofPlatform().name("aspenmoor-planner").daemon(true).unstarted(this::run);
@@ -99,64 +99,64 @@
 
     private void run() {
         try {
-            while (!closed.await(STEP.toMillis(), TimeUnit.MILLISECONDS)) {
-                tendAll();
+            while (!closed.await(STEP_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)) {
+                updatePlans();
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        holders.values().forEach(PlannerDuty::resign);
+        holders.values().forEach(PlannerWorker::resign);
     }
 
-    private void tendAll() {
-        List<EngineSnapshot> seen = List.of();
-        boolean asked = false;
+    private void updatePlans() {
+        List<EngineSnapshot> snapshots = List.of();
+        boolean queried = false;
         for (DocumentInForce inForce : registry.all()) {
             ServiceDocument document = inForce.document();
             if (!hasEnginesHere(document)) {
                 continue;
             }
-            if (!asked) {
-                seen = engines.get();
-                asked = true;
+            if (!queried) {
+                snapshots = engines.get();
+                queried = true;
             }
-            tendSafely(document, seen);
+            updatePlanOrLog(document, snapshots);
         }
     }
 
     // A store in trouble takes nothing away: the last plan stays in force, and this holder stops by its own clock.
-    private void tendSafely(ServiceDocument document, List<EngineSnapshot> seen) {
+    private void updatePlanOrLog(ServiceDocument document, List<EngineSnapshot> snapshots) {
         try {
-            tend(document, seen);
-        } catch (StoreException trouble) {
-            LOG.debugf("planner: %s/%s: %s", document.team(), document.service(), trouble.problem());
+            updatePlan(document, snapshots);
+        } catch (StoreException storeFailure) {
+            LOG.debugf("planner: %s/%s: %s", document.team(), document.service(), storeFailure.problem());
         }
     }
 
-    private void tend(ServiceDocument document, List<EngineSnapshot> seen) throws StoreException {
+    private void updatePlan(ServiceDocument document, List<EngineSnapshot> snapshots) throws StoreException {
         ServiceName name = ServiceName.of(document);
         PlanHolder holder = holders.computeIfAbsent(name, this::newHolder);
-        if (holder.current().isEmpty() && !isTimeToLook(name)) {
+        if (holder.current().isEmpty() && !isObservationDue(name)) {
             return;
         }
         HolderStep step = holder.tend();
-        note(name, step);
+        recordStep(name, step);
         if (holder.mayDecide()) {
-            publishIfChanged(document, holder, seen);
+            publishIfChanged(document, holder, snapshots);
         }
     }
 
-    private void publishIfChanged(ServiceDocument document, PlanHolder holder, List<EngineSnapshot> seen)
+    private void publishIfChanged(ServiceDocument document, PlanHolder holder, List<EngineSnapshot> snapshots)
             throws StoreException {
         ServiceName name = ServiceName.of(document);
-        List<EngineSnapshot> ours = seen.stream()
+        List<EngineSnapshot> localEngines = snapshots.stream()
                 .filter(engine ->
                         engine.service().equals(name) && engine.dataCentre().equals(dataCentre))
                 .toList();
-        Map<String, EngineAssignment> before =
+        Map<String, EngineAssignment> previous =
                 holder.current().map(PlanRecord::engines).orElse(Map.of());
-        Map<String, EngineAssignment> next = draft.draft(document, ours, before);
-        if (next.equals(before)) {
+        Map<String, EngineAssignment> next = drafter.draft(document, localEngines, previous);
+        if (next.equals(previous)) {
             return;
         }
         if (holder.publish(next) instanceof PublishResult.Published published) {
@@ -169,35 +169,35 @@
         }
     }
 
-    private boolean isTimeToLook(ServiceName name) {
+    private boolean isObservationDue(ServiceName name) {
         long now = time.monotonicNanoseconds();
-        Long last = lookedAt.get(name);
-        if (last != null && now - last < LOOK_PERIOD.toNanos()) {
+        Long last = lastObservedAt.get(name);
+        if (last != null && now - last < OBSERVATION_INTERVAL.toNanos()) {
             return false;
         }
-        lookedAt.put(name, now);
+        lastObservedAt.put(name, now);
         return true;
     }
 
-    private void note(ServiceName name, HolderStep step) {
+    private void recordStep(ServiceName name, HolderStep step) {
         switch (step) {
-            case HolderStep.Held held -> noteHolder(name, owner, held.term(), "held here");
-            case HolderStep.Renewed renewed -> noteHolder(name, owner, renewed.term(), "held here");
+            case HolderStep.Held held -> recordHolder(name, owner, held.term(), "held here");
+            case HolderStep.Renewed renewed -> recordHolder(name, owner, renewed.term(), "held here");
             case HolderStep.Acquired acquired -> {
                 LOG.infof("planner: took the plan of %s in %s, term %d", name, dataCentre, acquired.term());
-                noteHolder(name, owner, acquired.term(), "held here");
+                recordHolder(name, owner, acquired.term(), "held here");
             }
             case HolderStep.Observing observing ->
-                noteHolder(name, observing.owner(), 0, "seen from here, lapses unless renewed");
+                recordHolder(name, observing.owner(), 0, "seen from here, lapses unless renewed");
             case HolderStep.Lost lost -> LOG.infof("planner: lost the plan of %s, term %d", name, lost.formerTerm());
         }
     }
 
-    private void noteHolder(ServiceName name, String holder, long term, String detail) {
+    private void recordHolder(ServiceName name, String holder, long term, String detail) {
         duties.put(
                 name,
                 new DutyStatus(
-                        DUTY,
+                        DUTY_NAME,
                         Optional.of(name.team()),
                         Optional.of(name.service()),
                         dataCentre,
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
@@ -33,26 +33,26 @@
 
     private final List<AttemptKey> started = new ArrayList<>();
     private final ManualTimeSource time = new ManualTimeSource();
-    private final List<AgentMessage> fromOrders = new ArrayList<>();
+    private final List<AgentMessage> orderMessages = new ArrayList<>();
     private EventLoopDrain drain;
-    private final AtomicInteger wanted = new AtomicInteger();
+    private final AtomicInteger requestedReads = new AtomicInteger();
     private final AtomicInteger cancelled = new AtomicInteger();
     private final AtomicInteger running = new AtomicInteger();
     private AgentEventLoop eventLoop;
     private EmbeddedLink entry;
 
     @BeforeMethod
-    public void begin() {
+    public void createEventLoop() {
         started.clear();
-        wanted.set(0);
+        requestedReads.set(0);
         cancelled.set(0);
         running.set(0);
-        fromOrders.clear();
-        drain = new EventLoopDrain(fromOrders::add, new PauseWatch(time, Duration.ofSeconds(5)));
+        orderMessages.clear();
+        drain = new EventLoopDrain(orderMessages::add, new PauseWatch(time, Duration.ofSeconds(5)));
         eventLoop = new AgentEventLoop(
                 settings(),
                 this::startCall,
-                new LoadReports("drafter-1", time),
+                new LoadReportFilter("drafter-1", time),
                 running::set,
                 drain,
                 new AgentMetrics(new PrometheusRegistry()));
@@ -69,14 +69,14 @@
         pieces(FIRST, "a", "b", "c");
 
         assertEquals(chunksOf(entry.sent()), List.of("a", "b"));
-        assertEquals(wanted.get(), 0);
+        assertEquals(requestedReads.get(), 0);
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), credit(FIRST, 2)));
         assertEquals(chunksOf(entry.sent()), List.of("c"));
-        assertEquals(wanted.get(), 1);
+        assertEquals(requestedReads.get(), 1);
     }
 
     @Test
-    public void should_close_an_answer_with_its_count_only_after_its_last_chunk() {
+    public void should_send_the_last_frame_with_the_count_only_after_the_last_chunk() {
         dispatch(FIRST, 1);
         pieces(FIRST, "a", "b");
         eventLoop.handle(new AgentMessage.AnswerEnded(FIRST, new CallEnd.Complete("stop")));
@@ -92,7 +92,7 @@
     // The engine has crashed and takes no connection. Nothing ran, and the agent says so, so that even a request that
     // must not run twice can go elsewhere.
     @Test
-    public void should_state_that_a_request_never_started_when_no_connection_came_about() {
+    public void should_report_that_a_request_never_started_when_the_connection_failed() {
         dispatch(FIRST, 4);
 
         eventLoop.handle(new AgentMessage.AnswerEnded(FIRST, new CallEnd.NeverStarted("connection refused")));
@@ -102,7 +102,7 @@
 
     // A frame is delivered twice. Without the check the booking would be made twice under one name.
     @Test
-    public void should_refuse_a_dispatch_that_runs_already() {
+    public void should_refuse_a_dispatch_when_the_attempt_is_already_running() {
         dispatch(FIRST, 4);
         dispatch(FIRST, 4);
 
@@ -112,7 +112,7 @@
 
     // The caller's deadline has passed on the way; an engine that worked on it would take room from live requests.
     @Test
-    public void should_refuse_expired_work() {
+    public void should_refuse_a_dispatch_when_its_deadline_has_passed() {
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), dispatchFrame(FIRST, 4, 0)));
 
         assertTrue(started.isEmpty());
@@ -121,7 +121,7 @@
 
     // The entry was killed. Nobody takes its answers any more, and engines would go on generating for nobody.
     @Test
-    public void should_cancel_calls_when_the_entry_is_gone() {
+    public void should_cancel_calls_when_the_link_to_the_entry_closes() {
         dispatch(FIRST, 4);
 
         eventLoop.handle(new AgentMessage.LinkClosed(entry.link()));
@@ -149,28 +149,29 @@
     // were
     // trusted before the event loop has heard, the stream that is let in next would be cut by the order.
     @Test
-    public void should_let_no_work_in_while_the_order_thread_forbids_it() {
-        List<String> heard = new ArrayList<>();
+    public void should_refuse_dispatches_while_the_order_thread_forbids_serving() {
+        List<String> acknowledgements = new ArrayList<>();
         dispatch(FIRST, 4);
-        eventLoop.handle(new AgentMessage.ServingAllowed(false, 0, () -> heard.add("running " + running.get())));
+        eventLoop.handle(
+                new AgentMessage.ServingAllowed(false, 0, () -> acknowledgements.add("running " + running.get())));
 
         dispatch(new AttemptKey(new org.aspenmoor.RequestId(3, 4), 1), 4);
 
-        assertEquals(heard, List.of("running 1"));
+        assertEquals(acknowledgements, List.of("running 1"));
         assertEquals(started, List.of(FIRST));
     }
 
     // The host stops the whole process for a while, and another agent takes the engine over. Dispatches from before the
     // pause wait in the ring; let in, they would be cut in the middle of the successor's change.
     @Test
-    public void should_let_nothing_in_after_a_pause_until_the_right_to_the_engine_is_proved() {
+    public void should_refuse_dispatches_after_a_pause_until_ownership_of_the_engine_is_confirmed() {
         time.advance(Duration.ofSeconds(6));
         dispatch(FIRST, 4);
         assertTrue(started.isEmpty());
-        assertTrue(drain.learnsOfPause());
+        assertTrue(drain.checkForPause());
 
         drain.endDrain();
-        fromOrders.forEach(eventLoop::handle);
+        orderMessages.forEach(eventLoop::handle);
         dispatch(FIRST, 4);
 
         assertEquals(started, List.of(FIRST));
@@ -178,14 +179,14 @@
 
     // The order thread was about to let work in when the process was paused, and does so after waking, not yet knowing.
     @Test
-    public void should_not_count_a_permission_that_was_given_without_knowing_of_the_pause() {
+    public void should_ignore_a_permission_when_it_was_given_without_knowledge_of_a_pause() {
         drain.beginDrain();
-        fromOrders.forEach(eventLoop::handle);
-        fromOrders.clear();
+        orderMessages.forEach(eventLoop::handle);
+        orderMessages.clear();
         drain.endDrain();
 
         time.advance(Duration.ofSeconds(6));
-        fromOrders.forEach(eventLoop::handle);
+        orderMessages.forEach(eventLoop::handle);
         dispatch(FIRST, 4);
 
         assertTrue(started.isEmpty());
@@ -195,8 +196,8 @@
         started.add(key);
         return new BackendCall() {
             @Override
-            public void wantMore() {
-                wanted.incrementAndGet();
+            public void requestMore() {
+                requestedReads.incrementAndGet();
             }
 
             @Override
@@ -228,9 +229,9 @@
     }
 
     private void pieces(AttemptKey key, String... texts) {
-        List<Piece> pieces = new ArrayList<>();
+        List<AnswerPiece> pieces = new ArrayList<>();
         for (String text : texts) {
-            pieces.add(new Piece(text.getBytes(StandardCharsets.UTF_8), 1));
+            pieces.add(new AnswerPiece(text.getBytes(StandardCharsets.UTF_8), 1));
         }
         eventLoop.handle(new AgentMessage.PiecesArrived(key, pieces));
     }
@@ -243,10 +244,10 @@
     }
 
     private static AgentSettings settings() {
-        URI anywhere = URI.create("http://127.0.0.1:1/");
+        URI unusedUri = URI.create("http://127.0.0.1:1/");
         return new AgentSettings(
-                new ProcessSettings("agent-1", "almaty-1", "127.0.0.1", 0, 0, anywhere, 20, LogFormat.TEXT),
-                new BackendSettings("drafter-1", "studio", "drafting", "host-1", BackendType.ENGINE, anywhere),
+                new ProcessSettings("agent-1", "almaty-1", "127.0.0.1", 0, 0, unusedUri, 20, LogFormat.TEXT),
+                new BackendSettings("drafter-1", "studio", "drafting", "host-1", BackendType.ENGINE, unusedUri),
                 8,
                 Duration.ofSeconds(30));
     }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
@@ -32,191 +32,191 @@
 
 public class ClaimHandlerTest {
     private final ManualTimeSource time = new ManualTimeSource();
-    private final List<ClaimVerdict> first = new ArrayList<>();
-    private final List<ClaimVerdict> second = new ArrayList<>();
+    private final List<ClaimVerdict> firstDecisions = new ArrayList<>();
+    private final List<ClaimVerdict> secondDecisions = new ArrayList<>();
     private ObjectStore store;
     private long seeds;
 
     @BeforeMethod
     public void begin() {
-        first.clear();
-        second.clear();
+        firstDecisions.clear();
+        secondDecisions.clear();
         store = new InMemoryObjectStore();
     }
 
     // The caller got its answer, and its client repeats the booking at another entry a moment later. The outcome is on
     // its way to the store; the caller should be told what came of it and not that nobody knows.
     @Test
-    public void should_find_an_outcome_that_is_recorded_a_moment_after_the_answer() {
-        ClaimHandler one = handler(store, first);
-        ClaimHandler other = handler(store, second);
-        ask(one, 1);
-        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) first.getFirst();
-
-        ask(other, 2);
-        assertTrue(second.isEmpty());
-        one.handle(new ClaimMessage.Answered(
+    public void should_return_the_recorded_answer_when_it_is_written_shortly_after_the_claim() {
+        ClaimHandler firstHandler = handler(store, firstDecisions);
+        ClaimHandler secondHandler = handler(store, secondDecisions);
+        requestClaim(firstHandler, 1);
+        ClaimVerdict.Granted granted = (ClaimVerdict.Granted) firstDecisions.getFirst();
+
+        requestClaim(secondHandler, 2);
+        assertTrue(secondDecisions.isEmpty());
+        firstHandler.handle(new ClaimMessage.Answered(
                 granted.ticket(), new RecordedAnswer(201, "text/plain", Optional.empty(), "digest")));
-        pass(one);
-        pass(other);
+        advanceAndTick(firstHandler);
+        advanceAndTick(secondHandler);
 
-        assertTrue(second.getFirst() instanceof ClaimVerdict.AlreadyAnswered);
+        assertTrue(secondDecisions.getFirst() instanceof ClaimVerdict.AlreadyAnswered);
     }
 
     // The entry that ran the booking was killed before it could record anything. The repeat must not wait for ever.
     @Test
-    public void should_say_that_nobody_knows_after_a_few_looks() {
-        ask(handler(store, first), 1);
-        ClaimHandler other = handler(store, second);
+    public void should_report_an_unknown_outcome_after_the_last_recheck() {
+        requestClaim(handler(store, firstDecisions), 1);
+        ClaimHandler secondHandler = handler(store, secondDecisions);
 
-        ask(other, 2);
-        for (int look = 0; look < 3; look++) {
-            pass(other);
+        requestClaim(secondHandler, 2);
+        for (int recheck = 0; recheck < 3; recheck++) {
+            advanceAndTick(secondHandler);
         }
 
-        assertTrue(second.getFirst() instanceof ClaimVerdict.StillUnknown);
+        assertTrue(secondDecisions.getFirst() instanceof ClaimVerdict.StillUnknown);
     }
 
     // The store keeps silent, so every batch costs a whole time-out. Calls that come later are refused without it.
     @Test
-    public void should_refuse_at_once_after_the_store_has_failed() {
-        SwitchedStore broken = new SwitchedStore();
-        broken.silent = true;
-        ClaimHandler handler = handler(broken, first);
+    public void should_refuse_without_a_store_call_after_the_store_has_failed() {
+        SwitchableStore store = new SwitchableStore();
+        store.unresponsive = true;
+        ClaimHandler handler = handler(store, firstDecisions);
 
         for (int request = 1; request <= 5; request++) {
-            ask(handler, request);
+            requestClaim(handler, request);
         }
 
-        assertEquals(first.size(), 5);
-        assertTrue(first.stream().allMatch(verdict -> verdict instanceof ClaimVerdict.NotClaimed));
-        assertEquals(broken.callsInSilence, 1);
+        assertEquals(firstDecisions.size(), 5);
+        assertTrue(firstDecisions.stream().allMatch(decision -> decision instanceof ClaimVerdict.NotClaimed));
+        assertEquals(store.callsWhileUnresponsive, 1);
     }
 
     // Outcomes of calls that ran wait to be written when the store falls silent. A call that comes then would wait
     // behind
     // their time-outs, one after the other, before it is told that it did not run.
     @Test
-    public void should_refuse_at_once_while_outcomes_wait_for_a_silent_store() {
-        SwitchedStore switched = new SwitchedStore();
-        ClaimHandler handler = handler(switched, first);
+    public void should_refuse_without_a_store_call_while_outcomes_wait_for_an_unresponsive_store() {
+        SwitchableStore switched = new SwitchableStore();
+        ClaimHandler handler = handler(switched, firstDecisions);
         for (int request = 1; request <= 8; request++) {
             ClaimKey key = new ClaimKey("studio", "desk", "key-" + request);
             handler.handle(new ClaimMessage.Asked(new ClaimRequest(new RequestId(0, request), key, "digest")));
         }
         handler.batchEnded();
-        for (ClaimVerdict verdict : List.copyOf(first)) {
-            ClaimVerdict.Granted granted = (ClaimVerdict.Granted) verdict;
+        for (ClaimVerdict decision : List.copyOf(firstDecisions)) {
+            ClaimVerdict.Granted granted = (ClaimVerdict.Granted) decision;
             handler.handle(new ClaimMessage.Answered(
                     granted.ticket(), new RecordedAnswer(201, "text/plain", Optional.empty(), "digest")));
         }
-        first.clear();
-        switched.silent = true;
+        firstDecisions.clear();
+        switched.unresponsive = true;
 
-        pass(handler);
-        ask(handler, 9);
+        advanceAndTick(handler);
+        requestClaim(handler, 9);
 
-        assertEquals(switched.callsInSilence, 1);
-        assertTrue(first.getFirst() instanceof ClaimVerdict.NotClaimed);
+        assertEquals(switched.callsWhileUnresponsive, 1);
+        assertTrue(firstDecisions.getFirst() instanceof ClaimVerdict.NotClaimed);
     }
 
     // Many narrators' booths are booked at once. Without the pace every claim would be a write of its own, and the
     // entry's share of store calls would be gone before an operator's change gets through.
     @Test
-    public void should_let_claims_share_a_commit_when_they_come_faster_than_the_pace() {
-        ClaimHandler handler = handler(store, first, 1);
+    public void should_combine_claims_in_one_commit_when_they_arrive_faster_than_the_commit_rate() {
+        ClaimHandler handler = handler(store, firstDecisions, 1);
         for (int request = 1; request <= 20; request++) {
             ClaimKey key = new ClaimKey("studio", "desk", "key-" + request);
             handler.handle(new ClaimMessage.Asked(new ClaimRequest(new RequestId(0, request), key, "digest")));
             handler.batchEnded();
         }
-        int atOnce = first.size();
+        int committedAtOnce = firstDecisions.size();
 
         for (int second = 0; second < ClaimSettings.DEFAULT.bucketsPerTeam(); second++) {
             time.advance(Duration.ofSeconds(1));
             handler.batchEnded();
         }
 
-        assertEquals(atOnce, 1);
-        assertEquals(first.size(), 20);
+        assertEquals(committedAtOnce, 1);
+        assertEquals(firstDecisions.size(), 20);
     }
 
-    private void pass(ClaimHandler handler) {
+    private void advanceAndTick(ClaimHandler handler) {
         time.advance(Duration.ofMillis(250));
         handler.handle(new ClaimMessage.Tick());
         handler.batchEnded();
     }
 
-    private static void ask(ClaimHandler handler, long request) {
+    private static void requestClaim(ClaimHandler handler, long request) {
         ClaimKey key = new ClaimKey("studio", "desk", "key-1");
         handler.handle(new ClaimMessage.Asked(new ClaimRequest(new RequestId(0, request), key, "digest")));
         handler.batchEnded();
     }
 
-    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimVerdict> verdicts) {
-        return handler(claimsIn, verdicts, 100);
+    private ClaimHandler handler(ObjectStore claimStore, List<ClaimVerdict> decisions) {
+        return handler(claimStore, decisions, 100);
     }
 
-    private ClaimHandler handler(ObjectStore claimsIn, List<ClaimVerdict> verdicts, double commitsPerSecond) {
+    private ClaimHandler handler(ObjectStore claimStore, List<ClaimVerdict> decisions, double commitsPerSecond) {
         ClaimSettings settings = ClaimSettings.DEFAULT;
         Random random = new Random(seeds++);
-        ClaimCommitter committer = new ClaimCommitter(claimsIn, settings, time, random);
+        ClaimCommitter committer = new ClaimCommitter(claimStore, settings, time, random);
         CircuitBreaker breaker = new CircuitBreaker(ClaimHandler.STORE_BREAKER, time, random);
-        return new ClaimHandler(committer, settings, breaker, time, commitsPerSecond, verdicts::add);
+        return new ClaimHandler(committer, settings, breaker, time, commitsPerSecond, decisions::add);
     }
 
     /** A store that answers until it is told to keep silent; each call then takes three seconds. */
-    private final class SwitchedStore implements ObjectStore {
-        private final InMemoryObjectStore answering = new InMemoryObjectStore();
-        private boolean silent;
-        private int callsInSilence;
+    private final class SwitchableStore implements ObjectStore {
+        private final InMemoryObjectStore delegate = new InMemoryObjectStore();
+        private boolean unresponsive;
+        private int callsWhileUnresponsive;
 
         @Override
         public Optional<StoredObject> read(ObjectKey key) throws StoreException {
-            answer();
-            return answering.read(key);
+            failIfUnresponsive();
+            return delegate.read(key);
         }
 
         @Override
         public StoreListing list(ObjectKind kind) throws StoreException {
-            answer();
-            return answering.list(kind);
+            failIfUnresponsive();
+            return delegate.list(kind);
         }
 
         @Override
         public List<StoredObject> list(ObjectKind kind, String namespace) throws StoreException {
-            answer();
-            return answering.list(kind, namespace);
+            failIfUnresponsive();
+            return delegate.list(kind, namespace);
         }
 
         @Override
         public StoredObject create(ObjectKey key, String value) throws StoreException {
-            answer();
-            return answering.create(key, value);
+            failIfUnresponsive();
+            return delegate.create(key, value);
         }
 
         @Override
         public StoredObject update(StoredObject read, String value) throws StoreException {
-            answer();
-            return answering.update(read, value);
+            failIfUnresponsive();
+            return delegate.update(read, value);
         }
 
         @Override
         public void delete(StoredObject read) throws StoreException {
-            answer();
-            answering.delete(read);
+            failIfUnresponsive();
+            delegate.delete(read);
         }
 
         @Override
         public StoreWatch watch(ObjectKind kind, String fromVersion, StoreWatchListener listener)
                 throws StoreException {
-            answer();
-            return answering.watch(kind, fromVersion, listener);
+            failIfUnresponsive();
+            return delegate.watch(kind, fromVersion, listener);
         }
 
-        private void answer() throws StoreUnavailableException {
-            if (silent) {
-                callsInSilence++;
+        private void failIfUnresponsive() throws StoreUnavailableException {
+            if (unresponsive) {
+                callsWhileUnresponsive++;
                 time.advance(Duration.ofSeconds(3));
                 throw new StoreUnavailableException("The store does not answer.", "store", "Try again later.");
             }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
@@ -26,17 +26,17 @@
     private EventLoopFixture fixture;
 
     @BeforeMethod
-    public void begin() {
+    public void createFixture() {
         fixture = new EventLoopFixture();
     }
 
     @AfterMethod
-    public void end() {
+    public void closeFixture() {
         fixture.close();
     }
 
     @Test
-    public void should_give_the_caller_the_whole_answer() {
+    public void should_deliver_the_complete_answer_to_the_caller() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
@@ -52,7 +52,7 @@
     // The engine's host loses power after two tokens. The caller goes on reading as if nothing had happened; the other
     // engine is told what was delivered, and what the dead one still sends is dropped.
     @Test
-    public void should_resume_elsewhere_with_no_token_doubled_or_missing_when_a_link_is_cut() {
+    public void should_resume_at_another_engine_without_duplicate_or_missing_tokens_when_a_link_closes() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId lost = fixture.dispatchTo(first).orElseThrow().getId();
@@ -60,7 +60,7 @@
         fixture.chunk(first, lost, "rain ");
         fixture.chunk(first, lost, "falls ");
 
-        fixture.cut(first);
+        fixture.closeLink(first);
         Dispatch resumed = fixture.dispatchTo(second).orElseThrow();
         fixture.chunk(second, lost, "LATE");
         fixture.chunk(second, resumed.getId(), "softly");
@@ -75,13 +75,13 @@
     // An engine dies in the middle of a rollout. Continued under the new version, the draft would go on in the words of
     // another model from one sentence to the next.
     @Test
-    public void should_continue_a_stream_only_under_the_version_it_began_with() {
+    public void should_resume_a_stream_only_with_the_model_version_it_started_with() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting", "drafter@1");
         fixture.generate(EventLoopFixture.TOKEN);
         AttemptId lost = fixture.dispatchTo(first).orElseThrow().getId();
         fixture.chunk(first, lost, "rain ");
         EmbeddedLink newVersion = fixture.connect("drafter-2", "drafting", "drafter@2");
-        fixture.cut(first);
+        fixture.closeLink(first);
         assertTrue(fixture.dispatchTo(newVersion).isEmpty());
 
         EmbeddedLink oldVersion = fixture.connect("drafter-3", "drafting", "drafter@1");
@@ -93,7 +93,7 @@
     // that
     // the answer is whole.
     @Test
-    public void should_not_call_an_answer_whole_when_its_checksum_does_not_hold() {
+    public void should_not_report_an_answer_as_complete_when_its_checksum_differs() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(first).orElseThrow().getId();
@@ -107,14 +107,14 @@
 
     // The link breaks after a booking was sent. It may have been made; sending it again could pay a narrator twice.
     @Test
-    public void should_never_send_a_non_idempotent_call_again_when_its_answer_was_lost() {
+    public void should_not_retry_a_non_idempotent_call_when_its_answer_was_lost() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
         EmbeddedLink second = fixture.connect("desk-2", "desk");
-        RecordingSink caller = fixture.book(Optional.empty());
+        RecordingSink caller = fixture.requestBooking(Optional.empty());
         EmbeddedLink used = first.sent().stream().anyMatch(Frame::hasDispatch) ? first : second;
         second.sent();
 
-        fixture.cut(used);
+        fixture.closeLink(used);
 
         assertEquals(caller.end(), Optional.of("unknown"));
         assertTrue(fixture.dispatchTo(first).isEmpty());
@@ -123,9 +123,9 @@
 
     // The agent states that it never started the call, because its service takes no connection.
     @Test
-    public void should_send_a_non_idempotent_call_elsewhere_when_it_never_started() {
+    public void should_retry_a_non_idempotent_call_at_another_server_when_it_never_started() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
-        RecordingSink caller = fixture.book(Optional.empty());
+        RecordingSink caller = fixture.requestBooking(Optional.empty());
         AttemptId refused = fixture.dispatchTo(first).orElseThrow().getId();
         EmbeddedLink second = fixture.connect("desk-2", "desk");
 
@@ -139,9 +139,9 @@
 
     // Two entries are asked to make the same booking. Before the store has granted the key, nothing may be sent.
     @Test
-    public void should_send_a_keyed_call_only_after_its_claim_was_granted() {
+    public void should_dispatch_a_call_with_a_key_only_after_its_claim_was_granted() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
-        fixture.book(Optional.of("key-1"));
+        fixture.requestBooking(Optional.of("key-1"));
         assertTrue(fixture.dispatchTo(studioDesk).isEmpty());
 
         fixture.eventLoop().handle(new EntryMessage.ClaimJudged(new ClaimVerdict.Granted(claim(), ticket())));
@@ -151,9 +151,9 @@
 
     // The store is down. Whether the key was used before cannot be known, so the call is refused at once and truly.
     @Test
-    public void should_refuse_a_keyed_call_as_not_run_when_the_store_is_down() {
+    public void should_refuse_a_call_with_a_key_as_not_run_when_the_store_is_unavailable() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
-        RecordingSink caller = fixture.book(Optional.of("key-1"));
+        RecordingSink caller = fixture.requestBooking(Optional.of("key-1"));
 
         fixture.eventLoop()
                 .handle(new EntryMessage.ClaimJudged(
@@ -166,7 +166,7 @@
 
     // Another team's token is used, by mistake or not. It must neither reach the engines nor learn that they exist.
     @Test
-    public void should_show_nothing_of_a_service_to_a_token_that_does_not_open_it() {
+    public void should_reveal_nothing_about_a_service_when_the_token_is_not_authorised() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
 
         RecordingSink caller = fixture.generate("sheet-house-token");
@@ -178,23 +178,23 @@
 
     // The caller's connection is full. Credit goes back only for what it has taken, which holds the engine back.
     @Test
-    public void should_return_credit_only_for_what_the_caller_has_taken() {
+    public void should_return_credit_only_for_what_the_caller_has_consumed() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
         caller.stopReading();
         fixture.chunk(engine, id, "rain ");
         fixture.chunk(engine, id, "falls");
-        assertEquals(creditIn(engine), 0);
+        assertEquals(creditSentOn(engine), 0);
 
-        caller.readAll();
+        caller.resumeReading();
         fixture.eventLoop().handle(new EntryMessage.CallerTook(fixture.lastId()));
 
-        assertEquals(creditIn(engine), 2);
+        assertEquals(creditSentOn(engine), 2);
     }
 
     @Test
-    public void should_cancel_at_the_agent_when_the_caller_goes_away() {
+    public void should_cancel_at_the_agent_when_the_caller_disconnects() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         fixture.generate(EventLoopFixture.TOKEN);
         engine.sent();
@@ -206,7 +206,7 @@
 
     // A host is to be replaced and its agent says so. New requests must go elsewhere at once.
     @Test
-    public void should_send_nothing_new_to_a_backend_server_that_said_it_leaves() {
+    public void should_send_no_new_request_to_a_backend_server_that_reported_leaving() {
         EmbeddedLink leaving = fixture.connect("drafter-1", "drafting");
         EmbeddedLink staying = fixture.connect("drafter-2", "drafting");
         fixture.receive(
@@ -226,7 +226,7 @@
     // An agent is paused by its host. Its connection stays open and silent; without probes the request would wait for
     // the caller's own time-out.
     @Test
-    public void should_move_a_request_when_its_agent_falls_silent() {
+    public void should_retry_a_request_at_another_server_when_its_agent_stops_responding() {
         EmbeddedLink paused = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         assertTrue(fixture.dispatchTo(paused).isPresent());
@@ -242,7 +242,7 @@
     }
 
     @Test
-    public void should_finish_what_it_holds_and_refuse_the_rest_when_stopping() {
+    public void should_finish_active_requests_and_refuse_new_ones_when_draining() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink held = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
@@ -258,7 +258,7 @@
         assertTrue(drained.isDone());
     }
 
-    private int creditIn(EmbeddedLink link) {
+    private int creditSentOn(EmbeddedLink link) {
         List<Frame> frames = link.sent();
         return frames.stream()
                 .filter(Frame::hasCredit)
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
@@ -62,12 +62,12 @@
     private final RandomGenerator random = new Random(1);
     private final Map<String, EmbeddedLink> links = new HashMap<>();
     private final Map<AttemptId, AttemptChecksum> checksums = new HashMap<>();
-    private final List<ClaimMessage> claims = new ArrayList<>();
+    private final List<ClaimMessage> claimMessages = new ArrayList<>();
     private final LinkNetwork network =
-            new LinkNetwork(org.aspenmoor.internal.wire.v1.Hello.getDefaultInstance(), new SilentListener());
-    private final Duty<ClaimMessage> claimDuty = new Duty<>("test-claims", 16, claims::add);
+            new LinkNetwork(org.aspenmoor.internal.wire.v1.Hello.getDefaultInstance(), new UnusedListener());
+    private final Duty<ClaimMessage> claimWorker = new Duty<>("test-claims", 16, claimMessages::add);
     private final EntryEventLoop eventLoop;
-    private long requests;
+    private long requestCount;
 
     EventLoopFixture() {
         EntrySettings settings = settings();
@@ -75,7 +75,7 @@
         ServiceQueues serviceQueues = new ServiceQueues(registry, RouterSettings.usual("almaty-1"), 16, random);
         AgentDirectory directory = new AgentDirectory(
                 network,
-                new MembershipView(MembershipBounds.of(settings.leavingBound()), time),
+                new MembershipView(MembershipTimeouts.of(settings.leavingBound()), time),
                 () -> new CircuitBreaker(BreakerSettings.DEFAULT, time, random),
                 serviceQueues);
         eventLoop = new EntryEventLoop(
@@ -83,11 +83,11 @@
                 time,
                 directory,
                 serviceQueues,
-                new Claims(claimDuty),
+                new ClaimClient(claimWorker),
                 new DocumentIndex(registry),
                 new EntryMetrics(new PrometheusRegistry()));
-        accept("drafting", "{\"name\": \"drafter\", \"version\": \"1\"}", "cue", true, "engines", "drafter");
-        accept("desk", "", "booking", false, "plainServices", "desk");
+        addService("drafting", "{\"name\": \"drafter\", \"version\": \"1\"}", "cue", true, "engines", "drafter");
+        addService("desk", "", "booking", false, "plainServices", "desk");
     }
 
     EntryEventLoop eventLoop() {
@@ -106,7 +106,7 @@
     EmbeddedLink connect(String backend, String service, String... loaded) {
         AgentRegistration registration = new AgentRegistration(
                 backend, "studio", service, "host-" + backend, "almaty-1", "127.0.0.1", 1, "incarnation-" + backend);
-        changed(ObjectKind.AGENT_REGISTRATION, backend, registration.write());
+        storeObject(ObjectKind.AGENT_REGISTRATION, backend, registration.write());
         EmbeddedLink link = EmbeddedLink.agentOf(backend);
         links.put(backend, link);
         eventLoop.handle(new EntryMessage.LinkOpened(link.link()));
@@ -133,13 +133,13 @@
         return submit(token, new CallerWork.Generation(request), Optional.empty());
     }
 
-    RecordingSink book(Optional<String> key) {
+    RecordingSink requestBooking(Optional<String> key) {
         byte[] body = "booth 3".getBytes(StandardCharsets.UTF_8);
         return submit(TOKEN, new CallerWork.PlainCall("desk", "POST", "/bookings", List.of(), body), key);
     }
 
     RequestId lastId() {
-        return new RequestId(7, requests);
+        return new RequestId(7, requestCount);
     }
 
     /** Returns the one dispatch that a backend server was sent since last asked, if any. */
@@ -193,7 +193,7 @@
                         .build());
     }
 
-    void cut(EmbeddedLink link) {
+    void closeLink(EmbeddedLink link) {
         eventLoop.handle(new EntryMessage.LinkClosed(link.link(), "connection reset"));
     }
 
@@ -201,20 +201,21 @@
         eventLoop.handle(new EntryMessage.FrameArrived(link.link(), frame));
     }
 
-    void changed(ObjectKind kind, String name, String value) {
+    void storeObject(ObjectKind kind, String name, String value) {
         eventLoop.handle(new EntryMessage.ObjectChanged(
                 new StoredObject(new ObjectKey(kind, "studio", name), String.valueOf(random.nextInt()), value)));
     }
 
     private RecordingSink submit(String token, CallerWork work, Optional<String> key) {
-        requests++;
+        requestCount++;
         RecordingSink sink = new RecordingSink();
         eventLoop.handle(new EntryMessage.RequestCame(new IncomingRequest(lastId(), token, work, key, sink)));
         return sink;
     }
 
-    private void accept(String service, String model, String kind, boolean idempotent, String list, String backend) {
-        changed(
+    private void addService(
+            String service, String model, String kind, boolean idempotent, String list, String backend) {
+        storeObject(
                 ObjectKind.DOCUMENT,
                 service,
                 DOCUMENT.formatted(service, hash(TOKEN), model, kind, idempotent, list, backend, backend));
@@ -247,7 +248,7 @@
                 List.of());
     }
 
-    private static final class SilentListener implements LinkListener {
+    private static final class UnusedListener implements LinkListener {
         @Override
         public void opened(org.aspenmoor.internal.link.Link link) {
             throw new AssertionError("no process listens in this test");
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/RecordingSink.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/RecordingSink.java
@@ -10,17 +10,17 @@
     private final List<String> pieces = new ArrayList<>();
     private Optional<String> end = Optional.empty();
     private Optional<Outcome.NotRun> refusal = Optional.empty();
-    private boolean reads = true;
-    private int taken;
+    private boolean reading = true;
+    private int consumed;
 
     /** Stops reading, as a caller with a full connection does. */
     void stopReading() {
-        reads = false;
+        reading = false;
     }
 
-    void readAll() {
-        reads = true;
-        taken = pieces.size();
+    void resumeReading() {
+        reading = true;
+        consumed = pieces.size();
     }
 
     String text() {
@@ -36,43 +36,43 @@
     }
 
     @Override
-    public void piece(String text) {
+    public void onText(String text) {
         pieces.add(text);
-        if (reads) {
-            taken++;
+        if (reading) {
+            consumed++;
         }
     }
 
     @Override
-    public void generationDone(String finishReason, int promptTokens, int outputTokens) {
+    public void onGenerationComplete(String finishReason, int promptTokens, int outputTokens) {
         end = Optional.of("whole");
     }
 
     @Override
-    public void plainAnswer(PlainAnswer answer) {
+    public void onPlainAnswer(PlainAnswer answer) {
         end = Optional.of("status " + answer.status());
     }
 
     @Override
-    public void refused(Outcome.NotRun newRefusal) {
+    public void onRefused(Outcome.NotRun newRefusal) {
         refusal = Optional.of(newRefusal);
         end = Optional.of("not run");
     }
 
     @Override
-    public void unknown(Outcome.Unknown unknown) {
+    public void onUnknown(Outcome.Unknown unknown) {
         end = Optional.of("unknown");
     }
 
     @Override
-    public int takeTaken() {
-        int count = taken;
-        taken = 0;
+    public int takeConsumedPieces() {
+        int count = consumed;
+        consumed = 0;
         return count;
     }
 
     @Override
-    public boolean isHeldByCaller() {
-        return !reads;
+    public boolean isWaitingForCaller() {
+        return !reading;
     }
 }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/planner/PlanDraftTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/planner/PlanDrafterTest.java
@@ -17,17 +17,17 @@
 import org.aspenmoor.internal.time.ManualTimeSource;
 import org.testng.annotations.Test;
 
-public class PlanDraftTest {
+public class PlanDrafterTest {
     private static final EngineAssignment OLD = assignment("4");
     private static final EngineAssignment NEW = assignment("5");
-    private static final Map<String, EngineAssignment> BEFORE = Map.of("drafter-1", OLD, "drafter-2", OLD);
+    private static final Map<String, EngineAssignment> PREVIOUS = Map.of("drafter-1", OLD, "drafter-2", OLD);
 
-    private final PlanDraft draft = new PlanDraft(new LoadBudget(new ManualTimeSource(), 1, 10));
+    private final PlanDrafter drafter = new PlanDrafter(new LoadBudget(new ManualTimeSource(), 1, 10));
 
     @Test
-    public void should_give_a_new_version_to_one_engine_first() {
+    public void should_assign_a_new_version_to_one_engine_first() {
         Map<String, EngineAssignment> next =
-                draft.draft(document(), List.of(engine("drafter-1", "4", 0), engine("drafter-2", "4", 3)), BEFORE);
+                drafter.draft(document(), List.of(engine("drafter-1", "4", 0), engine("drafter-2", "4", 3)), PREVIOUS);
 
         assertEquals(next, Map.of("drafter-1", NEW, "drafter-2", OLD));
     }
@@ -36,21 +36,21 @@
     // the
     // other one has become the less busy. If it were taken too, both would be away at once and callers be refused.
     @Test
-    public void should_take_no_second_engine_while_the_first_has_not_loaded() {
+    public void should_change_no_second_engine_while_the_first_has_not_loaded() {
         Map<String, EngineAssignment> first = Map.of("drafter-1", NEW, "drafter-2", OLD);
 
         Map<String, EngineAssignment> next =
-                draft.draft(document(), List.of(engine("drafter-1", "4", 3), engine("drafter-2", "4", 0)), first);
+                drafter.draft(document(), List.of(engine("drafter-1", "4", 3), engine("drafter-2", "4", 0)), first);
 
         assertEquals(next, first);
     }
 
     @Test
-    public void should_take_the_second_engine_once_the_first_holds_the_version() {
+    public void should_change_the_second_engine_when_the_first_has_loaded_the_version() {
         Map<String, EngineAssignment> first = Map.of("drafter-1", NEW, "drafter-2", OLD);
 
         Map<String, EngineAssignment> next =
-                draft.draft(document(), List.of(engine("drafter-1", "5", 0), engine("drafter-2", "4", 0)), first);
+                drafter.draft(document(), List.of(engine("drafter-1", "5", 0), engine("drafter-2", "4", 0)), first);
 
         assertEquals(next, Map.of("drafter-1", NEW, "drafter-2", NEW));
     }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
@@ -45,9 +45,9 @@
     public void should_stream_pieces_as_events_and_end_with_the_mark() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
         CallerSink sink = request().sink();
-        sink.piece("rain ");
-        sink.piece("falls");
-        sink.generationDone("stop", 3, 2);
+        sink.onText("rain ");
+        sink.onText("falls");
+        sink.onGenerationComplete("stop", 3, 2);
 
         HttpResponse<String> received = answer.get();
 
@@ -66,8 +66,8 @@
         CompletableFuture<HttpResponse<InputStream>> answer =
                 server.client().sendAsync(call, BodyHandlers.ofInputStream());
         CallerSink sink = request().sink();
-        sink.piece("rain ");
-        sink.unknown(new Outcome.Unknown("All attempts failed."));
+        sink.onText("rain ");
+        sink.onUnknown(new Outcome.Unknown("All attempts failed."));
 
         StringBuilder seen = new StringBuilder();
         boolean broken = readAll(answer.get().body(), seen);
@@ -81,7 +81,7 @@
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
         request()
                 .sink()
-                .refused(new Outcome.NotRun(RefusalReason.OVERLOADED, Duration.ofMillis(1200), "The queue is full."));
+                .onRefused(new Outcome.NotRun(RefusalReason.OVERLOADED, Duration.ofMillis(1200), "The queue is full."));
 
         HttpResponse<String> refused = answer.get();
 
@@ -121,7 +121,7 @@
                 .build();
         CompletableFuture<HttpResponse<String>> answer = server.client().sendAsync(call, BodyHandlers.ofString());
         IncomingRequest request = request();
-        request.sink().plainAnswer(new PlainAnswer(201, List.of(header("X-Booth", "3")), bytes("booked")));
+        request.sink().onPlainAnswer(new PlainAnswer(201, List.of(header("X-Booth", "3")), bytes("booked")));
 
         CallerWork.PlainCall passed = (CallerWork.PlainCall) request.work();
         assertEquals(passed.service(), "studio-desk");
@@ -153,7 +153,7 @@
         CompletableFuture<HttpResponse<InputStream>> answer =
                 server.client().sendAsync(call, BodyHandlers.ofInputStream());
         IncomingRequest request = request();
-        request.sink().piece("rain ");
+        request.sink().onText("rain ");
         InputStream body = answer.get().body();
         assertTrue(body.read() >= 0);
 
