--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
@@ -23,7 +23,7 @@
 import org.aspenmoor.internal.wire.v1.Started;
 import org.jboss.logging.Logger;
 
-/** The agent's one place of decision: takes dispatches, runs them at the backend server, sends the answers back. */
+/** The event loop of the agent: accepts dispatches, runs them at the backend server and sends the answers back. */
 final class AgentEventLoop implements DutyHandler<AgentMessage> {
     private static final Logger LOG = Logger.getLogger("agent");
     private static final int RETRY_AFTER_MILLISECONDS = 1000;
@@ -61,7 +61,7 @@
     @Override
     public void handle(AgentMessage message) {
         if (pauseGuard.detectPause()) {
-            LOG.warn("agent: the process has stood still, no new work until its right to the engine is proved");
+            LOG.warn("agent: the process was paused; refusing new work until its ownership of the engine is confirmed");
             setServingAllowed(false);
         }
         switch (message) {
@@ -87,14 +87,14 @@
     private void handleServingAllowed(AgentMessage.ServingAllowed serving) {
         boolean allowed = serving.allowed() && pauseGuard.isPermissionCurrent(serving.knownPauses());
         setServingAllowed(allowed);
-        // The count must be right before the order thread trusts it.
+        // The count must be current before the order thread relies on it.
         runningChanged.accept(running.size());
         serving.acknowledge().run();
     }
 
     private void setServingAllowed(boolean allowed) {
         servingAllowed = allowed;
-        loadReports.servingAllowed(allowed).ifPresent(this::sendToAll);
+        loadReports.setServingAllowed(allowed).ifPresent(this::sendToAll);
     }
 
     private void linkOpened(Link link) {
@@ -103,7 +103,8 @@
         leavingReason.ifPresent(reason -> link.send(leavingFrame(reason)));
     }
 
-    // Nobody is left to take the answers: the entry is gone, or it has given this agent up and tries elsewhere.
+    // Nobody receives the answers any more: the entry has terminated, or it has closed the link and retries at another
+    // agent.
     private void linkClosed(Link link) {
         links.remove(link);
         running.values().removeIf(attempt -> {
@@ -123,7 +124,7 @@
             case CREDIT -> addCredit(frame.getCredit());
             case CANCEL -> cancel(AttemptKey.of(frame.getCancel().getId()));
             case PROBE -> answerProbe(link, frame.getProbe());
-            default -> LOG.debugf("agent: frame %s is not for an agent", frame.getBodyCase());
+            default -> LOG.debugf("agent: ignoring frame %s, which agents do not handle", frame.getBodyCase());
         }
     }
 
@@ -147,22 +148,26 @@
             return Optional.of(refusal(RefusalReason.STOPPING, RETRY_AFTER_MILLISECONDS, leavingReason.get()));
         }
         if (!servingAllowed) {
-            return Optional.of(
-                    refusal(RefusalReason.NO_BACKEND, RETRY_AFTER_MILLISECONDS, "the engine is to be changed"));
+            return Optional.of(refusal(
+                    RefusalReason.NO_BACKEND,
+                    RETRY_AFTER_MILLISECONDS,
+                    "the agent is not serving: the engine is being changed, or its ownership is not confirmed"));
         }
         if (dispatch.getDeadlineMilliseconds() == 0) {
             return Optional.of(refusal(RefusalReason.CANNOT_FINISH_IN_TIME, 0, "the deadline has passed"));
         }
-        // A doubled dispatch would run the request twice under one name.
+        // A duplicate dispatch would run the request twice under the same attempt id.
         if (running.containsKey(key)) {
-            return Optional.of(refusal(RefusalReason.MALFORMED, 0, "the attempt runs already"));
+            return Optional.of(refusal(RefusalReason.MALFORMED, 0, "the attempt is already running"));
         }
         long attemptsOfLink = running.values().stream()
                 .filter(attempt -> attempt.link() == link)
                 .count();
         if (attemptsOfLink >= settings.requestCredit()) {
-            return Optional.of(
-                    refusal(RefusalReason.OVERLOADED, BUSY_RETRY_AFTER_MILLISECONDS, "the link's credit is used up"));
+            return Optional.of(refusal(
+                    RefusalReason.OVERLOADED,
+                    BUSY_RETRY_AFTER_MILLISECONDS,
+                    "the request credit of the link is used up"));
         }
         return Optional.empty();
     }
@@ -257,7 +262,7 @@
         leavingReason = Optional.of(message.reason());
         drained = Optional.of(message.drained());
         sendToAll(leavingFrame(message.reason()));
-        LOG.infof("agent: draining, %d requests run", running.size());
+        LOG.infof("agent: draining, %d requests running", running.size());
         completeDrainIfIdle();
     }
 
@@ -282,7 +287,7 @@
     private void logImbalance() {
         dispatchCounts
                 .imbalance(running.size())
-                .ifPresent(imbalance -> LOG.errorf("agent: account broken, %s", imbalance));
+                .ifPresent(imbalance -> LOG.errorf("agent: dispatch counts are inconsistent: %s", imbalance));
     }
 
     private ObjectNode dump() {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMessage.java
@@ -8,41 +8,41 @@
 import org.aspenmoor.internal.wire.v1.Frame;
 import org.aspenmoor.internal.wire.v1.Header;
 
-/** What the agent's event loop hears. */
+/** Messages processed by the event loop of the agent. */
 sealed interface AgentMessage {
-    /** An entry has connected. */
+    /** An entry has opened a link. */
     record LinkOpened(Link link) implements AgentMessage {}
 
-    /** An entry is gone. */
+    /** The link to an entry has closed. */
     record LinkClosed(Link link) implements AgentMessage {}
 
-    /** An entry sent a frame. */
+    /** A frame was received from an entry. */
     record FrameArrived(Link link, Frame frame) implements AgentMessage {}
 
-    /** The backend server has begun to answer. */
+    /** The backend server has started to answer. */
     record AnswerStarted(AttemptKey key, int status, List<Header> headers) implements AgentMessage {}
 
-    /** The backend server gave pieces of an answer. */
+    /** Pieces of an answer were received from the backend server. */
     record PiecesArrived(AttemptKey key, List<AnswerPiece> pieces) implements AgentMessage {}
 
-    /** The backend server has ended an answer. */
+    /** The call to the backend server has ended. */
     record AnswerEnded(AttemptKey key, CallEnd end) implements AgentMessage {}
 
-    /** The backend server said how it is. */
+    /** The status of the backend server was read. */
     record StatusRead(EngineStatus status) implements AgentMessage {}
 
-    /** The backend server did not say how it is. */
+    /** The status of the backend server could not be read. */
     record StatusMissing(String cause) implements AgentMessage {}
 
-    /** The order thread lets new work in or not; the event loop says once it has heard. */
+    /** The order thread permits or forbids new work; {@code acknowledge} is run once the change has taken effect. */
     record ServingAllowed(boolean allowed, long knownPauses, Runnable acknowledge) implements AgentMessage {}
 
-    /** Time has passed. */
+    /** Triggers periodic checks. */
     record Tick() implements AgentMessage {}
 
-    /** The process is to stop once nothing runs any more. */
+    /** Requests a drain; the future completes once no attempt is running. */
     record DrainAsked(String reason, CompletableFuture<Void> drained) implements AgentMessage {}
 
-    /** Somebody wants to see the state. */
+    /** Requests a dump of the state. */
     record DumpAsked(CompletableFuture<ObjectNode> answer) implements AgentMessage {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
@@ -4,7 +4,7 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
-/** What an agent counts for operators. */
+/** The metrics of an agent. */
 public final class AgentMetrics {
     private final Counter dispatches;
     private final Gauge running;
@@ -12,12 +12,12 @@
     public AgentMetrics(PrometheusRegistry registry) {
         this.dispatches = Counter.builder()
                 .name("aspenmoor_agent_dispatches_total")
-                .help("Dispatches by what became of them: refused, complete, failed, cancelled.")
+                .help("Dispatches by outcome: refused, complete, failed, cancelled.")
                 .labelNames("end")
                 .register(registry);
         this.running = Gauge.builder()
                 .name("aspenmoor_agent_running")
-                .help("Attempts that run at the backend server now.")
+                .help("Attempts currently running at the backend server.")
                 .register(registry);
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
@@ -26,7 +26,7 @@
 import org.aspenmoor.internal.wire.v1.Hello;
 import org.jboss.logging.Logger;
 
-/** A running agent: its eventLoop, its links, its calls to the backend server, and its registration. */
+/** A running agent: its event loop, its links, its calls to the backend server, and its registration. */
 public final class AgentProcess implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("agent");
     private static final int RING_SIZE = 8192;
@@ -95,17 +95,17 @@
         registrationWorker = new RegistrationWorker(store, registrationFor(port), random);
         registrationWorker.start();
         LOG.infof(
-                "agent: %s beside %s, link port %d",
+                "agent: %s started for backend server %s, link port %d",
                 settings.process().name(), settings.backend().name(), port);
         return port;
     }
 
-    /** Says whether the agent takes work. */
+    /** Returns whether the agent accepts work. */
     public boolean isReady() {
         return !stopping;
     }
 
-    /** Asks for the state. */
+    /** Requests a dump of the state. */
     public CompletableFuture<ObjectNode> dump() {
         CompletableFuture<ObjectNode> answer = new CompletableFuture<>();
         eventLoop.put(new AgentMessage.DumpAsked(answer));
@@ -119,7 +119,10 @@
         });
     }
 
-    /** Begins a graceful shutdown: entries are told, running requests end; complete once none runs. */
+    /**
+     * Starts a graceful shutdown: entries are notified and running requests finish; the future completes once none is
+     * running.
+     */
     public CompletableFuture<Void> drain() {
         stopping = true;
         CompletableFuture<Void> drained = new CompletableFuture<>();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerDecoder.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** Reads a backend server's answer into pieces. */
+/** Decodes the answer of a backend server into pieces. */
 interface AnswerDecoder {
-    /** Reads what has arrived. */
+    /** Decodes the received bytes. */
     List<AnswerPiece> decode(List<ByteBuffer> buffers) throws AnswerMalformedException;
 
-    /** Judges the answer once its connection has ended in order. */
+    /** Returns how the answer ended, once its connection has ended normally. */
     CallEnd end();
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerPiece.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AnswerPiece.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.agent;
 
 /**
- * A piece of an answer as the backend server gave it.
+ * A piece of an answer, as received from the backend server.
  *
- * @param data its bytes
- * @param tokens how many tokens it holds; 0 for plain services
+ * @param data the bytes
+ * @param tokens the number of tokens in the piece; 0 for plain services
  */
 record AnswerPiece(byte[] data, int tokens) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AttemptKey.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AttemptKey.java
@@ -5,10 +5,10 @@
 import org.aspenmoor.internal.wire.v1.AttemptId;
 
 /**
- * One attempt of one request.
+ * Identifies one attempt of one request.
  *
- * @param request the request
- * @param attempt counted from 1
+ * @param request the request id
+ * @param attempt the attempt number, starting at 1
  */
 record AttemptKey(RequestId request, int attempt) {
     static AttemptKey of(AttemptId id) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/BackendCall.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/BackendCall.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.agent;
 
-/** A running call to the backend server; its events go to the event loop. */
+/** A running call to the backend server. Its events are sent to the event loop. */
 interface BackendCall {
-    /** Asks for more of the answer; until then the backend server is held back by its own connection. */
+    /** Requests more of the answer. Until then, flow control on the connection holds the backend server back. */
     void requestMore();
 
-    /** Ends the call; the backend server sees its connection closed and stops. */
+    /** Cancels the call. The backend server sees its connection closed and stops. */
     void cancel();
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DeferredCaller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DeferredCaller.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import org.aspenmoor.internal.wire.v1.Dispatch;
 
-/** Joins the event loop, which starts calls, and the caller, which tells the event loop of them: each needs the other first. */
+/**
+ * Resolves a circular dependency: the event loop starts calls through a caller, and the caller sends events to the
+ * event loop.
+ */
 final class DeferredCaller implements BackendCaller {
     private Optional<BackendCaller> caller = Optional.empty();
 
@@ -13,7 +16,7 @@
 
     @Override
     public BackendCall start(AttemptKey key, Dispatch dispatch) {
-        return caller.orElseThrow(() -> new IllegalStateException("the event loop runs before its caller is set"))
+        return caller.orElseThrow(() -> new IllegalStateException("a call was started before setCaller"))
                 .start(key, dispatch);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DispatchCounts.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/DispatchCounts.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Counts the dispatches an agent received by what became of them. */
+/** Counts the dispatches received by an agent, by their outcome. */
 final class DispatchCounts {
     private final AgentMetrics metrics;
     private long received;
@@ -43,19 +43,23 @@
         metrics.recordEnd("cancelled");
     }
 
-    /** Checks {@code received = refused + complete + failed + cancelled + running}. */
+    /**
+     * Checks {@code received = refused + complete + failed + cancelled + running}; returns a description of any
+     * difference.
+     */
     Optional<String> imbalance(long running) {
         long sum = refused + complete + failed + cancelled + running;
         if (received == sum) {
             return Optional.empty();
         }
-        return Optional.of("dispatches received " + received + " but accounted for " + sum);
+        return Optional.of(
+                "received " + received + " dispatches, but the outcomes and running attempts add up to " + sum);
     }
 
     Totals totals() {
         return new Totals(received, refused, complete, failed, cancelled);
     }
 
-    /** Counts at one moment. */
+    /** A snapshot of the counts. */
     record Totals(long received, long refused, long complete, long failed, long cancelled) {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventLoopDrain.java
@@ -8,15 +8,18 @@
 import org.aspenmoor.internal.authority.StreamDrain;
 
 /**
- * What the event loop's thread and the order thread have to know of each other.
+ * The state shared by the event loop thread and the order thread: the drain, the number of running attempts, and
+ * pauses.
  *
- * <p>The event loop may have a dispatch before it in its ring when a drain begins. If the order thread looked at the count
- * before the event loop has seen the drain, it would find nothing running, give its order, and the stream let in a moment later
- * would be cut. So until the event loop has acknowledged the drain, at least one stream counts as running.
+ * <p>The event loop may have a dispatch ahead of a drain request in its ring buffer. If the order thread relied on the
+ * count before the event loop has processed the drain, it would find nothing running and send its order, which would
+ * cut off the stream that is accepted a moment later. Therefore at least one attempt counts as running until the event
+ * loop has acknowledged the drain.
  *
- * <p>A process that was paused may have been replaced meanwhile, and its ring may hold dispatches from before. The event loop
- * notices the pause before any work and lets nothing in until the order thread has proved that the engine is still its
- * own. A permission that the order thread gave without knowing of the pause does not count.
+ * <p>A process that was paused may have been replaced in the meantime, and its ring buffer may hold dispatches from
+ * before. The event loop detects the pause before it processes any message and refuses new work until the order thread
+ * has confirmed that this process still owns the engine. A permission that the order thread gave without knowing of the
+ * pause is ignored.
  */
 final class EventLoopDrain implements StreamDrain, PauseGuard {
     private final AtomicInteger running = new AtomicInteger();
@@ -32,11 +35,11 @@
         this.pauseWatch = pauseWatch;
     }
 
-    /** Called by the order thread before each step; says whether the process has stood still since the last one. */
+    /** Called by the order thread before each step; returns whether the process was paused since the last call. */
     boolean checkForPause() {
-        long now = pauseCount.get();
-        boolean newPause = now != pausesSeenByOrders;
-        pausesSeenByOrders = now;
+        long current = pauseCount.get();
+        boolean newPause = current != pausesSeenByOrders;
+        pausesSeenByOrders = current;
         return newPause;
     }
 
@@ -67,7 +70,7 @@
             return false;
         }
         pauseCount.incrementAndGet();
-        stopServing();
+        markDrained();
         return true;
     }
 
@@ -76,16 +79,16 @@
         if (knownPauses == pauseCount.get()) {
             return true;
         }
-        stopServing();
+        markDrained();
         return false;
     }
 
-    /** Takes the event loop's count. */
+    /** Updates the number of running attempts; called by the event loop. */
     void runningChanged(int count) {
         running.set(count);
     }
 
-    private void stopServing() {
+    private void markDrained() {
         drainRequested.set(true);
         drainAcknowledged.set(true);
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventStreamDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/EventStreamDecoder.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads a generation's server-sent events into pieces of text. */
+/** Decodes the server-sent events of a generation into pieces of text. */
 final class EventStreamDecoder implements AnswerDecoder {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String DATA_PREFIX = "data:";
@@ -36,7 +36,7 @@
         if (ended) {
             return new CallEnd.Complete(finishReason);
         }
-        return new CallEnd.Failed("the engine's stream ended before its end mark");
+        return new CallEnd.Failed("the stream of the engine ended without its end marker");
     }
 
     private void decodeByte(byte next, List<AnswerPiece> pieces) throws AnswerMalformedException {
@@ -44,7 +44,7 @@
             line.write(next);
             if (line.size() > MAX_LINE_BYTES) {
                 throw new AnswerMalformedException(
-                        "The engine sent an event longer than " + MAX_LINE_BYTES + " bytes.");
+                        "The engine sent an event line longer than " + MAX_LINE_BYTES + " bytes.");
             }
             return;
         }
@@ -67,7 +67,7 @@
             }
             decodeChoice(root.path("choices").path(0), pieces);
         } catch (JsonProcessingException malformed) {
-            throw new AnswerMalformedException("The engine sent an event that is no JSON.");
+            throw new AnswerMalformedException("The engine sent an event that is not valid JSON.");
         }
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
@@ -16,7 +16,7 @@
 import org.aspenmoor.internal.store.client.DiscardingSubscriber;
 import org.aspenmoor.internal.wire.v1.Header;
 
-/** One call over HTTP; pulls the answer only as fast as the event loop asks for it. */
+/** One call over HTTP. Reads the answer only as fast as the event loop requests it. */
 final class HttpBackendCall implements BackendCall, Flow.Subscriber<List<ByteBuffer>> {
     private static final int OK = 200;
     private static final Set<String> HOP_BY_HOP =
@@ -102,7 +102,7 @@
 
     @Override
     public void onError(Throwable failure) {
-        end(new CallEnd.Failed("the connection to the backend server broke: " + failure.getMessage()));
+        end(new CallEnd.Failed("the connection to the backend server failed: " + failure.getMessage()));
     }
 
     @Override
@@ -124,9 +124,9 @@
         Throwable cause = failure.getCause() == null ? failure : failure.getCause();
         String detail = cause.getClass().getSimpleName() + " " + cause.getMessage();
         if (cause instanceof ConnectException) {
-            end(new CallEnd.NeverStarted("the backend server takes no connection: " + detail));
+            end(new CallEnd.NeverStarted("cannot connect to the backend server: " + detail));
         } else {
-            end(new CallEnd.Failed("the call to the backend server broke: " + detail));
+            end(new CallEnd.Failed("the call to the backend server failed: " + detail));
         }
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
@@ -17,12 +17,14 @@
 import org.aspenmoor.internal.wire.v1.Header;
 import org.aspenmoor.internal.wire.v1.PlainCall;
 
-/** Calls the backend server over HTTP: the completions protocol for engines, pass-through for plain services. */
+/**
+ * Calls the backend server over HTTP, with the completions protocol for engines and pass-through for plain services.
+ */
 final class HttpBackendCaller implements BackendCaller {
-    /** Names the request to the backend server, so that its log and ours can be read together. */
+    /** Carries the request id to the backend server, so that its log can be correlated with those of this system. */
     static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-    /** Names the attempt to the backend server. */
+    /** Carries the attempt number to the backend server. */
     static final String ATTEMPT_HEADER = "X-Attempt";
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -66,7 +68,7 @@
             call.start(client, request);
         } catch (IOException malformed) {
             eventLoop.put(new AgentMessage.AnswerEnded(
-                    key, new CallEnd.NeverStarted("the request's JSON is malformed: " + malformed.getMessage())));
+                    key, new CallEnd.NeverStarted("the JSON of the request is malformed: " + malformed.getMessage())));
         }
         return call;
     }
@@ -88,7 +90,8 @@
 
     private BackendCall rejectEmptyDispatch(AttemptKey key) {
         HttpBackendCall call = new HttpBackendCall(key, eventLoop, new PlainAnswerDecoder(), false);
-        eventLoop.put(new AgentMessage.AnswerEnded(key, new CallEnd.NeverStarted("the dispatch holds no work")));
+        eventLoop.put(new AgentMessage.AnswerEnded(
+                key, new CallEnd.NeverStarted("the dispatch contains neither a generation nor a plain call")));
         return call;
     }
 
@@ -101,7 +104,7 @@
     private static byte[] engineRequestBody(Generation generation, double weight) throws IOException {
         JsonNode parsed = MAPPER.readTree(generation.getRequest().toByteArray());
         if (!(parsed instanceof ObjectNode request)) {
-            throw new IOException("not an object");
+            throw new IOException("expected a JSON object");
         }
         request.put("stream", true);
         request.put("priority", weight);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpEngineControl.java
@@ -25,7 +25,7 @@
 import org.aspenmoor.internal.engine.NumberedOrder;
 import org.aspenmoor.internal.engine.OrderState;
 
-/** The control side of the backend server over HTTP. */
+/** The control interface of the backend server over HTTP. */
 final class HttpEngineControl implements EngineControl {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
@@ -48,12 +48,12 @@
                 .build();
         HttpResponse<String> answer = send(request);
         if (answer.statusCode() != OK) {
-            throw unreachable("answered a status call with " + answer.statusCode());
+            throw unreachable("answered the status request with status " + answer.statusCode());
         }
         try {
             return readStatus(MAPPER.readTree(answer.body()));
         } catch (IOException | IllegalArgumentException malformed) {
-            throw unreachable("gave a malformed status: " + malformed.getMessage());
+            throw unreachable("sent a malformed status: " + malformed.getMessage());
         }
     }
 
@@ -72,7 +72,7 @@
                     "Read the role plan again; another holder may have a higher term.");
         }
         if (answer.statusCode() != ACCEPTED) {
-            throw unreachable("answered an order with " + answer.statusCode());
+            throw unreachable("answered an order with status " + answer.statusCode());
         }
     }
 
@@ -80,16 +80,16 @@
         try {
             return client.send(request, BodyHandlers.ofString());
         } catch (IOException failure) {
-            throw unreachable("gave no answer: " + failure.getMessage());
+            throw unreachable("did not answer: " + failure.getMessage());
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw unreachable("was not waited for, the process is stopping");
+            throw unreachable("was not awaited, because the process is stopping");
         }
     }
 
     private EngineUnreachableException unreachable(String problem) {
         return new EngineUnreachableException(
-                "The backend server " + problem + ".", backend.toString(), "Look at the backend server's own log.");
+                "The backend server " + problem + ".", backend.toString(), "Check the log of the backend server.");
     }
 
     private static EngineStatus readStatus(JsonNode status) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReportFilter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/LoadReportFilter.java
@@ -11,11 +11,11 @@
 import org.aspenmoor.internal.wire.v1.LoadReport;
 
 /**
- * Decides which of the backend server's load reports are worth sending.
+ * Decides which load reports of the backend server are sent.
  *
- * <p>Reports at a fixed rate cost every entry the same for an idle engine as for a busy one, and that cost grows with
- * the product of entries and engines. A report goes out at once when something changed that alters a routing decision,
- * and otherwise only often enough to show that the backend server is still watched.
+ * <p>Reports at a fixed rate would cost every entry the same for an idle engine as for a busy one, and that cost grows
+ * with the product of the numbers of entries and engines. A report is sent at once when a change affects routing
+ * decisions, and otherwise only often enough to show that the backend server is still monitored.
  */
 final class LoadReportFilter {
     private static final Duration MAX_REPORT_INTERVAL = Duration.ofSeconds(10);
@@ -35,7 +35,7 @@
         this.time = time;
     }
 
-    /** Takes a status; returns the frame to send where it is worth one. */
+    /** Processes a status; returns the frame to send, if any. */
     Optional<Frame> statusRead(EngineStatus status) {
         if (!isWorthSending(status)) {
             return Optional.empty();
@@ -43,13 +43,13 @@
         return recordReport(status, status.ready() && servingAllowed);
     }
 
-    /** Takes whether the agent lets new work in; while it does not, the backend server is reported as not ready. */
-    Optional<Frame> servingAllowed(boolean newServingAllowed) {
+    /** Sets whether the agent accepts new work; while it does not, the backend server is reported as not ready. */
+    Optional<Frame> setServingAllowed(boolean newServingAllowed) {
         servingAllowed = newServingAllowed;
         return sentStatus.flatMap(status -> recordReport(status, status.ready() && servingAllowed));
     }
 
-    /** Takes that the backend server does not answer: it is reported as not ready, once. */
+    /** Handles a missing status: the backend server is reported as not ready, once. */
     Optional<Frame> statusMissing(String cause) {
         if (sentStatus.isEmpty() || !sentReady) {
             return Optional.empty();
@@ -57,7 +57,7 @@
         return recordReport(sentStatus.get(), false);
     }
 
-    /** Returns the last frame sent, for an entry that has just connected. */
+    /** Returns the last frame sent, for entries that have just connected. */
     Optional<Frame> latest() {
         return latest;
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderWorker.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/OrderWorker.java
@@ -24,7 +24,9 @@
 import org.aspenmoor.internal.time.TimeSource;
 import org.jboss.logging.Logger;
 
-/** The one thread that gives orders to this agent's engine, following the role plan. */
+/**
+ * The thread that sends orders to the engine of this agent according to the role plan. No other thread sends orders.
+ */
 final class OrderWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("orders");
     private static final Duration STEP_INTERVAL = Duration.ofMillis(250);
@@ -39,7 +41,7 @@
     private final RandomGenerator random;
     private final CountDownLatch closed = new CountDownLatch(1);
     private final Thread thread;
-    private volatile String lastStep = "not begun";
+    private volatile String lastStep = "not started";
     private Optional<Long> planReadAt = Optional.empty();
 
     OrderWorker(
@@ -73,8 +75,8 @@
         closed.countDown();
     }
 
-    // An agent that has just started does not know whether its predecessor's order is on its way, so it lets no work in
-    // until it has read the engine's record.
+    // A newly started agent does not know whether an order of its predecessor is still in flight, so it refuses work
+    // until it has read the engine record.
     private void run() {
         drain.beginDrain();
         try {
@@ -95,7 +97,7 @@
             SlotIdentity slot = slotIdentity(engineChecksFencingNumbers());
             return Optional.of(new OrderExecutor(slot, store, control, drain, SlotTerms.DEFAULT, time, random));
         } catch (StoreException unavailable) {
-            recordStep("waits for the store: " + unavailable.problem());
+            recordStep("waiting for the store: " + unavailable.problem());
             return Optional.empty();
         }
     }
@@ -129,11 +131,11 @@
                 executor.offer(plan.get());
             }
         } catch (StoreException unavailable) {
-            LOG.debugf("orders: the plan in force stays, %s", unavailable.problem());
+            LOG.debugf("orders: could not read the role plan, keeping the current one: %s", unavailable.problem());
         }
     }
 
-    // Not knowing is treated as an engine that ignores the numbers: that way only waits longer.
+    // If the document is unknown, the engine is assumed to ignore fencing numbers, which only makes the wait longer.
     private boolean engineChecksFencingNumbers() throws StoreException {
         BackendSettings backend = settings.backend();
         Optional<StoredObject> document =
@@ -173,21 +175,22 @@
     private static String describe(ExecutorStep step) {
         return switch (step) {
             case ExecutorStep.Idle ignored -> "nothing to do";
-            case ExecutorStep.TookOver takenOver -> "took the engine over, slot term " + takenOver.slotTerm();
-            case ExecutorStep.Replaced ignored -> "replaced by another agent, gives no orders any more";
-            case ExecutorStep.Draining draining -> "drains for an order";
-            case ExecutorStep.Waiting waiting -> "waits for " + waiting.reason();
+            case ExecutorStep.TookOver takenOver -> "took over the engine, slot term " + takenOver.slotTerm();
+            case ExecutorStep.Replaced ignored -> "replaced by another agent, sends no more orders";
+            case ExecutorStep.Draining draining -> "draining for an order";
+            case ExecutorStep.Waiting waiting -> "waiting for " + waiting.reason();
             case ExecutorStep.Ordered ordered ->
-                "ordered " + ordered.order().order() + " as " + ordered.order().orderId() + " under fencing number "
+                "sent order " + ordered.order().order() + " with id "
+                        + ordered.order().orderId() + " and fencing number "
                         + ordered.order().fencingNumber();
-            case ExecutorStep.Running running -> "order " + running.orderId() + " runs";
-            case ExecutorStep.Settling settling -> "settles order " + settling.orderId();
-            case ExecutorStep.Settled settled -> "order " + settled.orderId() + " ended, " + settled.state();
-            case ExecutorStep.PlanBehind behind -> "waits for a plan newer than the record";
+            case ExecutorStep.Running running -> "order " + running.orderId() + " is running";
+            case ExecutorStep.Settling settling -> "determining the outcome of order " + settling.orderId();
+            case ExecutorStep.Settled settled -> "order " + settled.orderId() + " ended as " + settled.state();
+            case ExecutorStep.PlanBehind behind -> "waiting for a plan newer than the engine record";
             case ExecutorStep.StoreTrouble storeFailure ->
-                "waits for the store: " + storeFailure.cause().problem();
+                "waiting for the store: " + storeFailure.cause().problem();
             case ExecutorStep.EngineSilent unresponsive ->
-                "waits for the engine: " + unresponsive.cause().problem();
+                "waiting for the engine: " + unresponsive.cause().problem();
         };
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PauseGuard.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PauseGuard.java
@@ -1,8 +1,11 @@
 package org.aspenmoor.internal.agent;
 
-/** Keeps new work out after the whole process has stood still, until the order thread has proved its right again. */
+/**
+ * Blocks new work after a pause of the whole process, until the order thread has confirmed its ownership of the engine
+ * again.
+ */
 interface PauseGuard {
-    /** A guard for backend servers that take no orders: a pause changes nothing for them. */
+    /** A guard for backend servers that take no orders, to which pauses make no difference. */
     PauseGuard NONE = new PauseGuard() {
         @Override
         public boolean detectPause() {
@@ -15,9 +18,12 @@
         }
     };
 
-    /** Says whether the process has stood still since the last call; the event loop asks before any work. */
+    /** Returns whether the process was paused since the last call; called by the event loop before each message. */
     boolean detectPause();
 
-    /** Says whether a permission given by the order thread still counts: no pause has come after it. */
+    /**
+     * Returns whether a permission given by the order thread is still valid, that is, no pause occurred after it was
+     * given.
+     */
     boolean isPermissionCurrent(long knownPauses);
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PlainAnswerDecoder.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/PlainAnswerDecoder.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Passes a plain service's answer on as it is. */
+/** Passes the answer of a plain service on unchanged. */
 final class PlainAnswerDecoder implements AnswerDecoder {
     @Override
     public List<AnswerPiece> decode(List<ByteBuffer> buffers) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RegistrationWorker.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RegistrationWorker.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.jboss.logging.Logger;
 
-/** Writes the agent's registration into the store, trying again until the store takes it. */
+/** Writes the registration of the agent to the store, retrying until the store accepts it. */
 final class RegistrationWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("agent");
     private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(2);
@@ -38,7 +38,7 @@
         thread.start();
     }
 
-    /** Takes the registration back, so that entries see at once that the agent has gone; best effort. */
+    /** Deletes the registration, so that entries see at once that the agent is leaving. Best effort. */
     void deregister() {
         try {
             Optional<StoredObject> stored = store.read(key);
@@ -46,7 +46,7 @@
                 store.delete(stored.get());
             }
         } catch (StoreException unavailable) {
-            LOG.warnf("agent: could not sign off, %s", unavailable.problem());
+            LOG.warnf("agent: could not delete the registration: %s", unavailable.problem());
         }
     }
 
@@ -62,7 +62,8 @@
         }
     }
 
-    // The lost answer of an earlier try needs no settling: the next round reads first and finds its own object.
+    // If the answer of an earlier write was lost, no special handling is needed: the next round reads first and finds
+    // its own object.
     private boolean tryRegister() {
         try {
             Optional<StoredObject> stored = store.read(key);
@@ -77,7 +78,7 @@
             LOG.infof("agent: registered %s at port %d", registration.backend(), registration.port());
             return true;
         } catch (StoreException failure) {
-            LOG.warnf("agent: not registered yet, %s", failure.problem());
+            LOG.warnf("agent: could not write the registration, will retry: %s", failure.problem());
             return false;
         }
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RunningAttempt.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/RunningAttempt.java
@@ -12,11 +12,11 @@
 import org.aspenmoor.internal.wire.v1.Last;
 
 /**
- * An attempt that runs now.
+ * An attempt that is running.
  *
- * <p>Chunks go out only against credit. Without it a caller that reads slowly would make the entry, and then this
- * process, hold the engine's whole output in memory; it would show as a process that is killed for its size. Here the
- * pieces held are those of one read from the backend server, and the next read waits.
+ * <p>Chunks are sent only against credit. Without credit, a caller that reads slowly would make the entry, and then
+ * this process, hold the complete output of the engine in memory, until the process is killed for its memory use. With
+ * credit, only the pieces of one read from the backend server are held, and the next read waits.
  */
 final class RunningAttempt {
     private final AttemptKey key;
@@ -46,14 +46,14 @@
         return end;
     }
 
-    /** Takes pieces that the backend server gave. */
+    /** Adds pieces received from the backend server and sends what the credit allows. */
     void addPieces(List<AnswerPiece> pieces) {
         pending.addAll(pieces);
         sendPending();
         requestMoreIfEmpty();
     }
 
-    /** Takes credit that the entry gave. */
+    /** Adds credit received from the entry, in chunks, and sends what it allows. */
     void addCredit(int chunks) {
         credit += chunks;
         boolean wasHeldBack = !pending.isEmpty();
@@ -63,12 +63,12 @@
         }
     }
 
-    /** Takes the end of the backend server's answer. */
+    /** Records how the call to the backend server ended. */
     void recordEnd(CallEnd callEnd) {
         end = Optional.of(callEnd);
     }
 
-    /** Returns the last frame once every piece before it has gone out. */
+    /** Returns the last frame once the call has ended and every piece has been sent. */
     Optional<Frame> lastFrameIfDone() {
         if (!pending.isEmpty()) {
             return Optional.empty();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusPoller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusPoller.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.engine.EngineControl;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
 
-/** Asks the backend server again and again how it is. */
+/** Polls the status of the backend server. */
 final class StatusPoller implements AutoCloseable {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/package-info.java
@@ -1,2 +1,2 @@
-/** The agent: the one process that talks to its backend server. */
+/** The agent: the only process that communicates with its backend server. */
 package org.aspenmoor.internal.agent;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -21,16 +21,17 @@
 import org.aspenmoor.internal.time.TimeSource;
 
 /**
- * Gathers claims while a write is under way, so that the next write carries all of them.
+ * Collects claims while a write to the store is in progress, so that the next write carries all of them.
  *
- * <p>The store takes several hundred writes a second from the whole system. Claims written one by one would use that up
- * as bookings grow; one would notice it as claims that wait ever longer. Those that arrive during a write share the next.
+ * <p>The store accepts several hundred writes a second from the whole system. Claims written one by one would use up
+ * this capacity as bookings grow, and claims would wait ever longer. Claims that arrive during a write share the next
+ * one.
  *
- * <p>A store that keeps silent costs each batch its whole time-out, and calls would wait for a refusal that was certain.
- * So after failures the next claims are refused at once for a while, and one is let through to try.
+ * <p>An unresponsive store costs each batch its full time-out, during which calls would wait for a refusal that is
+ * certain. After failures the next claims are therefore refused at once for a while, and one is let through as a trial.
  */
 public final class ClaimHandler implements DutyHandler<ClaimMessage> {
-    /** When claims are refused without asking the store: after one failure, with pauses of 1 s to 5 s. */
+    /** When claims are refused without a store call: after one failure, for 1 s to 5 s at a time. */
     public static final BreakerSettings STORE_BREAKER =
             new BreakerSettings(1, Duration.ofSeconds(1), Duration.ofSeconds(5), Duration.ofSeconds(10));
 
@@ -72,7 +73,7 @@
         switch (message) {
             case ClaimMessage.Asked requested -> requestClaim(requested.request());
             case ClaimMessage.Answered answered -> committer.answered(answered.ticket(), answered.answer());
-            case ClaimMessage.NeverStarted never -> committer.neverStarted(never.ticket());
+            case ClaimMessage.NeverStarted neverStarted -> committer.neverStarted(neverStarted.ticket());
             case ClaimMessage.Tick ignored -> submitDueRechecks();
             case ClaimMessage.FlushAsked requested -> flush(requested.flushed());
         }
@@ -87,17 +88,16 @@
         }
     }
 
-    // On a fast store a commit ends before the next claim arrives, and nothing would be shared: bookings alone would
-    // use up
-    // the process's share of store calls, and an operator's change be refused for it. A few commits after a quiet time
-    // go
-    // out at once; beyond them each waits for its turn.
+    // On a fast store a commit ends before the next claim arrives, and no commit would be shared: bookings alone would
+    // use up the share of store calls of this process, and changes by operators would be refused. A few commits after
+    // an idle period are made at once; further ones wait for the commit rate.
     private boolean mayCommit() {
         return time.monotonicNanoseconds() - commitsPausedUntil >= 0 && commitRate.take();
     }
 
-    // Outcomes that could not be written wait for the next commit. With a silent store this thread would go on from one
-    // time-out to the next, and calls that come meanwhile would wait in its ring for a refusal that is certain.
+    // Outcomes that could not be written wait for the next commit. With an unresponsive store this thread would
+    // continue from one time-out to the next, and calls that arrive meanwhile would wait in its ring buffer for a
+    // refusal that is certain.
     private void pauseIfSlow(long startedAt) {
         long now = time.monotonicNanoseconds();
         if (now - startedAt >= SLOW_COMMIT.toNanos()) {
@@ -109,7 +109,7 @@
     private void requestClaim(ClaimRequest request) {
         if (storeBreaker.ask() instanceof BreakerDecision.Open open) {
             decisions.accept(new ClaimVerdict.NotClaimed(
-                    request, open.comeBackAfter(), "The store did not answer the claims before this one."));
+                    request, open.comeBackAfter(), "The store did not answer the previous claims; retry later."));
             return;
         }
         submit(request);
@@ -119,7 +119,7 @@
         if (!committer.submit(request)) {
             checksByRequest.remove(request.id());
             decisions.accept(new ClaimVerdict.NotClaimed(
-                    request, settings.comeBackAfter(), "Too many claims wait for the store."));
+                    request, settings.comeBackAfter(), "Too many claims are waiting for the store; retry later."));
         }
     }
 
@@ -136,8 +136,8 @@
         decisions.accept(decision);
     }
 
-    // A caller that repeats its call at another entry right after the answer would be told that nobody knows, only
-    // because the outcome is written a moment after the answer is given. A few looks within a second find it.
+    // A caller that retries its call at another entry right after the answer would receive an unknown outcome, only
+    // because the outcome is written a moment after the answer is sent. A few checks within a second find it.
     private boolean scheduleRecheck(ClaimRequest request) {
         int checks = checksByRequest.merge(request.id(), 1, Integer::sum);
         if (checks >= MAX_CHECKS) {
@@ -168,6 +168,6 @@
         flushed.complete(null);
     }
 
-    /** A claim that is looked at again. */
+    /** A claim to be checked again. */
     private record Recheck(ClaimRequest request, long dueAt) {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimMessage.java
@@ -5,20 +5,20 @@
 import org.aspenmoor.internal.claim.ClaimTicket;
 import org.aspenmoor.internal.claim.RecordedAnswer;
 
-/** What the claim duty hears. */
+/** Messages processed by the claim worker. */
 public sealed interface ClaimMessage {
-    /** A call wants to run once. */
+    /** Requests a claim for a call. */
     record Asked(ClaimRequest request) implements ClaimMessage {}
 
-    /** A granted call was answered. */
+    /** A call with a granted claim was answered. */
     record Answered(ClaimTicket ticket, RecordedAnswer answer) implements ClaimMessage {}
 
-    /** A granted call certainly never started. */
+    /** A call with a granted claim is known not to have started. */
     record NeverStarted(ClaimTicket ticket) implements ClaimMessage {}
 
-    /** Time has passed. */
+    /** Triggers the rechecks that are due. */
     record Tick() implements ClaimMessage {}
 
-    /** The process stops: everything that waits is to be written. */
+    /** Requests that everything pending is written, because the process is stopping. */
     record FlushAsked(CompletableFuture<Void> flushed) implements ClaimMessage {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/package-info.java
@@ -1,2 +1,2 @@
-/** The thread that claims non-idempotent calls in the store, many with one write. */
+/** The worker that claims non-idempotent calls in the store, combining many claims in one write. */
 package org.aspenmoor.internal.claims;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ActiveRequest.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.stream.AnswerAssembly;
 import org.aspenmoor.internal.wire.v1.Header;
 
-/** A request that the entry holds. */
+/** A request that the entry is processing. Points in time are monotonic and in nanoseconds. */
 final class ActiveRequest {
     private final IncomingRequest incoming;
     private final ServiceDocument document;
@@ -70,7 +70,7 @@
         };
     }
 
-    /** Returns the claim under which it may run once, if it needed one. */
+    /** Returns the idempotency claim under which the request may run once; empty if it needs none. */
     Optional<ClaimTicket> ticket() {
         return ticket;
     }
@@ -79,7 +79,7 @@
         ticket = Optional.of(newTicket);
     }
 
-    /** Returns the model version, as engines name it, under which its latest attempt was sent. */
+    /** Returns the label ({@code MODEL@VERSION}) of the model version that its latest attempt was routed to. */
     String versionLabel() {
         return versionLabel;
     }
@@ -108,7 +108,10 @@
         return triedBackends;
     }
 
-    /** Says whether the caller already holds a part of the answer, so that a refusal would be a lie. */
+    /**
+     * Returns whether the caller has received part of the answer, so that the request can no longer be reported as not
+     * run.
+     */
     boolean hasDeliveredTokens() {
         return assembly.deliveredTokens() > 0;
     }
@@ -125,7 +128,7 @@
         lastProgressAt = now;
     }
 
-    /** Begins an attempt at an agent and returns its number. */
+    /** Starts an attempt at an agent and returns the attempt number. */
     int beginAttempt(AgentPeer newPeer, long now) {
         peer = Optional.of(newPeer);
         triedBackends.add(newPeer.backend());
@@ -136,7 +139,7 @@
         return assembly.beginAttempt();
     }
 
-    /** Ends the current attempt; frames of it that still arrive are dropped once the next begins. */
+    /** Ends the current attempt. Its late frames are discarded once the next attempt starts. */
     void endAttempt(boolean attemptMayHaveRun) {
         peer.ifPresent(AgentPeer::decrementOutstanding);
         peer = Optional.empty();
@@ -156,7 +159,7 @@
         plainHeaders = headers;
     }
 
-    /** Adds to a plain service's answer and returns its length so far. */
+    /** Appends to the answer body of a plain service and returns its length so far in bytes. */
     int appendPlainBody(byte[] data) {
         plainBody.writeBytes(data);
         return plainBody.size();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentDirectory.java
@@ -19,7 +19,7 @@
 import org.aspenmoor.internal.wire.v1.Probe;
 import org.jboss.logging.Logger;
 
-/** The backend servers this entry knows of, the links to their agents, and whether each may be given work. */
+/** The known backend servers, the links to their agents, and whether each server accepts new work. */
 final class AgentDirectory {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final Duration RECONNECT_INTERVAL = Duration.ofMillis(500);
@@ -54,13 +54,13 @@
             peers.put(registration.backend(), new AgentPeer(registration, breakerFactory.get()));
             applyHostList();
         } else {
-            // An open link still leads to the earlier incarnation; it ends by itself or by its probes.
+            // An open link still belongs to the earlier incarnation; it closes by itself or when probes go unanswered.
             peer.updateRegistration(registration);
         }
         connectMissing(now);
     }
 
-    /** Takes that an agent has signed off: it said itself that it leaves. */
+    /** Handles the removal of a registration: the agent has announced that its backend server is leaving. */
     void unregister(String backend) {
         AgentPeer peer = peers.get(backend);
         if (peer != null) {
@@ -78,13 +78,16 @@
         applyHostList();
     }
 
-    /** Takes that the host list was told whole; before that, a missing host says nothing. */
+    /** Handles the completion of the host list; before that, the absence of a host has no meaning. */
     void completeHostList() {
         hostListComplete = true;
         applyHostList();
     }
 
-    /** Takes a new link; empty where it leads to no known agent. */
+    /**
+     * Registers a new link and returns its server; closes the link and returns empty if the server is unknown or
+     * already linked.
+     */
     Optional<AgentPeer> linkOpened(Link link) {
         AgentPeer peer = peers.get(link.peer().getBackend());
         if (peer == null || peer.link().isPresent()) {
@@ -114,9 +117,9 @@
         return Optional.ofNullable(peersByLink.get(link));
     }
 
-    /** Takes an agent's word that its backend server leaves. */
+    /** Handles a report by an agent that its backend server is leaving. */
     void markLeaving(AgentPeer peer, String reason) {
-        LOG.infof("entry: backend %s is leaving, %s", peer.backend(), reason);
+        LOG.infof("entry: backend server %s is leaving: %s", peer.backend(), reason);
         peer.link()
                 .ifPresent(
                         link -> membership.leaving(peer.backend(), link.peer().getIncarnation()));
@@ -131,7 +134,7 @@
         }
     }
 
-    /** Sends a probe on every link. */
+    /** Sends a probe on every open link. */
     void sendProbes(long now) {
         lastProbeNumber++;
         probeSentAt[slotOf(lastProbeNumber)] = now;
@@ -141,14 +144,14 @@
         peersByLink.keySet().forEach(link -> link.send(probe));
     }
 
-    /** Takes the answer to a probe. */
+    /** Handles the answer to a probe; answers to probes older than the history are ignored. */
     void probeAnswered(AgentPeer peer, long number) {
         if (number > lastProbeNumber - PROBE_HISTORY_SIZE && number <= lastProbeNumber) {
             membership.probeAnswered(peer.backend(), peer.connectionNumber(), probeSentAt[slotOf(number)]);
         }
     }
 
-    /** Says whether new work may go to a backend server. */
+    /** Returns whether new work may be sent to a backend server. */
     boolean acceptsWork(AgentPeer peer) {
         return peer.isReady() && membership.takesNewWork(peer.backend());
     }
@@ -157,7 +160,7 @@
         return membership.standing(peer.backend());
     }
 
-    /** Lists the backend servers of a service. */
+    /** Returns the backend servers of a service. */
     List<AgentPeer> findByService(String team, String service) {
         List<AgentPeer> found = new ArrayList<>();
         for (AgentPeer peer : peers.values()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentPeer.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AgentPeer.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.wire.v1.LoadReport;
 
-/** A backend server as this entry sees it through its agent. */
+/** The state of a backend server and its agent as known to this entry. */
 final class AgentPeer {
     private final CircuitBreaker breaker;
     private AgentRegistration registration;
@@ -38,7 +38,7 @@
         return link;
     }
 
-    /** Takes a new link, numbered among this process's connections. */
+    /** Records a new link. Connections are numbered in the order in which this process opened them. */
     void linkOpened(Link newLink, long newConnectionNumber) {
         link = Optional.of(newLink);
         connectionNumber = newConnectionNumber;
@@ -78,7 +78,10 @@
         return load;
     }
 
-    /** Says whether its agent is connected and reports it ready; whether it may be given work is the directory's word. */
+    /**
+     * Returns whether the agent is connected and reports its server ready; whether the server accepts new work is
+     * decided by {@link AgentDirectory#acceptsWork}.
+     */
     boolean isReady() {
         return link.isPresent() && load.isPresent() && load.get().getReady();
     }
@@ -99,7 +102,7 @@
         outstanding = Math.max(0, outstanding - 1);
     }
 
-    /** Says whether a connection should be tried now, and remembers that it was. */
+    /** Returns whether a connection attempt is due now, and if so records its time. */
     boolean beginConnectIfDue(long now, long intervalNanoseconds) {
         if (link.isPresent() || now - lastConnectAttemptAt < intervalNanoseconds) {
             return false;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.wire.v1.Refused;
 import org.aspenmoor.internal.wire.v1.Started;
 
-/** Takes the frames of answers and gives callers what is theirs. */
+/** Processes answer frames from agents and delivers their content to callers. */
 final class AnswerReceiver {
     private static final int STATUS_OK = 200;
 
@@ -19,7 +19,7 @@
     private final RequestDispatcher dispatcher;
     private final CallerLimits limits;
     private final EntryMetrics metrics;
-    private final ClaimClient claims;
+    private final ClaimClient claimClient;
     private final ChunkAccount chunks = new ChunkAccount();
 
     AnswerReceiver(
@@ -27,8 +27,8 @@
             RequestDispatcher dispatcher,
             CallerLimits limits,
             EntryMetrics metrics,
-            ClaimClient claims) {
-        this.claims = claims;
+            ClaimClient claimClient) {
+        this.claimClient = claimClient;
         this.requestTable = requestTable;
         this.dispatcher = dispatcher;
         this.limits = limits;
@@ -92,7 +92,7 @@
                 .ifPresent(request -> dispatcher.attemptNotStarted(request, refused.getDetail(), now));
     }
 
-    /** Passes credit for what the caller has taken on to the agent. */
+    /** Returns credit to the agent for the pieces that the caller has consumed. */
     void returnCredit(ActiveRequest request) {
         int consumed = request.sink().takeConsumedPieces();
         if (consumed > 0) {
@@ -124,7 +124,9 @@
             cancelAtAgent(request);
             dispatcher.endAttempt(request, true, now);
             requestTable.endUnknown(
-                    request, "The service's answer is longer than " + limits.answerBytes() + " bytes.", now);
+                    request,
+                    "The service's answer is longer than the limit of " + limits.answerBytes() + " bytes.",
+                    now);
             return;
         }
         sendCredit(request, 1);
@@ -144,12 +146,12 @@
             }
             case CallerWork.PlainCall ignored -> {
                 PlainAnswer answer = request.plainAnswer();
-                request.ticket().ifPresent(ticket -> claims.recordAnswer(ticket, answer));
+                request.ticket().ifPresent(ticket -> claimClient.recordAnswer(ticket, answer));
                 requestTable.endAnswered(request, answer.status(), now);
                 request.sink().onPlainAnswer(answer);
             }
         }
-        requestTable.trace(request, now, "answered whole, " + last.getCount() + " chunks in the last attempt");
+        requestTable.trace(request, now, "answer complete, " + last.getCount() + " chunks in the last attempt");
     }
 
     private void failAttempt(ActiveRequest request, String detail, long now) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CallerSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CallerSink.java
@@ -2,26 +2,28 @@
 
 import org.aspenmoor.Outcome;
 
-/** Takes a request's answer towards its caller. The event loop's thread calls it; no call blocks. */
+/** Receives the answer to a request on behalf of its caller. Called by the event loop thread; no method blocks. */
 public interface CallerSink {
-    /** Takes the next piece of a generation. */
+    /** Receives the next text of a generation. */
     void onText(String text);
 
-    /** Takes the end of a generation whose pieces were all given. */
+    /** Called when a generation is complete and all of its text has been passed to {@link #onText}. */
     void onGenerationComplete(String finishReason, int promptTokens, int outputTokens);
 
-    /** Takes the whole answer of a plain service. */
+    /** Receives the complete answer of a plain service. */
     void onPlainAnswer(PlainAnswer answer);
 
-    /** Takes that the request did not run. */
+    /** Called when the request is refused and has not run. */
     void onRefused(Outcome.NotRun refusal);
 
-    /** Takes that nobody knows whether the request ran, or that an answer already begun cannot be finished. */
+    /** Called when it is unknown whether the request ran, or when a partly delivered answer cannot be completed. */
     void onUnknown(Outcome.Unknown unknown);
 
-    /** Returns how many pieces the caller has taken since the last call; each frees credit for one more. */
+    /** Returns the number of pieces consumed by the caller since the last call; each frees credit for one more. */
     int takeConsumedPieces();
 
-    /** Says whether pieces wait for the caller to take them, so that silence is not the engine's doing. */
+    /**
+     * Returns whether pieces are waiting to be read by the caller, so that a lack of progress is not due to the engine.
+     */
     boolean isWaitingForCaller();
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CallerWork.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CallerWork.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import org.aspenmoor.internal.wire.v1.Header;
 
-/** What a caller asks for. */
+/** The work that a caller requests. */
 public sealed interface CallerWork {
     /**
-     * An answer of a model.
+     * A completion by a model.
      *
-     * @param request the completion asked for
+     * @param request the requested completion
      */
     record Generation(CompletionRequest request) implements CallerWork {}
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ClaimClient.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ClaimClient.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.duty.Duty;
 import org.aspenmoor.internal.wire.v1.Header;
 
-/** Claims calls that carry a key before they are dispatched, and reports what became of them. */
+/** Requests idempotency claims for calls before they are dispatched, and reports the outcome of those calls. */
 final class ClaimClient {
     private static final Duration FULL_RING_RETRY_AFTER = Duration.ofSeconds(1);
     private static final String CONTENT_TYPE = "content-type";
@@ -29,13 +29,13 @@
         this.claimWorker = claimWorker;
     }
 
-    /** Says whether a request must be claimed first. */
+    /** Returns whether a request needs a claim before it may be dispatched. */
     static boolean needsClaim(ActiveRequest request) {
         return !request.kind().idempotent()
                 && request.incoming().idempotencyKey().isPresent();
     }
 
-    /** Asks for a claim; a refusal where the claim duty cannot take more. */
+    /** Requests a claim; returns a refusal if the claim worker cannot accept more. */
     Optional<Outcome.NotRun> requestClaim(ActiveRequest request) {
         ClaimKey key = new ClaimKey(
                 request.document().team(),
@@ -47,10 +47,12 @@
             return Optional.empty();
         }
         return Optional.of(new Outcome.NotRun(
-                RefusalReason.OVERLOADED, FULL_RING_RETRY_AFTER, "Too many calls wait for their claims."));
+                RefusalReason.OVERLOADED,
+                FULL_RING_RETRY_AFTER,
+                "Too many calls are waiting for their idempotency claims; retry later."));
     }
 
-    /** Records the answer of a claimed call. */
+    /** Records the answer of a claimed call, for retries under the same key. */
     void recordAnswer(ClaimTicket ticket, PlainAnswer answer) {
         String contentType = answer.headers().stream()
                 .filter(header -> header.getName().equalsIgnoreCase(CONTENT_TYPE))
@@ -65,12 +67,12 @@
         claimWorker.offer(new ClaimMessage.Answered(ticket, recorded));
     }
 
-    /** Frees the key of a claimed call that certainly never started. */
+    /** Releases the key of a claimed call that is known not to have started. */
     void releaseClaim(ClaimTicket ticket) {
         claimWorker.offer(new ClaimMessage.NeverStarted(ticket));
     }
 
-    /** Turns a recorded answer back into the one the first caller got. */
+    /** Converts a recorded answer to the answer that the first caller received. */
     static PlainAnswer replay(RecordedAnswer recorded) {
         Header contentType = Header.newBuilder()
                 .setName(CONTENT_TYPE)
@@ -101,7 +103,8 @@
             }
             return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException unavailable) {
-            throw new IllegalStateException("every Java platform has SHA-256", unavailable);
+            throw new IllegalStateException(
+                    "SHA-256 is not available; every Java platform must provide it", unavailable);
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CompletionRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/CompletionRequest.java
@@ -4,16 +4,16 @@
 import org.aspenmoor.internal.routing.PrefixChain;
 
 /**
- * A completion as a caller asked for it.
+ * A completion requested by a caller.
  *
- * @param model the model's name
- * @param adapter the adapter's name, from {@code MODEL:ADAPTER}
- * @param chat whether it came by the chat form of the protocol
- * @param stream whether the caller wants the answer piece by piece
- * @param maxTokens the most tokens the caller wants, if it said so
- * @param promptTokens estimated length of the prompt
- * @param prefix the start of the prompt that other prompts may share
- * @param json the request as the caller wrote it
+ * @param model the name of the model
+ * @param adapter the name of the adapter, from {@code MODEL:ADAPTER}
+ * @param chat whether the request uses the chat form of the protocol
+ * @param stream whether the answer is to be streamed
+ * @param maxTokens the maximum number of tokens requested by the caller, if given
+ * @param promptTokens the estimated length of the prompt in tokens
+ * @param prefix the prefix of the prompt that other prompts may share
+ * @param json the request body as received
  */
 public record CompletionRequest(
         String model,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DispatchFrames.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DispatchFrames.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.wire.v1.Generation;
 import org.aspenmoor.internal.wire.v1.PlainCall;
 
-/** Writes the frames an entry sends to agents. */
+/** Builds the frames that an entry sends to agents. */
 final class DispatchFrames {
     private DispatchFrames() {}
 
@@ -51,7 +51,8 @@
                 request.id().high(), request.id().low(), request.assembly().attempt());
     }
 
-    // A stream that has begun is finished even past its deadline, so it never goes out with nothing left.
+    // A partly delivered stream is completed even past its deadline, so at least 1 ms is sent: agents refuse a dispatch
+    // with no time remaining.
     private static int remainingMilliseconds(ActiveRequest request, long now) {
         long remaining = TimeUnit.NANOSECONDS.toMillis(request.deadlineAt() - now);
         return (int) Math.clamp(remaining, request.hasDeliveredTokens() ? 1 : 0, Integer.MAX_VALUE);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.document.ServiceName;
 import org.jboss.logging.Logger;
 
-/** The documents in force in this entry, found by the caller's token. */
+/** The documents in force in this entry, indexed by the hash of the caller's token. */
 final class DocumentIndex {
     private static final Logger LOG = Logger.getLogger("entry");
 
@@ -24,12 +24,12 @@
         this.registry = registry;
     }
 
-    /** Puts a document in force unless a newer one is; returns whether it was. */
+    /** Puts a document in force unless the current one is the same or newer; returns whether it was put in force. */
     boolean put(ServiceDocument document) {
         OfferResult result = registry.offer(document);
         if (result == OfferResult.CONTRADICTS) {
             LOG.errorf(
-                    "entry: two documents claim to be %s/%s revision %d, the first stays in force",
+                    "entry: received a different document for %s/%s revision %d; keeping the first one in force",
                     document.team(), document.service(), document.revision());
         }
         if (result != OfferResult.APPLIED) {
@@ -39,7 +39,7 @@
         return true;
     }
 
-    /** Returns the documents whose service the holder of a token may call. */
+    /** Returns the documents of the services that the token's holder may call. */
     List<ServiceDocument> findByToken(String token) {
         return byTokenHash.getOrDefault(TokenHash.of(token), List.of()).stream()
                 .map(registry::find)
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EngineRouter.java
@@ -21,7 +21,7 @@
 import org.aspenmoor.internal.wire.v1.LoadReport;
 
 /**
- * Feeds the router with what agents report and asks it for decisions.
+ * Passes the load reports of agents to the router and requests routing decisions from it.
  *
  * <p>One router serves one service of one team, so that engines of different teams are never compared.
  */
@@ -85,10 +85,11 @@
     }
 
     /**
-     * Returns the versions of its model under which a request may run, the declared one first.
+     * Returns the labels of the model versions under which a request may run, the declared version first.
      *
-     * <p>While a version is rolled out, some engines hold the old one and some the new. A new request may start under
-     * either; a stream that has begun stays with its version, or the text would go on in another's words.
+     * <p>During a rollout some engines hold the old version and some the new one. A new request may start under either;
+     * a stream whose tokens were partly delivered stays with its version, because another version would continue the
+     * text differently.
      */
     private Set<String> usableVersionLabels(ActiveRequest request) {
         if (request.hasDeliveredTokens()) {
@@ -136,7 +137,7 @@
                 .findFirst();
     }
 
-    // An engine that does not say what it has loaded is taken to run what the team's document declares.
+    // An engine that does not report its loaded models is assumed to run those declared in the document of the team.
     private static Set<String> loadedLabels(LoadReport report, ServiceDocument document) {
         if (!report.getLoadedList().isEmpty()) {
             return new HashSet<>(report.getLoadedList());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -26,7 +26,7 @@
 import org.aspenmoor.internal.wire.v1.LoadReport;
 import org.jboss.logging.Logger;
 
-/** The entry's one place of decision: admits requests, follows their attempts, watches over agents. */
+/** The event loop of the entry: admits requests, tracks their attempts and monitors agents. */
 public final class EntryEventLoop implements DutyHandler<EntryMessage> {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final int PROBES_PER_LINK_TIMEOUT = 4;
@@ -104,7 +104,10 @@
         if (drained.isPresent()) {
             requestTable.refuseUnmatched(
                     incoming,
-                    new Outcome.NotRun(RefusalReason.STOPPING, STOPPING_RETRY_AFTER, "This entry is stopping."));
+                    new Outcome.NotRun(
+                            RefusalReason.STOPPING,
+                            STOPPING_RETRY_AFTER,
+                            "This entry is stopping; send the request to another entry."));
             return;
         }
         switch (matcher.match(incoming)) {
@@ -115,7 +118,7 @@
                 requestTable.trace(
                         request,
                         now,
-                        "came as kind " + found.kind().name() + " of "
+                        "received as kind " + found.kind().name() + " of "
                                 + found.document().team() + "/"
                                 + found.document().service() + " revision "
                                 + found.document().revision());
@@ -129,7 +132,7 @@
             dispatcher.admit(request, now);
             return;
         }
-        requestTable.trace(request, now, "waits for the store to grant its key");
+        requestTable.trace(request, now, "waiting for the store to grant its idempotency claim");
         claimClient.requestClaim(request).ifPresent(refusal -> requestTable.endRefused(request, refusal, now));
     }
 
@@ -145,20 +148,22 @@
                 request.recordClaim(granted.ticket());
                 dispatcher.admit(request, now);
             }
-            case ClaimVerdict.AlreadyAnswered already -> {
-                requestTable.trace(request, now, "its key was answered before, the recorded answer is given again");
-                requestTable.endAnswered(request, already.answer().status(), now);
-                request.sink().onPlainAnswer(ClaimClient.replay(already.answer()));
+            case ClaimVerdict.AlreadyAnswered answeredBefore -> {
+                requestTable.trace(
+                        request, now, "its idempotency key was answered before; returning the recorded answer");
+                requestTable.endAnswered(request, answeredBefore.answer().status(), now);
+                request.sink().onPlainAnswer(ClaimClient.replay(answeredBefore.answer()));
             }
             case ClaimVerdict.StillUnknown ignored ->
-                requestTable.endUnknown(request, "The key was used before and what came of it is not known.", now);
+                requestTable.endUnknown(
+                        request, "The idempotency key was used before and the outcome of that call is unknown.", now);
             case ClaimVerdict.KeyReused ignored ->
                 requestTable.endRefused(
                         request,
                         new Outcome.NotRun(
                                 RefusalReason.KEY_REUSED,
                                 Duration.ZERO,
-                                "The idempotency key was used before with another request; draw a new key."),
+                                "The idempotency key was used before with a different request; use a new key."),
                         now);
             case ClaimVerdict.NotClaimed notClaimed ->
                 requestTable.endRefused(
@@ -169,7 +174,7 @@
         }
     }
 
-    // The caller went away while the claim was made: nothing ran, so its key is freed for a repeat.
+    // The caller disconnected while the claim was requested: nothing ran, so the key is released for a retry.
     private void releaseUnneededClaim(ClaimVerdict decision) {
         if (decision instanceof ClaimVerdict.Granted granted) {
             claimClient.releaseClaim(granted.ticket());
@@ -185,10 +190,10 @@
                 .orElse(List.of());
         Optional<AgentPeer> peer = directory.linkClosed(closed.link());
         peer.ifPresent(closedPeer -> LOG.infof(
-                "entry: link to agent of %s ended with %d requests, %s",
+                "entry: link to agent of %s closed with %d active requests: %s",
                 closedPeer.backend(), affected.size(), closed.cause()));
         affected.forEach(
-                request -> dispatcher.attemptLost(request, "the link to the agent ended, " + closed.cause(), now));
+                request -> dispatcher.attemptLost(request, "the link to the agent closed: " + closed.cause(), now));
     }
 
     private void handleFrame(Link link, Frame frame, long now) {
@@ -208,7 +213,7 @@
             case LEAVING -> directory.markLeaving(peer.get(), frame.getLeaving().getReason());
             case PROBE_ANSWER ->
                 directory.probeAnswered(peer.get(), frame.getProbeAnswer().getNumber());
-            default -> LOG.debugf("entry: frame %s is not for an entry", frame.getBodyCase());
+            default -> LOG.debugf("entry: ignoring frame %s, which entries do not handle", frame.getBodyCase());
         }
     }
 
@@ -230,12 +235,13 @@
         requestTable.reportImbalance();
     }
 
-    // A paused or cut-off agent keeps its connection open: nothing arrives and nothing fails. Without the probes its
-    // requests would hang until the caller's own time-out. An agent that answers none within the bound loses its link.
+    // A paused or partitioned agent keeps its connection open: nothing arrives and nothing fails. Without probes its
+    // requests would wait until the time-out of the caller. The link of an agent that answers no probe within the link
+    // timeout is closed.
     private void closeUnresponsiveLinks() {
         for (AgentPeer peer : directory.all()) {
             if (peer.link().isPresent() && directory.standing(peer) instanceof Standing.Silent) {
-                LOG.warnf("entry: agent of %s is silent, closing its link", peer.backend());
+                LOG.warnf("entry: agent of %s does not answer probes; closing its link", peer.backend());
                 peer.link().get().close();
             }
         }
@@ -250,14 +256,15 @@
             request.peer().flatMap(AgentPeer::link).ifPresent(link -> link.send(DispatchFrames.cancel(request)));
             dispatcher.attemptLost(
                     request,
-                    "no sign for " + TimeUnit.NANOSECONDS.toMillis(stallTimeoutNanoseconds(request)) + " ms",
+                    "no progress for " + TimeUnit.NANOSECONDS.toMillis(stallTimeoutNanoseconds(request)) + " ms",
                     now);
         } else if (stalled && now > request.deadlineAt()) {
             dispatcher.attemptLost(request, "no answer before its deadline", now);
         }
     }
 
-    // A time-out longer than the deadline allows would give a stalled request up when nobody wants it any more.
+    // A stall timeout longer than the deadline permits would end a stalled request only when its answer is no longer
+    // useful.
     private long stallTimeoutNanoseconds(ActiveRequest request) {
         Duration fraction = request.kind().deadline().dividedBy(STALL_TIMEOUTS_PER_DEADLINE);
         Duration timeoutByDeadline = fraction.compareTo(MIN_STALL_TIMEOUT) < 0 ? MIN_STALL_TIMEOUT : fraction;
@@ -327,8 +334,8 @@
 
     private static String leavingDescription(Standing standing) {
         return switch (standing) {
-            case Standing.Leaving leaving -> "said by " + leaving.said();
-            case Standing.Silent ignored -> "its agent is silent";
+            case Standing.Leaving leaving -> "reported by " + leaving.said();
+            case Standing.Silent ignored -> "its agent is unresponsive";
             case Standing.Unmet ignored -> "";
             case Standing.Serving ignored -> "";
         };
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMessage.java
@@ -12,24 +12,24 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.aspenmoor.internal.wire.v1.Frame;
 
-/** What the entry's event loop hears. */
+/** Messages processed by the event loop of the entry. */
 public sealed interface EntryMessage {
-    /** A caller asks for something. */
+    /** A caller sent a request. */
     record RequestCame(IncomingRequest request) implements EntryMessage {}
 
-    /** A caller has taken pieces of its answer. */
+    /** A caller has consumed pieces of its answer. */
     record CallerTook(RequestId id) implements EntryMessage {}
 
-    /** A caller has gone away. */
+    /** A caller has disconnected. */
     record CallerGone(RequestId id) implements EntryMessage {}
 
-    /** A link to an agent or another entry stands. */
+    /** A link to an agent or another entry has been opened. */
     record LinkOpened(Link link) implements EntryMessage {}
 
-    /** A link has ended. */
+    /** A link has closed. */
     record LinkClosed(Link link, String cause) implements EntryMessage {}
 
-    /** A frame arrived. */
+    /** A frame was received. */
     record FrameArrived(Link link, Frame frame) implements EntryMessage {}
 
     /** An object in the store was created or replaced. */
@@ -38,24 +38,24 @@
     /** An object in the store was deleted. */
     record ObjectDeleted(StoredObject object) implements EntryMessage {}
 
-    /** The store's collection of a kind has been told whole. */
+    /** The store's objects of a kind have been listed completely. */
     record CollectionKnown(ObjectKind kind) implements EntryMessage {}
 
-    /** The store has judged a claim. */
+    /** A claim has been decided. */
     record ClaimJudged(ClaimVerdict decision) implements EntryMessage {}
 
-    /** Time has passed. */
+    /** Triggers periodic work. */
     record Tick() implements EntryMessage {}
 
-    /** The process is to stop once no request is held any more. */
+    /** Requests a drain; the future completes once no request is active. */
     record DrainAsked(CompletableFuture<Void> drained) implements EntryMessage {}
 
-    /** The planner wants to know how the engines stand. */
+    /** The planner requests snapshots of the engines. */
     record EnginesAsked(CompletableFuture<List<EngineSnapshot>> answer) implements EntryMessage {}
 
-    /** Somebody wants to see the state. */
+    /** Requests a dump of the state. */
     record DumpAsked(CompletableFuture<ObjectNode> answer) implements EntryMessage {}
 
-    /** Somebody wants to know what became of a request. */
+    /** Requests the trace of a request. */
     record TraceAsked(RequestId id, CompletableFuture<Optional<RequestTrace>> answer) implements EntryMessage {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -43,7 +43,7 @@
 import org.aspenmoor.internal.wire.v1.Hello;
 import org.jboss.logging.Logger;
 
-/** A running entry: its eventLoop, its links, and what it follows in the store. */
+/** A running entry: its event loop, its links, and the store collections it watches. */
 public final class EntryProcess implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final int RING_SIZE = 8192;
@@ -51,8 +51,8 @@
     private static final double CLAIM_SHARE_OF_STORE_CALLS = 0.75;
     private static final double STORE_CALLS_PER_COMMIT = 2;
     private static final long PLANNER_QUERY_TIMEOUT_SECONDS = 2;
-    private static final double LOADS_PER_SECOND = 1;
-    private static final double MAX_SAVED_LOADS = 10;
+    private static final double MODEL_LOADS_PER_SECOND = 1;
+    private static final double MAX_SAVED_MODEL_LOADS = 10;
     private static final Duration TICK = Duration.ofMillis(50);
     private static final List<ObjectKind> WATCHED_KINDS =
             List.of(ObjectKind.DOCUMENT, ObjectKind.AGENT_REGISTRATION, ObjectKind.HOST);
@@ -110,7 +110,7 @@
                 new DocumentIndex(registry),
                 metrics);
         this.eventLoop = new Duty<>("entry-events", RING_SIZE, handler);
-        LoadBudget loadBudget = new LoadBudget(time, LOADS_PER_SECOND, MAX_SAVED_LOADS);
+        LoadBudget loadBudget = new LoadBudget(time, MODEL_LOADS_PER_SECOND, MAX_SAVED_MODEL_LOADS);
         this.planner = new PlannerWorker(
                 settings.process().name() + "/" + RequestId.draw(random),
                 settings.process().dataCentre(),
@@ -121,7 +121,7 @@
                 time,
                 random);
         WATCHED_KINDS.forEach(
-                kind -> watchedCollections.add(collectionFactory.follow(store, kind, new StoreChangeForwarder(kind))));
+                kind -> watchedCollections.add(collectionFactory.create(store, kind, new StoreChangeForwarder(kind))));
     }
 
     /** Starts the threads and returns the link port. */
@@ -135,22 +135,22 @@
         ticker.every(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
         ticker.every(TICK, () -> claimWorker.offer(new ClaimMessage.Tick()));
         LOG.infof(
-                "entry: %s in %s, link port %d",
+                "entry: %s started in %s, link port %d",
                 settings.process().name(), settings.process().dataCentre(), port);
         return port;
     }
 
-    /** Returns the duty that callers' requests go to. */
+    /** Returns the worker that processes the requests of callers. */
     public Duty<EntryMessage> eventLoop() {
         return eventLoop;
     }
 
-    /** Says whether the entry knows its documents and takes requests. */
+    /** Returns whether the entry has loaded its documents and accepts requests. */
     public boolean isReady() {
         return !stopping && synchronisedKinds.get() >= WATCHED_KINDS.size();
     }
 
-    /** Asks for the state. */
+    /** Requests a dump of the state. */
     public CompletableFuture<ObjectNode> dump() {
         CompletableFuture<ObjectNode> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.DumpAsked(answer));
@@ -162,7 +162,7 @@
         });
     }
 
-    /** Returns who holds which duty, as far as this entry knows. */
+    /** Returns the holders of the planner duties, as known to this entry. */
     public List<DutyStatus> duties() {
         return planner.duties();
     }
@@ -174,14 +174,16 @@
                 .join();
     }
 
-    /** Asks what became of a request. */
+    /** Requests the trace of a request; empty if it is no longer kept. */
     public CompletableFuture<Optional<RequestTrace>> trace(RequestId id) {
         CompletableFuture<Optional<RequestTrace>> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.TraceAsked(id, answer));
         return answer;
     }
 
-    /** Begins a graceful shutdown; complete once no request is held any more. */
+    /**
+     * Starts a graceful shutdown; the future completes once no request is active and pending claims have been flushed.
+     */
     public CompletableFuture<Void> drain() {
         stopping = true;
         CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -239,7 +241,7 @@
                 .build();
     }
 
-    /** Puts what changes in the store into the event loop's ring. */
+    /** Forwards changes in the store to the event loop's ring buffer. */
     private final class StoreChangeForwarder implements CollectionListener {
         private final ObjectKind kind;
         private boolean synchronisedOnce;
@@ -269,7 +271,7 @@
 
         @Override
         public void interrupted(StoreException cause) {
-            LOG.warnf("entry: a watch was interrupted, serving goes on with what is known: %s", cause.problem());
+            LOG.warnf("entry: a store watch was interrupted; continuing with the known state: %s", cause.problem());
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PeerListener.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PeerListener.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.entry;
 
-/** Hears which backend servers can be reached and how they report. */
+/** Receives the load reports of backend servers and the closing of their links. */
 interface PeerListener {
-    /** A report arrived. */
+    /** Called when a load report was received. */
     void loadReported(AgentPeer peer, long now);
 
-    /** The link to a backend server's agent has ended. */
+    /** Called when the link to a backend server's agent has closed. */
     void linkClosed(AgentPeer peer);
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PlainAnswer.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PlainAnswer.java
@@ -4,10 +4,10 @@
 import org.aspenmoor.internal.wire.v1.Header;
 
 /**
- * The whole answer of a plain service.
+ * The complete answer of a plain service.
  *
- * @param status its HTTP status
- * @param headers its headers
- * @param body its body
+ * @param status the HTTP status
+ * @param headers the HTTP headers
+ * @param body the HTTP body
  */
 public record PlainAnswer(int status, List<Header> headers, byte[] body) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PromptPrefix.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/PromptPrefix.java
@@ -6,7 +6,9 @@
 import java.security.NoSuchAlgorithmException;
 import org.aspenmoor.internal.routing.PrefixChain;
 
-/** Names the start of a prompt by its cache pieces, so that prompts that start alike can meet at one engine. */
+/**
+ * Hashes the prefix of a prompt per cache piece, so that prompts with a common prefix can be routed to the same engine.
+ */
 public final class PromptPrefix {
     private static final int PIECE_TOKENS = 2000;
     private static final int CHARACTERS_PER_TOKEN = 4;
@@ -14,7 +16,7 @@
 
     private PromptPrefix() {}
 
-    /** Returns the chain of the whole pieces of a prompt. */
+    /** Returns the hash chain of the complete pieces of a prompt. */
     public static PrefixChain of(String prompt) {
         int pieces = prompt.length() / PIECE_CHARACTERS;
         if (pieces == 0) {
@@ -34,7 +36,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException("SHA-256 is not available; every Java platform must provide it", missing);
         }
     }
 
@@ -42,7 +44,7 @@
         try {
             return (MessageDigest) digest.clone();
         } catch (CloneNotSupportedException missing) {
-            throw new IllegalStateException("the platform's SHA-256 can be copied", missing);
+            throw new IllegalStateException("the SHA-256 implementation of this platform cannot be cloned", missing);
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/QueueStep.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/QueueStep.java
@@ -2,14 +2,14 @@
 
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/** What a serviceQueue does next. */
+/** The next step of a service queue. */
 sealed interface QueueStep {
-    /** Sends a request as decided. */
+    /** Dispatch a request as decided. */
     record Send(ActiveRequest request, RoutingDecision decision) implements QueueStep {}
 
-    /** Refuses a request. */
+    /** Refuse a request. */
     record Refuse(Refusal refusal) implements QueueStep {}
 
-    /** Has nothing to do now. */
+    /** Nothing to do now. */
     record Idle() implements QueueStep {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/Refusal.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/Refusal.java
@@ -3,9 +3,9 @@
 import org.aspenmoor.Outcome;
 
 /**
- * A request that has to be refused.
+ * A request to be refused.
  *
  * @param request the request
- * @param outcome what its caller is told
+ * @param outcome the outcome reported to its caller
  */
 record Refusal(ActiveRequest request, Outcome.NotRun outcome) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestDispatcher.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestDispatcher.java
@@ -16,7 +16,7 @@
 import org.aspenmoor.internal.routing.RoutingDecision;
 import org.aspenmoor.internal.settings.CallerLimits;
 
-/** Brings requests to backend servers: first attempts, retries, and streams that go on elsewhere. */
+/** Dispatches requests to backend servers: first attempts, retries and resumed streams. */
 final class RequestDispatcher {
     private static final int MAX_ATTEMPTS = 4;
     private static final int MAX_ATTEMPTS_OF_STARTED_STREAM = 12;
@@ -50,7 +50,7 @@
         this.claimClient = claimClient;
     }
 
-    /** Starts a new request, lets it wait, or refuses it at once. */
+    /** Dispatches a new request, queues it, or refuses it at once. */
     void admit(ActiveRequest request, long now) {
         retryBudgetOf(request).firstAttempt();
         if (request.isGeneration() && anyAcceptsWork(request)) {
@@ -61,7 +61,7 @@
         dispatchOrWait(request, now);
     }
 
-    /** Gives waiting requests to backend servers that have room again. */
+    /** Dispatches waiting requests to backend servers that have capacity again. */
     void dispatchWaiting(long now) {
         for (ActiveRequest request : waitingRequests.inOrder()) {
             if (now > request.deadlineAt() && !request.hasDeliveredTokens()) {
@@ -75,14 +75,14 @@
         serviceQueues.all().forEach(serviceQueue -> dispatchQueued(serviceQueue, now));
     }
 
-    /** Takes that an agent stated it never started the attempt. */
+    /** Handles a report by an agent that it did not start the attempt. */
     void attemptNotStarted(ActiveRequest request, String detail, long now) {
         endAttempt(request, false, now);
-        requestTable.trace(request, now, "the agent did not start it: " + detail);
+        requestTable.trace(request, now, "the agent did not start the attempt: " + detail);
         retry(request, detail, now);
     }
 
-    /** Takes that an attempt was lost after it was sent. */
+    /** Handles the loss of an attempt after it was sent. */
     void attemptLost(ActiveRequest request, String detail, long now) {
         request.peer().ifPresent(peer -> peer.breaker().failed());
         endAttempt(request, true, now);
@@ -94,9 +94,9 @@
         retry(request, detail, now);
     }
 
-    /** Takes that the caller no longer wants the answer. */
+    /** Handles the cancellation of a request by its caller. */
     void cancel(ActiveRequest request, long now) {
-        // A claimed call goes on: the caller may ask again under its key and is then told what came of it.
+        // A claimed call continues: the caller may retry under its key and then receives the recorded outcome.
         if (request.ticket().isPresent() && request.peer().isPresent()) {
             return;
         }
@@ -111,7 +111,7 @@
         requestTable.endCancelled(request, now);
     }
 
-    /** Ends the current attempt, whatever came of it. */
+    /** Ends the current attempt, whatever its outcome. */
     void endAttempt(ActiveRequest request, boolean mayHaveRun, long now) {
         if (request.isGeneration()) {
             serviceQueues.of(request.document()).router().recordEnd(request, now);
@@ -119,7 +119,7 @@
         request.endAttempt(mayHaveRun);
     }
 
-    /** Learns from a whole generation. */
+    /** Records a complete answer in the circuit breaker and, for a generation, in the length estimates. */
     void recordSuccess(ActiveRequest request) {
         request.peer().ifPresent(peer -> peer.breaker().succeeded());
         if (request.isGeneration()) {
@@ -168,7 +168,7 @@
                     new Outcome.NotRun(
                             RefusalReason.NO_BACKEND,
                             NO_BACKEND_RETRY_AFTER,
-                            "No backend server of the service can be reached."),
+                            "No backend server of the service is available; retry later."),
                     now);
             return;
         }
@@ -185,14 +185,15 @@
                     now);
             return;
         }
-        // A stream that has begun is always finished; only work that has given nothing yet competes for retries.
+        // A partly delivered stream is retried regardless of the retry budget, which limits only requests that have
+        // delivered nothing yet.
         if (!request.hasDeliveredTokens() && retryBudgetOf(request).retry() instanceof RetryDecision.Spent spent) {
             giveUp(
                     request,
                     new Outcome.NotRun(
                             RefusalReason.RETRY_BUDGET_SPENT,
                             spent.comeBackAfter(),
-                            "The attempt failed and the team's budget for retries is spent: " + detail),
+                            "The attempt failed and the retry budget of the team is spent: " + detail),
                     now);
             return;
         }
@@ -202,13 +203,16 @@
 
     private void waitForBackend(ActiveRequest request, long now) {
         Optional<ActiveRequest> displaced = waitingRequests.add(request);
-        requestTable.trace(request, now, "waits for a backend server with room, " + waitingRequests.size() + " wait");
+        requestTable.trace(
+                request,
+                now,
+                "waiting for a backend server with capacity, " + waitingRequests.size() + " requests waiting");
         displaced.ifPresent(displacedRequest -> giveUp(
                 displacedRequest,
                 new Outcome.NotRun(
                         RefusalReason.OVERLOADED,
                         waitingRequests.estimatedTimeToEmpty(),
-                        "The queue is full and requests of greater weight go first."),
+                        "The queue is full and requests of greater weight take precedence."),
                 now));
     }
 
@@ -216,7 +220,7 @@
         giveUp(refusal.request(), refusal.outcome(), now);
     }
 
-    // "Not run" must be true: once an attempt may have run, only "unknown" is left.
+    // "Not run" must be true: once an attempt may have run, the only permitted outcome is "unknown".
     private void giveUp(ActiveRequest request, Outcome.NotRun refusal, long now) {
         if (request.mayHaveRun()) {
             requestTable.endUnknown(request, refusal.detail(), now);
@@ -230,7 +234,7 @@
         return new Outcome.NotRun(
                 RefusalReason.CANNOT_FINISH_IN_TIME,
                 waitingRequests.estimatedTimeToEmpty(),
-                "Its turn did not come before its deadline.");
+                "The request was still queued at its deadline.");
     }
 
     private boolean dispatchIfPossible(ActiveRequest request, long now) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatch.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatch.java
@@ -4,11 +4,11 @@
 import org.aspenmoor.internal.document.RequestKind;
 import org.aspenmoor.internal.document.ServiceDocument;
 
-/** Which service and kind a request belongs to. */
+/** The service and kind that a request was matched to. */
 sealed interface RequestMatch {
-    /** It belongs to a kind of a service. */
+    /** The request matches a kind of a service. */
     record Found(ServiceDocument document, RequestKind kind) implements RequestMatch {}
 
-    /** It belongs nowhere. */
+    /** The request matches no service or kind. */
     record NoMatch(Outcome.NotRun refusal) implements RequestMatch {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatcher.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestMatcher.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.document.RequestTraits;
 import org.aspenmoor.internal.document.ServiceDocument;
 
-/** Finds the service and kind of a request among the documents that its token opens, and no others. */
+/** Finds the service and kind of a request, only among the services that its token grants access to. */
 final class RequestMatcher {
     private static final Duration RETRY_NOT_USEFUL = Duration.ZERO;
 
@@ -23,7 +23,8 @@
     RequestMatch match(IncomingRequest request) {
         List<ServiceDocument> documents = documentIndex.findByToken(request.token());
         if (documents.isEmpty()) {
-            return noMatch(RefusalReason.NOT_AUTHORISED, "The token opens no service; send the team's token.");
+            return noMatch(
+                    RefusalReason.NOT_AUTHORISED, "The token grants access to no service; send the team's token.");
         }
         return switch (request.work()) {
             case CallerWork.Generation generation -> matchGeneration(documents, generation.request());
@@ -51,7 +52,8 @@
                 .findFirst();
         if (document.isEmpty()) {
             return noMatch(
-                    RefusalReason.NO_SUCH_SERVICE, "The team has no service '" + call.service() + "'; mend the path.");
+                    RefusalReason.NO_SUCH_SERVICE,
+                    "The team has no service '" + call.service() + "'; correct the path.");
         }
         return matchKind(
                 document.get(), new RequestTraits(Optional.empty(), Optional.empty(), call.method(), call.path(), 0));
@@ -62,7 +64,7 @@
         if (kind.isEmpty()) {
             return noMatch(
                     RefusalReason.NO_SUCH_SERVICE,
-                    "The service '" + document.service() + "' takes no request of this kind.");
+                    "The service '" + document.service() + "' accepts no request of this kind.");
         }
         return new RequestMatch.Found(document, kind.get());
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTable.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.wire.v1.AttemptId;
 import org.jboss.logging.Logger;
 
-/** The requests an entry holds; each that is put in leaves by exactly one of the ways out. */
+/** The active requests of an entry. Each request that is added ends by exactly one of the {@code end...} methods. */
 final class RequestTable {
     private static final Logger LOG = Logger.getLogger("entry");
 
@@ -31,7 +31,7 @@
         active.put(request.id(), request);
     }
 
-    /** Counts a request that was refused before it belonged to a service. */
+    /** Refuses and counts a request that was not matched to a service. */
     void refuseUnmatched(IncomingRequest request, Outcome.NotRun refusal) {
         requestCounts.received();
         requestCounts.ended(refusal);
@@ -44,7 +44,7 @@
         return Optional.ofNullable(active.get(id));
     }
 
-    /** Finds the request of a frame if the frame is of its current attempt. */
+    /** Returns the request of a frame if the frame belongs to its current attempt. */
     Optional<ActiveRequest> findByCurrentAttempt(AttemptId id) {
         return find(new RequestId(id.getRequestHigh(), id.getRequestLow()))
                 .filter(request -> request.assembly().isCurrent(id.getAttempt()))
@@ -72,7 +72,7 @@
     void endUnknown(ActiveRequest request, String detail, long now) {
         Outcome.Unknown unknown = new Outcome.Unknown(detail);
         end(request, unknown, now);
-        trace(request, now, "given up, nobody knows whether it ran: " + detail);
+        trace(request, now, "given up, unknown whether it ran: " + detail);
         request.sink().onUnknown(unknown);
     }
 
@@ -82,7 +82,7 @@
         }
         requestCounts.cancelled();
         metrics.recordCancellation(request.document(), request.kind());
-        trace(request, now, "cancelled, the caller has gone away");
+        trace(request, now, "cancelled, the caller disconnected");
     }
 
     void trace(ActiveRequest request, long now, String event) {
@@ -100,7 +100,7 @@
     void reportImbalance() {
         imbalance().ifPresent(imbalance -> {
             metrics.recordImbalance();
-            LOG.errorf("entry: account broken, %s", imbalance);
+            LOG.errorf("entry: request counts are inconsistent: %s", imbalance);
         });
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTrace.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestTrace.java
@@ -4,10 +4,10 @@
 import org.aspenmoor.RequestId;
 
 /**
- * What happened to a request, in sentences.
+ * The events of a request, as readable text.
  *
  * @param id the request
- * @param events each starts with the milliseconds since the request came
+ * @param events the events in order; each starts with the milliseconds since the request was received
  */
 public record RequestTrace(RequestId id, List<String> events) {
     public RequestTrace {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -19,7 +19,7 @@
 import org.aspenmoor.internal.routing.EngineSpeed;
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/** Generations of one service that wait for their first attempt, in the order that admission gives them. */
+/** Generations of one service that wait for their first attempt, in the order determined by admission. */
 final class ServiceQueue {
     private static final int TYPICAL_BATCH_SIZE = 16;
 
@@ -44,7 +44,7 @@
         return queue.size();
     }
 
-    /** Takes a request in; returns those that have to be refused, this one or others, with the answer for each. */
+    /** Enqueues a request; returns the requests to be refused, which may include this one, with their outcomes. */
     List<Refusal> offer(ActiveRequest request, long now) {
         List<Refusal> refusals = new ArrayList<>();
         WaitingWork work = waitingWork(request);
@@ -62,7 +62,7 @@
         return refusals;
     }
 
-    /** Decides on the request that is next; the caller repeats it while it gives a step that is not to wait. */
+    /** Decides on the next request. The caller repeats the call until it returns {@link QueueStep.Idle}. */
     QueueStep next(Predicate<String> isAvailable, long now) {
         Optional<WaitingWork> next = queue.next();
         if (next.isEmpty()) {
@@ -82,25 +82,25 @@
         };
     }
 
-    /** Takes a request out because it is being sent as decided. */
+    /** Removes a request that is dispatched as decided. */
     void recordDispatch(ActiveRequest request, RoutingDecision decision, long now) {
         queue.take(waiting.remove(request.id()).work(), now);
         router.recordDispatch(request, estimate(request), decision, now);
     }
 
-    /** Takes a request out because its caller has gone. */
+    /** Removes a request whose caller has disconnected. */
     void cancel(ActiveRequest request) {
         if (waiting.remove(request.id()) != null) {
             queue.cancel(request.id());
         }
     }
 
-    /** Learns the length of a whole answer. */
+    /** Updates the length estimates with a complete answer. */
     void recordAnswer(ActiveRequest request, int promptTokens, int outputTokens) {
         lengthEstimator.seen(request.kind().name(), promptTokens, 0, outputTokens);
     }
 
-    /** Decides where a request goes on that has had an attempt before; it does not wait behind others. */
+    /** Decides where to send a request that has had an attempt before; it does not queue behind others. */
     Optional<RoutingDecision> decideForRetry(ActiveRequest request, Predicate<String> isAvailable, long now) {
         return router.decide(request, estimate(request), isAvailable, now);
     }
@@ -127,6 +127,6 @@
         return new Outcome.NotRun(refused.reason(), refused.comeBackAfter(), refused.detail());
     }
 
-    /** A request that waits, as it stands in the queue. */
+    /** A waiting request and its entry in the admission queue. */
     private record Waiting(ActiveRequest request, WaitingWork work) {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueues.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.routing.Router;
 import org.aspenmoor.internal.routing.RouterSettings;
 
-/** The serviceQueue of each service, made when its first request or report comes. */
+/** The queue of each service, created with its first request or load report. */
 final class ServiceQueues implements PeerListener {
     private final DocumentRegistry registry;
     private final RouterSettings routerSettings;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjectHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/StoreObjectHandler.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.store.StoredObject;
 import org.jboss.logging.Logger;
 
-/** Turns the store's objects into what the event loop knows. */
+/** Applies changes of store objects to the state of the event loop. */
 final class StoreObjectHandler {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -32,7 +32,7 @@
             case AGENT_REGISTRATION ->
                 AgentRegistration.read(object).ifPresent(registration -> directory.register(registration, now));
             case HOST -> applyHost(object);
-            default -> LOG.debugf("entry: object %s is not for an entry", object.key());
+            default -> LOG.debugf("entry: ignoring object %s, which entries do not handle", object.key());
         }
     }
 
@@ -40,10 +40,11 @@
         switch (object.key().kind()) {
             case AGENT_REGISTRATION -> directory.unregister(object.key().name());
             case HOST -> directory.removeHost(object.key().name());
-            default -> LOG.infof("entry: object %s was deleted, what it said stays in force", object.key());
+            default -> LOG.infof("entry: object %s was deleted; its last content stays in force", object.key());
         }
     }
 
+    /** Handles the first complete listing of the objects of a kind. */
     void collectionListed(ObjectKind kind) {
         if (kind == ObjectKind.HOST) {
             directory.completeHostList();
@@ -69,7 +70,9 @@
                         document.team(), document.service(), document.revision());
             }
         } catch (StoreMalformedException malformed) {
-            LOG.errorf("entry: document %s is malformed, the one before stays: %s", object.key(), malformed.problem());
+            LOG.errorf(
+                    "entry: document %s is malformed; the previous one stays in force: %s",
+                    object.key(), malformed.problem());
         }
     }
 
@@ -79,7 +82,7 @@
             String name = host.path("name").asText(object.key().name());
             directory.updateHost(name, LEAVING.equals(host.path("state").asText()));
         } catch (JsonProcessingException malformed) {
-            LOG.warnf("entry: host %s is malformed, ignored", object.key());
+            LOG.warnf("entry: ignoring host %s, its JSON is malformed", object.key());
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/TraceLog.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/TraceLog.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.aspenmoor.RequestId;
 
-/** Remembers the latest requests' traces, so that an operator can ask why one was routed, refused or resumed. */
+/** Keeps the traces of the latest requests, so that an operator can see why one was routed, refused or resumed. */
 final class TraceLog {
     private static final int MAX_TRACES = 2000;
     private static final int MAX_EVENTS_PER_TRACE = 40;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/WaitingRequests.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/WaitingRequests.java
@@ -7,7 +7,10 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** Requests that wait for a backend server: greater weight first, then the nearer deadline. Bounded. */
+/**
+ * Requests that wait for a backend server, up to a limit. Partly delivered streams come first, then requests of greater
+ * weight, then those with the earlier deadline.
+ */
 final class WaitingRequests {
     private static final double SMOOTHING = 0.1;
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
@@ -25,7 +28,7 @@
         this.maxWaiting = maxWaiting;
     }
 
-    /** Lets a request in; returns the one that has to go for it, which may be the same. */
+    /** Adds a request; returns the request displaced by it, which may be the same one. */
     Optional<ActiveRequest> add(ActiveRequest request) {
         waiting.add(request);
         if (waiting.size() <= maxWaiting || waiting.last().hasDeliveredTokens()) {
@@ -46,14 +49,14 @@
         return waiting.size();
     }
 
-    /** Takes that a waiting request has started, for the estimate of how fast they start. */
+    /** Records the start of a waiting request, for the estimate of the start rate. */
     void recordStart(long now) {
         double seconds = (now - lastStartAt) / (double) Duration.ofSeconds(1).toNanos();
         secondsBetweenStarts = (1 - SMOOTHING) * secondsBetweenStarts + SMOOTHING * seconds;
         lastStartAt = now;
     }
 
-    /** Returns how long the requests now waiting will take to start. */
+    /** Returns the estimated time until all waiting requests have started. */
     Duration estimatedTimeToEmpty() {
         Duration estimate = Duration.ofMillis((long) (waiting.size() * secondsBetweenStarts * 1000));
         return estimate.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : estimate;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry: admission, routing and resuming of callers requests. */
+/** The entry: admission, routing and resumption of the requests of callers. */
 package org.aspenmoor.internal.entry;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/EngineSnapshot.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/EngineSnapshot.java
@@ -5,16 +5,16 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * An engine as the entry's event loop saw it at one moment.
+ * The state of an engine as known to the entry's event loop at one moment.
  *
- * @param name its name
- * @param service the service it serves
- * @param dataCentre where it stands
+ * @param name the name of the engine
+ * @param service the service it belongs to
+ * @param dataCentre the data centre it is located in
  * @param linked whether its agent is connected
- * @param ready whether it takes new work
+ * @param ready whether it accepts new work
  * @param role its role
- * @param loaded what it has in memory
- * @param running requests that generate on it
+ * @param loaded the labels of the models and adapters it has loaded
+ * @param running the number of sequences it is generating
  */
 public record EngineSnapshot(
         String name,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlanDrafter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlanDrafter.java
@@ -21,11 +21,11 @@
 import org.aspenmoor.internal.rollout.RolloutPolicy;
 
 /**
- * Drafts what a plan wants of each engine.
+ * Drafts the assignments of a role plan.
  *
- * <p>An engine that the rollout takes next is assigned everything that the document declares; one whose turn has not come
- * keeps what was assigned to it before. So a new version moves from engine to engine, and each engine's streams end
- * before it changes.
+ * <p>An engine that the rollout selects next is assigned everything that the document declares; the others keep their
+ * previous assignment. Thus a new version is rolled out engine by engine, and the streams of each engine end before it
+ * changes.
  */
 public final class PlanDrafter {
     private final LoadBudget budget;
@@ -71,8 +71,9 @@
                 .toList();
     }
 
-    // An engine that was assigned a load which it does not hold yet is taken already, though it still serves: its agent
-    // reads plans every few seconds. Without this a second engine would be taken meanwhile, and both be away at once.
+    // An engine that was assigned a load it has not loaded yet counts as draining although it still serves: its agent
+    // reads plans only every few seconds. Otherwise a second engine would be selected in the meantime, and both would
+    // be unavailable at once.
     private static EngineAvailability availability(EngineSnapshot engine, Map<String, EngineAssignment> previous) {
         if (!engine.linked()) {
             return EngineAvailability.GONE;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerWorker.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/planner/PlannerWorker.java
@@ -31,10 +31,10 @@
 import org.jboss.logging.Logger;
 
 /**
- * The thread that takes, holds and publishes role plans.
+ * The thread that acquires, holds and publishes role plans.
  *
- * <p>Any entry of a data centre may hold the plan of a service there. Each looks at a plan that it does not hold only
- * every few seconds, so that watching for a lapsed lease costs the store little.
+ * <p>Any entry of a data centre may hold the plan of a service there. An entry checks a plan that it does not hold only
+ * every few seconds, so that watching for an expired lease causes little load on the store.
  */
 public final class PlannerWorker implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("planner");
@@ -81,12 +81,12 @@
         thread.start();
     }
 
-    /** Returns who holds which plan, as far as this entry has seen. */
+    /** Returns the holders of the plans, as last seen by this entry. */
     public List<DutyStatus> duties() {
         return new ArrayList<>(duties.values());
     }
 
-    /** Stops the thread and gives up every lease, so that a successor need not wait for it to lapse. */
+    /** Stops the thread and releases its leases, so that a successor need not wait for them to expire. */
     @Override
     public void close() {
         closed.countDown();
@@ -124,12 +124,15 @@
         }
     }
 
-    // A store in trouble takes nothing away: the last plan stays in force, and this holder stops by its own clock.
+    // A store failure revokes nothing: the last plan stays in force, and this holder stops when its lease expires by
+    // its own clock.
     private void updatePlanOrLog(ServiceDocument document, List<EngineSnapshot> snapshots) {
         try {
             updatePlan(document, snapshots);
         } catch (StoreException storeFailure) {
-            LOG.debugf("planner: %s/%s: %s", document.team(), document.service(), storeFailure.problem());
+            LOG.debugf(
+                    "planner: could not update the plan of %s/%s: %s",
+                    document.team(), document.service(), storeFailure.problem());
         }
     }
 
@@ -161,7 +164,7 @@
         }
         if (holder.publish(next) instanceof PublishResult.Published published) {
             LOG.infof(
-                    "planner: published %s in %s, term %d revision %d",
+                    "planner: published the plan of %s in %s, term %d revision %d",
                     name,
                     dataCentre,
                     published.plan().version().term(),
@@ -184,12 +187,13 @@
             case HolderStep.Held held -> recordHolder(name, owner, held.term(), "held here");
             case HolderStep.Renewed renewed -> recordHolder(name, owner, renewed.term(), "held here");
             case HolderStep.Acquired acquired -> {
-                LOG.infof("planner: took the plan of %s in %s, term %d", name, dataCentre, acquired.term());
+                LOG.infof("planner: acquired the plan of %s in %s, term %d", name, dataCentre, acquired.term());
                 recordHolder(name, owner, acquired.term(), "held here");
             }
             case HolderStep.Observing observing ->
-                recordHolder(name, observing.owner(), 0, "seen from here, lapses unless renewed");
-            case HolderStep.Lost lost -> LOG.infof("planner: lost the plan of %s, term %d", name, lost.formerTerm());
+                recordHolder(name, observing.owner(), 0, "observed from here, expires unless renewed");
+            case HolderStep.Lost lost ->
+                LOG.infof("planner: lost the plan of %s, former term %d", name, lost.formerTerm());
         }
     }
 
@@ -221,7 +225,7 @@
         try {
             holder.resign();
         } catch (StoreException unavailable) {
-            LOG.debugf("planner: a lease was not given up, it lapses: %s", unavailable.problem());
+            LOG.debugf("planner: could not release a lease, it will expire: %s", unavailable.problem());
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/registration/AgentRegistration.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/registration/AgentRegistration.java
@@ -8,16 +8,16 @@
 import org.aspenmoor.internal.store.StoredObject;
 
 /**
- * Where an agent listens, as it wrote it into the store.
+ * The registration of an agent in the store: its backend server and the address of its link port.
  *
- * @param backend the backend server it stands beside
- * @param team the team it serves
- * @param service the service it serves
+ * @param backend the name of its backend server
+ * @param team the team that owns the service
+ * @param service the service it belongs to
  * @param host the host it runs on
- * @param dataCentre where it stands
- * @param address its IP number
- * @param port its link port
- * @param incarnation changes with every start of the agent
+ * @param dataCentre the data centre of the host
+ * @param address the IP address it listens on
+ * @param port the link port it listens on
+ * @param incarnation identifies one run of the agent process
  */
 public record AgentRegistration(
         String backend,
@@ -30,7 +30,7 @@
         String incarnation) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Reads a registration; empty where the object does not hold one. */
+    /** Reads a registration; empty if the object does not contain a valid one. */
     public static Optional<AgentRegistration> read(StoredObject object) {
         try {
             JsonNode json = MAPPER.readTree(object.value());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/registration/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/registration/package-info.java
@@ -1,2 +1,2 @@
-/** How agents make themselves known in the store. */
+/** The registrations of agents in the store. */
 package org.aspenmoor.internal.registration;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
@@ -60,8 +60,8 @@
         eventLoop.handle(new AgentMessage.LinkOpened(entry.link()));
     }
 
-    // A caller reads slowly. Without credit the agent would go on reading from the engine, and the whole answer would
-    // pile up in the memory of the entry.
+    // A caller reads slowly. Without credit the agent would continue to read from the engine, and the complete answer
+    // would accumulate in the memory of the entry.
     @Test
     public void should_send_no_more_chunks_than_the_credit_allows() {
         dispatch(FIRST, 2);
@@ -89,8 +89,8 @@
         assertEquals(last.getCount(), 2);
     }
 
-    // The engine has crashed and takes no connection. Nothing ran, and the agent says so, so that even a request that
-    // must not run twice can go elsewhere.
+    // The engine has crashed and refuses connections. Nothing ran, and the agent reports so, so that even a request
+    // that must not run twice can be sent to another server.
     @Test
     public void should_report_that_a_request_never_started_when_the_connection_failed() {
         dispatch(FIRST, 4);
@@ -100,7 +100,7 @@
         assertTrue(entry.sent().getLast().hasRefused());
     }
 
-    // A frame is delivered twice. Without the check the booking would be made twice under one name.
+    // A dispatch is delivered twice. Without the check the booking would be made twice under one attempt id.
     @Test
     public void should_refuse_a_dispatch_when_the_attempt_is_already_running() {
         dispatch(FIRST, 4);
@@ -110,7 +110,8 @@
         assertTrue(entry.sent().getLast().hasRefused());
     }
 
-    // The caller's deadline has passed on the way; an engine that worked on it would take room from live requests.
+    // The deadline of the request passed in transit; running it would take capacity from requests that can still
+    // finish.
     @Test
     public void should_refuse_a_dispatch_when_its_deadline_has_passed() {
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), dispatchFrame(FIRST, 4, 0)));
@@ -119,7 +120,7 @@
         assertTrue(entry.sent().getLast().hasRefused());
     }
 
-    // The entry was killed. Nobody takes its answers any more, and engines would go on generating for nobody.
+    // The entry was killed. Nobody receives its answers any more, and engines would continue to generate them.
     @Test
     public void should_cancel_calls_when_the_link_to_the_entry_closes() {
         dispatch(FIRST, 4);
@@ -130,7 +131,7 @@
         assertEquals(running.get(), 0);
     }
 
-    // The host is to be stopped. Cutting the stream would leave the caller with half a draft.
+    // The host will be stopped. Cutting the stream off would leave the caller with a partial answer.
     @Test
     public void should_finish_running_requests_and_refuse_new_ones_when_draining() {
         dispatch(FIRST, 4);
@@ -145,9 +146,9 @@
         assertTrue(drained.isDone());
     }
 
-    // An order is about to be given while a dispatch is still before the drain in the event loop's ring. If the count
-    // were
-    // trusted before the event loop has heard, the stream that is let in next would be cut by the order.
+    // An order is about to be sent while a dispatch is ahead of the drain in the ring buffer of the event loop. If the
+    // count were used before the event loop has processed the drain, the order would cut off the stream that is
+    // accepted next.
     @Test
     public void should_refuse_dispatches_while_the_order_thread_forbids_serving() {
         List<String> acknowledgements = new ArrayList<>();
@@ -161,8 +162,8 @@
         assertEquals(started, List.of(FIRST));
     }
 
-    // The host stops the whole process for a while, and another agent takes the engine over. Dispatches from before the
-    // pause wait in the ring; let in, they would be cut in the middle of the successor's change.
+    // The whole process is paused, and another agent takes over the engine. Dispatches from before the pause wait in
+    // the ring buffer; if accepted, they would be cut off by the order of the successor.
     @Test
     public void should_refuse_dispatches_after_a_pause_until_ownership_of_the_engine_is_confirmed() {
         time.advance(Duration.ofSeconds(6));
@@ -177,7 +178,8 @@
         assertEquals(started, List.of(FIRST));
     }
 
-    // The order thread was about to let work in when the process was paused, and does so after waking, not yet knowing.
+    // The order thread was about to permit work when the process was paused, and does so after the pause without
+    // knowing of it. Work accepted on this permission could be cut off by another agent that has taken over the engine.
     @Test
     public void should_ignore_a_permission_when_it_was_given_without_knowledge_of_a_pause() {
         drain.beginDrain();
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
@@ -44,8 +44,8 @@
         store = new InMemoryObjectStore();
     }
 
-    // The caller got its answer, and its client repeats the booking at another entry a moment later. The outcome is on
-    // its way to the store; the caller should be told what came of it and not that nobody knows.
+    // The caller received its answer, and its client retries the booking at another entry a moment later, before the
+    // outcome is in the store. The retry should receive the recorded outcome and not an unknown one.
     @Test
     public void should_return_the_recorded_answer_when_it_is_written_shortly_after_the_claim() {
         ClaimHandler firstHandler = handler(store, firstDecisions);
@@ -63,7 +63,7 @@
         assertTrue(secondDecisions.getFirst() instanceof ClaimVerdict.AlreadyAnswered);
     }
 
-    // The entry that ran the booking was killed before it could record anything. The repeat must not wait for ever.
+    // The entry that ran the booking was killed before it could record anything. The retry must not wait indefinitely.
     @Test
     public void should_report_an_unknown_outcome_after_the_last_recheck() {
         requestClaim(handler(store, firstDecisions), 1);
@@ -77,7 +77,7 @@
         assertTrue(secondDecisions.getFirst() instanceof ClaimVerdict.StillUnknown);
     }
 
-    // The store keeps silent, so every batch costs a whole time-out. Calls that come later are refused without it.
+    // The store is unresponsive, so every batch costs a full time-out. Later calls are refused without waiting for it.
     @Test
     public void should_refuse_without_a_store_call_after_the_store_has_failed() {
         SwitchableStore store = new SwitchableStore();
@@ -93,9 +93,8 @@
         assertEquals(store.callsWhileUnresponsive, 1);
     }
 
-    // Outcomes of calls that ran wait to be written when the store falls silent. A call that comes then would wait
-    // behind
-    // their time-outs, one after the other, before it is told that it did not run.
+    // Outcomes of completed calls wait to be written when the store becomes unresponsive. A call that arrives then
+    // would wait for their time-outs, one after the other, before it is refused as not run.
     @Test
     public void should_refuse_without_a_store_call_while_outcomes_wait_for_an_unresponsive_store() {
         SwitchableStore switched = new SwitchableStore();
@@ -120,8 +119,8 @@
         assertTrue(firstDecisions.getFirst() instanceof ClaimVerdict.NotClaimed);
     }
 
-    // Many narrators' booths are booked at once. Without the pace every claim would be a write of its own, and the
-    // entry's share of store calls would be gone before an operator's change gets through.
+    // Many bookings arrive at once. Without the commit rate every claim would be a write of its own, and would use up
+    // the share of store calls of the entry before a change by an operator is accepted.
     @Test
     public void should_combine_claims_in_one_commit_when_they_arrive_faster_than_the_commit_rate() {
         ClaimHandler handler = handler(store, firstDecisions, 1);
@@ -165,7 +164,7 @@
         return new ClaimHandler(committer, settings, breaker, time, commitsPerSecond, decisions::add);
     }
 
-    /** A store that answers until it is told to keep silent; each call then takes three seconds. */
+    /** A store that can be made unresponsive; each call then takes three seconds. */
     private final class SwitchableStore implements ObjectStore {
         private final InMemoryObjectStore delegate = new InMemoryObjectStore();
         private boolean unresponsive;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
@@ -46,11 +46,11 @@
         fixture.complete(engine, id, 0);
 
         assertEquals(caller.text(), "rain falls");
-        assertEquals(caller.end(), Optional.of("whole"));
+        assertEquals(caller.end(), Optional.of("complete"));
     }
 
-    // The engine's host loses power after two tokens. The caller goes on reading as if nothing had happened; the other
-    // engine is told what was delivered, and what the dead one still sends is dropped.
+    // An engine's host fails after two tokens. The caller's stream continues unchanged: the other engine receives what
+    // was delivered, and late frames of the failed engine are discarded.
     @Test
     public void should_resume_at_another_engine_without_duplicate_or_missing_tokens_when_a_link_closes() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
@@ -69,11 +69,11 @@
         assertEquals(resumed.getGeneration().getDeliveredTokens(), 2);
         assertEquals(resumed.getGeneration().getDeliveredText(), "rain falls ");
         assertEquals(caller.text(), "rain falls softly");
-        assertEquals(caller.end(), Optional.of("whole"));
+        assertEquals(caller.end(), Optional.of("complete"));
     }
 
-    // An engine dies in the middle of a rollout. Continued under the new version, the draft would go on in the words of
-    // another model from one sentence to the next.
+    // An engine fails during a rollout. Resumed under the new version, the text would be continued by a different
+    // model.
     @Test
     public void should_resume_a_stream_only_with_the_model_version_it_started_with() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting", "drafter@1");
@@ -89,9 +89,8 @@
         assertTrue(fixture.dispatchTo(oldVersion).isPresent());
     }
 
-    // A chunk is lost or damaged between two processes. The last frame's checksum shows it before the caller is told
-    // that
-    // the answer is whole.
+    // A chunk is lost or corrupted between two processes. The checksum in the last frame reveals it before the answer
+    // is reported as complete.
     @Test
     public void should_not_report_an_answer_as_complete_when_its_checksum_differs() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
@@ -105,7 +104,7 @@
         assertEquals(fixture.dispatchTo(first).orElseThrow().getId().getAttempt(), 2);
     }
 
-    // The link breaks after a booking was sent. It may have been made; sending it again could pay a narrator twice.
+    // The link closes after a booking was sent. The booking may have been made, and a retry could make it twice.
     @Test
     public void should_not_retry_a_non_idempotent_call_when_its_answer_was_lost() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
@@ -121,7 +120,7 @@
         assertTrue(fixture.dispatchTo(second).isEmpty());
     }
 
-    // The agent states that it never started the call, because its service takes no connection.
+    // The agent reports that it never started the call, because its service refuses connections.
     @Test
     public void should_retry_a_non_idempotent_call_at_another_server_when_it_never_started() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
@@ -137,7 +136,8 @@
         assertEquals(caller.end(), Optional.of("status 201"));
     }
 
-    // Two entries are asked to make the same booking. Before the store has granted the key, nothing may be sent.
+    // Two entries receive the same booking. Nothing may be dispatched before the store has granted the claim for the
+    // key.
     @Test
     public void should_dispatch_a_call_with_a_key_only_after_its_claim_was_granted() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
@@ -149,7 +149,8 @@
         assertTrue(fixture.dispatchTo(studioDesk).isPresent());
     }
 
-    // The store is down. Whether the key was used before cannot be known, so the call is refused at once and truly.
+    // While the store is unavailable, it is unknown whether the key was used before, so the call is refused at once as
+    // not run.
     @Test
     public void should_refuse_a_call_with_a_key_as_not_run_when_the_store_is_unavailable() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
@@ -164,7 +165,7 @@
         assertTrue(fixture.dispatchTo(studioDesk).isEmpty());
     }
 
-    // Another team's token is used, by mistake or not. It must neither reach the engines nor learn that they exist.
+    // A request with another team's token must neither reach the engines nor reveal that they exist.
     @Test
     public void should_reveal_nothing_about_a_service_when_the_token_is_not_authorised() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
@@ -176,7 +177,8 @@
         assertTrue(fixture.dispatchTo(engine).isEmpty());
     }
 
-    // The caller's connection is full. Credit goes back only for what it has taken, which holds the engine back.
+    // The caller's connection is full. Credit is returned only for what the caller has consumed, which slows the engine
+    // down.
     @Test
     public void should_return_credit_only_for_what_the_caller_has_consumed() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
@@ -204,7 +206,7 @@
         assertTrue(engine.sent().getLast().hasCancel());
     }
 
-    // A host is to be replaced and its agent says so. New requests must go elsewhere at once.
+    // An agent reports that its host will be replaced. New requests must be sent to other servers at once.
     @Test
     public void should_send_no_new_request_to_a_backend_server_that_reported_leaving() {
         EmbeddedLink leaving = fixture.connect("drafter-1", "drafting");
@@ -223,8 +225,8 @@
         assertTrue(fixture.dispatchTo(staying).isPresent());
     }
 
-    // An agent is paused by its host. Its connection stays open and silent; without probes the request would wait for
-    // the caller's own time-out.
+    // An agent is paused by its host. Its connection stays open without traffic; without probes the request would wait
+    // until the time-out of the caller.
     @Test
     public void should_retry_a_request_at_another_server_when_its_agent_stops_responding() {
         EmbeddedLink paused = fixture.connect("drafter-1", "drafting");
@@ -254,7 +256,7 @@
         fixture.complete(engine, id, 0);
 
         assertEquals(late.refusal().orElseThrow().reason(), RefusalReason.STOPPING);
-        assertEquals(held.end(), Optional.of("whole"));
+        assertEquals(held.end(), Optional.of("complete"));
         assertTrue(drained.isDone());
     }
 
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
@@ -47,7 +47,9 @@
 import org.aspenmoor.internal.wire.v1.Refused;
 import org.aspenmoor.internal.wire.v1.Started;
 
-/** An event loop with one service of each sort, two backend servers each, and links without a network. */
+/**
+ * An event loop with one engine service and one plain service, two backend servers each, and links without a network.
+ */
 final class EventLoopFixture {
     static final String TOKEN = "studio-token";
 
@@ -142,7 +144,7 @@
         return new RequestId(7, requestCount);
     }
 
-    /** Returns the one dispatch that a backend server was sent since last asked, if any. */
+    /** Returns the first dispatch sent to a backend server since the last call, if any. */
     Optional<Dispatch> dispatchTo(EmbeddedLink link) {
         return link.sent().stream()
                 .filter(Frame::hasDispatch)
@@ -251,17 +253,17 @@
     private static final class UnusedListener implements LinkListener {
         @Override
         public void opened(org.aspenmoor.internal.link.Link link) {
-            throw new AssertionError("no process listens in this test");
+            throw new AssertionError("unexpected link event: no process listens in this test");
         }
 
         @Override
         public void received(org.aspenmoor.internal.link.Link link, Frame frame) {
-            throw new AssertionError("no process listens in this test");
+            throw new AssertionError("unexpected link event: no process listens in this test");
         }
 
         @Override
         public void closed(org.aspenmoor.internal.link.Link link, String cause) {
-            throw new AssertionError("no process listens in this test");
+            throw new AssertionError("unexpected link event: no process listens in this test");
         }
     }
 }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/RecordingSink.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/RecordingSink.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.aspenmoor.Outcome;
 
-/** Keeps what a caller would have been given. */
+/** Records what the caller would receive. */
 final class RecordingSink implements CallerSink {
     private final List<String> pieces = new ArrayList<>();
     private Optional<String> end = Optional.empty();
@@ -13,7 +13,7 @@
     private boolean reading = true;
     private int consumed;
 
-    /** Stops reading, as a caller with a full connection does. */
+    /** Stops consuming pieces, like a caller whose connection is full. */
     void stopReading() {
         reading = false;
     }
@@ -45,7 +45,7 @@
 
     @Override
     public void onGenerationComplete(String finishReason, int promptTokens, int outputTokens) {
-        end = Optional.of("whole");
+        end = Optional.of("complete");
     }
 
     @Override
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/planner/PlanDrafterTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/planner/PlanDrafterTest.java
@@ -32,9 +32,9 @@
         assertEquals(next, Map.of("drafter-1", NEW, "drafter-2", OLD));
     }
 
-    // The first engine was assigned the new version, but its agent reads plans only every few seconds, and meanwhile
-    // the
-    // other one has become the less busy. If it were taken too, both would be away at once and callers be refused.
+    // The first engine was assigned the new version, but its agent reads plans only every few seconds, and the other
+    // engine has become the less busy one. Changing it too would make both unavailable at once, and callers would be
+    // refused.
     @Test
     public void should_change_no_second_engine_while_the_first_has_not_loaded() {
         Map<String, EngineAssignment> first = Map.of("drafter-1", NEW, "drafter-2", OLD);
