--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
@@ -31,7 +31,7 @@
 
     private final AgentSettings settings;
     private final BackendCaller caller;
-    private final LoadReportFilter loadReports;
+    private final LoadReportFilter loadReportFilter;
     private final AgentMetrics metrics;
     private final DispatchCounts dispatchCounts;
     private final Map<AttemptKey, RunningAttempt> running = new HashMap<>();
@@ -45,7 +45,7 @@
     AgentEventLoop(
             AgentSettings settings,
             BackendCaller caller,
-            LoadReportFilter loadReports,
+            LoadReportFilter loadReportFilter,
             IntConsumer runningChanged,
             PauseGuard pauseGuard,
             AgentMetrics metrics) {
@@ -55,7 +55,7 @@
         this.runningChanged = runningChanged;
         this.settings = settings;
         this.caller = caller;
-        this.loadReports = loadReports;
+        this.loadReportFilter = loadReportFilter;
     }
 
     @Override
@@ -72,9 +72,9 @@
             case AgentMessage.PiecesArrived arrived -> forwardPieces(arrived);
             case AgentMessage.AnswerEnded ended -> handleAnswerEnd(ended.key(), ended.end());
             case AgentMessage.StatusRead statusRead ->
-                loadReports.statusRead(statusRead.status()).ifPresent(this::sendToAll);
+                loadReportFilter.statusRead(statusRead.status()).ifPresent(this::sendToAll);
             case AgentMessage.StatusMissing statusMissing ->
-                loadReports.statusMissing(statusMissing.cause()).ifPresent(this::sendToAll);
+                loadReportFilter.statusMissing(statusMissing.cause()).ifPresent(this::sendToAll);
             case AgentMessage.ServingAllowed serving -> handleServingAllowed(serving);
             case AgentMessage.Tick ignored -> logImbalance();
             case AgentMessage.DrainAsked requested -> drain(requested);
@@ -94,12 +94,12 @@
 
     private void setServingAllowed(boolean allowed) {
         servingAllowed = allowed;
-        loadReports.setServingAllowed(allowed).ifPresent(this::sendToAll);
+        loadReportFilter.setServingAllowed(allowed).ifPresent(this::sendToAll);
     }
 
     private void linkOpened(Link link) {
         links.add(link);
-        loadReports.latest().ifPresent(link::send);
+        loadReportFilter.latest().ifPresent(link::send);
         leavingReason.ifPresent(reason -> link.send(leavingFrame(reason)));
     }
 
@@ -131,7 +131,7 @@
     private void dispatch(Link link, Dispatch dispatch) {
         AttemptKey key = AttemptKey.of(dispatch.getId());
         dispatchCounts.recordReceived();
-        Optional<Refused.Builder> refusal = refusalReason(link, dispatch, key);
+        Optional<Refused.Builder> refusal = findRefusal(link, dispatch, key);
         if (refusal.isPresent()) {
             dispatchCounts.recordRefused();
             link.send(Frame.newBuilder()
@@ -143,7 +143,7 @@
         running.put(key, new RunningAttempt(key, link, call, dispatch.getChunkCredit()));
     }
 
-    private Optional<Refused.Builder> refusalReason(Link link, Dispatch dispatch, AttemptKey key) {
+    private Optional<Refused.Builder> findRefusal(Link link, Dispatch dispatch, AttemptKey key) {
         if (leavingReason.isPresent()) {
             return Optional.of(refusal(RefusalReason.STOPPING, RETRY_AFTER_MILLISECONDS, leavingReason.get()));
         }
@@ -305,7 +305,7 @@
         dump.put("leaving", leavingReason.orElse(""));
         var linkNames = dump.putArray("links");
         links.forEach(link -> linkNames.add(link.toString()));
-        dump.set("load", loadReports.dump());
+        dump.set("load", loadReportFilter.dump());
         return dump;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestDispatcher.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/RequestDispatcher.java
@@ -153,7 +153,7 @@
             refusedByBreaker.add(decision.backend());
             return;
         }
-        serviceQueue.recordDispatch(request, decision, now);
+        serviceQueue.removeDispatched(request, decision, now);
         requestTable.trace(request, now, decision.reason());
         dispatch(request, peer.get(), now);
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -83,7 +83,7 @@
     }
 
     /** Removes a request that is dispatched as decided. */
-    void recordDispatch(ActiveRequest request, RoutingDecision decision, long now) {
+    void removeDispatched(ActiveRequest request, RoutingDecision decision, long now) {
         queue.take(waiting.remove(request.id()).work(), now);
         router.recordDispatch(request, estimate(request), decision, now);
     }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/claims/ClaimHandlerTest.java
@@ -38,7 +38,7 @@
     private long seeds;
 
     @BeforeMethod
-    public void begin() {
+    public void createStore() {
         firstDecisions.clear();
         secondDecisions.clear();
         store = new InMemoryObjectStore();
