--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/AdministrationApi.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/AdministrationApi.java
@@ -27,7 +27,7 @@
     private static final Logger LOG = Logger.getLogger("administration");
     private static final String JSON = "application/json";
     // A stored document carries its acceptance too and must stay within a value of the store, a megabyte.
-    private static final int MOST_BODY_BYTES = 700 * 1024;
+    private static final int MAX_BODY_BYTES = 700 * 1024;
 
     private final OperatorTokens tokens;
     private final List<Endpoint> endpoints;
@@ -67,7 +67,7 @@
                         "Look it up in /admin/v1/openapi.json."))));
     }
 
-    private void handle(Context context, List<Endpoint> sharingPath) {
+    private void handle(Context context, List<Endpoint> endpointsOfPath) {
         Optional<String> authorization =
                 Optional.ofNullable(context.getRequest().getHeaders().get("Authorization"));
         Optional<Operator> operator = tokens.find(authorization);
@@ -76,31 +76,31 @@
             return;
         }
         String method = context.getRequest().getMethod().getName();
-        Optional<Endpoint> endpoint = sharingPath.stream()
+        Optional<Endpoint> endpoint = endpointsOfPath.stream()
                 .filter(candidate -> candidate.method().equals(method))
                 .findFirst();
         if (endpoint.isEmpty()) {
             send(context, ErrorAnswers.of(RequestRefusedException.methodNotAllowed(method)));
             return;
         }
-        answer(context, operator.get(), endpoint.get());
+        dispatch(context, operator.get(), endpoint.get());
     }
 
-    private static void answer(Context context, Operator operator, Endpoint endpoint) {
+    private static void dispatch(Context context, Operator operator, Endpoint endpoint) {
         LimitedBody.read(
                         context,
-                        MOST_BODY_BYTES,
-                        () -> send(context, ErrorAnswers.of(RequestRefusedException.tooLarge(MOST_BODY_BYTES))))
-                .map(body -> request(context, operator, body.getText(StandardCharsets.UTF_8)))
-                .flatMap(request -> Blocking.get(() -> call(endpoint, request)))
+                        MAX_BODY_BYTES,
+                        () -> send(context, ErrorAnswers.of(RequestRefusedException.tooLarge(MAX_BODY_BYTES))))
+                .map(body -> toApiRequest(context, operator, body.getText(StandardCharsets.UTF_8)))
+                .flatMap(request -> Blocking.get(() -> invoke(endpoint, request)))
                 .onError(fault -> {
                     LOG.errorf(fault, "administration: %s %s failed", endpoint.method(), endpoint.path());
-                    send(context, ErrorAnswers.of(internal(fault)));
+                    send(context, ErrorAnswers.of(internalError(fault)));
                 })
                 .then(answer -> send(context, answer));
     }
 
-    private static ApiAnswer call(Endpoint endpoint, ApiRequest request) {
+    private static ApiAnswer invoke(Endpoint endpoint, ApiRequest request) {
         try {
             return endpoint.handler().handle(request);
         } catch (AspenmoorException error) {
@@ -111,7 +111,7 @@
         }
     }
 
-    private static ApiRequest request(Context context, Operator operator, String body) {
+    private static ApiRequest toApiRequest(Context context, Operator operator, String body) {
         Map<String, String> query = new HashMap<>();
         context.getRequest().getQueryParams().forEach(query::put);
         return new ApiRequest(
@@ -122,7 +122,7 @@
                 body);
     }
 
-    private static AspenmoorException internal(Throwable fault) {
+    private static AspenmoorException internalError(Throwable fault) {
         return new AspenmoorException(
                 "The entry met an error of its own: " + fault.getClass().getSimpleName() + ".",
                 "administration API",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ApiRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ApiRequest.java
@@ -19,7 +19,7 @@
         Map<String, String> query,
         Optional<String> ifMatch,
         String body) {
-    private static final String QUOTES_AROUND = "^\"|\"$";
+    private static final String SURROUNDING_QUOTES = "^\"|\"$";
 
     /** Returns a named part of the path. */
     String pathToken(String name) {
@@ -37,33 +37,33 @@
 
     /** Returns the revision in the path. */
     long revision() throws RequestRefusedException {
-        return number("revision", pathToken("revision"));
+        return parseNumber("revision", pathToken("revision"));
     }
 
     /** Returns the revision that the operator read. */
-    long readRevision() throws RequestRefusedException {
+    long expectedRevision() throws RequestRefusedException {
         if (ifMatch.isEmpty()) {
-            throw RequestRefusedException.readRevisionMissing();
+            throw RequestRefusedException.expectedRevisionMissing();
         }
-        return number("If-Match", ifMatch.get().replaceAll(QUOTES_AROUND, ""));
+        return parseNumber("If-Match", ifMatch.get().replaceAll(SURROUNDING_QUOTES, ""));
     }
 
     /** Returns a number of the query within bounds. */
-    int queryNumber(String name, int fallback, int most) throws RequestRefusedException {
+    int queryNumber(String name, int defaultValue, int max) throws RequestRefusedException {
         String text = query.get(name);
         if (text == null) {
-            return fallback;
+            return defaultValue;
         }
-        return (int) Math.clamp(number(name, text), 1, most);
+        return (int) Math.clamp(parseNumber(name, text), 1, max);
     }
 
     /** Says whether a filter of the query lets a value pass. */
-    boolean passes(String name, String value) {
-        String wanted = query.get(name);
-        return wanted == null || wanted.equals(value);
+    boolean matchesFilter(String name, String value) {
+        String filter = query.get(name);
+        return filter == null || filter.equals(value);
     }
 
-    private static long number(String name, String text) throws RequestRefusedException {
+    private static long parseNumber(String name, String text) throws RequestRefusedException {
         try {
             long number = Long.parseLong(text);
             if (number >= 0) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
@@ -17,9 +17,9 @@
 
 /** Reading and changing documents. */
 final class DocumentEndpoints {
-    private static final String ONE = "documents/:team/:service";
+    private static final String DOCUMENT_PATH = "documents/:team/:service";
     private static final int DEFAULT_REVISIONS = 20;
-    private static final int MOST_REVISIONS = 50;
+    private static final int MAX_REVISIONS = 50;
 
     private final DocumentAcceptance acceptance;
     private final DocumentRegistry registry;
@@ -32,13 +32,13 @@
     List<Endpoint> all() {
         return List.of(
                 new Endpoint("GET", "documents", this::list),
-                new Endpoint("GET", ONE, this::read),
-                new Endpoint("PUT", ONE, this::accept),
-                new Endpoint("POST", ONE + "/check", this::check),
-                new Endpoint("POST", ONE + "/propose", this::propose),
-                new Endpoint("GET", ONE + "/history", this::history),
-                new Endpoint("GET", ONE + "/history/:revision", this::revision),
-                new Endpoint("POST", ONE + "/revert/:revision", this::revert));
+                new Endpoint("GET", DOCUMENT_PATH, this::read),
+                new Endpoint("PUT", DOCUMENT_PATH, this::accept),
+                new Endpoint("POST", DOCUMENT_PATH + "/check", this::check),
+                new Endpoint("POST", DOCUMENT_PATH + "/propose", this::propose),
+                new Endpoint("GET", DOCUMENT_PATH + "/history", this::history),
+                new Endpoint("GET", DOCUMENT_PATH + "/history/:revision", this::revision),
+                new Endpoint("POST", DOCUMENT_PATH + "/revert/:revision", this::revert));
     }
 
     /** Lists what this process serves by; the store would send thousands of whole documents for the same answer. */
@@ -46,7 +46,7 @@
         ArrayNode documents = JsonNodeFactory.instance.arrayNode();
         for (DocumentInForce inForce : registry.all()) {
             if (request.operator().scope().covers(inForce.document().team())) {
-                documents.add(DocumentAnswers.heading(inForce.document())
+                documents.add(DocumentJson.summary(inForce.document())
                         .put("since", inForce.since().toString()));
             }
         }
@@ -63,7 +63,7 @@
                         "The service has no document.",
                         name.toString(),
                         "Check the names, or accept a first document."));
-        return ApiAnswer.ofRevision(stored.document().revision(), DocumentAnswers.whole(stored));
+        return ApiAnswer.ofRevision(stored.document().revision(), DocumentJson.complete(stored));
     }
 
     private ApiAnswer check(ApiRequest request) throws AspenmoorException {
@@ -80,30 +80,30 @@
                 .read(name)
                 .map(stored -> stored.document().revision())
                 .orElse(0L);
-        long readRevision = request.ifMatch().isPresent() ? request.readRevision() : current;
-        ProposedDocument proposed = acceptance.propose(proposal(request, readRevision));
-        ObjectNode body = DocumentAnswers.heading(proposed.document().withRevision(proposed.currentRevision()));
-        body.set("changes", DocumentAnswers.changes(proposed.difference()));
+        long expectedRevision = request.ifMatch().isPresent() ? request.expectedRevision() : current;
+        ProposedDocument proposed = acceptance.propose(proposal(request, expectedRevision));
+        ObjectNode body = DocumentJson.summary(proposed.document().withRevision(proposed.currentRevision()));
+        body.set("changes", DocumentJson.changes(proposed.difference()));
         return ApiAnswer.ofRevision(proposed.currentRevision(), body);
     }
 
     private ApiAnswer accept(ApiRequest request) throws AspenmoorException {
-        return accepted(acceptance.accept(proposal(request, request.readRevision())));
+        return acceptedAnswer(acceptance.accept(proposal(request, request.expectedRevision())));
     }
 
     private ApiAnswer revert(ApiRequest request) throws AspenmoorException {
-        return accepted(acceptance.revert(
+        return acceptedAnswer(acceptance.revert(
                 request.service(),
                 request.revision(),
-                request.readRevision(),
+                request.expectedRevision(),
                 request.operator().name()));
     }
 
     private ApiAnswer history(ApiRequest request) throws AspenmoorException {
-        int limit = request.queryNumber("limit", DEFAULT_REVISIONS, MOST_REVISIONS);
+        int limit = request.queryNumber("limit", DEFAULT_REVISIONS, MAX_REVISIONS);
         ArrayNode revisions = JsonNodeFactory.instance.arrayNode();
         for (StoredDocument stored : acceptance.history(request.service(), limit)) {
-            revisions.add(DocumentAnswers.revision(stored));
+            revisions.add(DocumentJson.revision(stored));
         }
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         body.set("revisions", revisions);
@@ -112,21 +112,21 @@
 
     private ApiAnswer revision(ApiRequest request) throws AspenmoorException {
         StoredDocument stored = acceptance.revision(request.service(), request.revision());
-        return ApiAnswer.ofRevision(stored.document().revision(), DocumentAnswers.whole(stored));
+        return ApiAnswer.ofRevision(stored.document().revision(), DocumentJson.complete(stored));
     }
 
-    private static DocumentProposal proposal(ApiRequest request, long readRevision) throws RequestRefusedException {
+    private static DocumentProposal proposal(ApiRequest request, long expectedRevision) throws RequestRefusedException {
         return new DocumentProposal(
                 request.service(),
                 request.body(),
-                readRevision,
+                expectedRevision,
                 request.operator().name());
     }
 
-    private static ApiAnswer accepted(AcceptedDocument accepted) {
-        ObjectNode body = DocumentAnswers.heading(accepted.stored().document());
+    private static ApiAnswer acceptedAnswer(AcceptedDocument accepted) {
+        ObjectNode body = DocumentJson.summary(accepted.stored().document());
         body.put("historyRecorded", accepted.historyRecorded());
-        body.set("changes", DocumentAnswers.changes(accepted.difference()));
+        body.set("changes", DocumentJson.changes(accepted.difference()));
         return ApiAnswer.ofRevision(accepted.stored().document().revision(), body);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentJson.java
@@ -13,12 +13,12 @@
 import org.aspenmoor.internal.document.StoredDocument;
 
 /** Writes documents, their acceptance and their differences as JSON. */
-final class DocumentAnswers {
+final class DocumentJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private DocumentAnswers() {}
+    private DocumentJson() {}
 
-    static ObjectNode heading(ServiceDocument document) {
+    static ObjectNode summary(ServiceDocument document) {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("team", document.team())
@@ -27,7 +27,7 @@
     }
 
     static ObjectNode revision(StoredDocument stored) {
-        ObjectNode node = heading(stored.document());
+        ObjectNode node = summary(stored.document());
         stored.acceptance().ifPresent(acceptance -> {
             node.put("acceptedBy", acceptance.by());
             node.put("acceptedAt", acceptance.at().toString());
@@ -36,7 +36,7 @@
         return node;
     }
 
-    static ObjectNode whole(StoredDocument stored) {
+    static ObjectNode complete(StoredDocument stored) {
         ObjectNode node = revision(stored);
         node.set("document", document(stored.document()));
         return node;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
@@ -31,7 +31,7 @@
     private final String dataCentre;
     private final DocumentRegistry registry;
     private final KindCounts counts;
-    private final Supplier<CompletableFuture<ObjectNode>> eventLoop;
+    private final Supplier<CompletableFuture<ObjectNode>> dumpSupplier;
     private final Function<RequestId, CompletableFuture<Optional<List<String>>>> traces;
     private final Supplier<List<DutyStatus>> duties;
 
@@ -40,14 +40,14 @@
             String dataCentre,
             DocumentRegistry registry,
             KindCounts counts,
-            Supplier<CompletableFuture<ObjectNode>> eventLoop,
+            Supplier<CompletableFuture<ObjectNode>> dumpSupplier,
             Function<RequestId, CompletableFuture<Optional<List<String>>>> traces,
             Supplier<List<DutyStatus>> duties) {
         this.process = process;
         this.dataCentre = dataCentre;
         this.registry = registry;
         this.counts = counts;
-        this.eventLoop = eventLoop;
+        this.dumpSupplier = dumpSupplier;
         this.traces = traces;
         this.duties = duties;
     }
@@ -68,7 +68,7 @@
     @Override
     public List<BackendStatus> backends() {
         List<BackendStatus> backends = new ArrayList<>();
-        for (JsonNode node : dumpOfEventLoop().path("backends")) {
+        for (JsonNode node : eventLoopDump().path("backends")) {
             backends.add(new BackendStatus(
                     node.path("backend").asText(),
                     new ServiceName(
@@ -96,8 +96,8 @@
     }
 
     @Override
-    public Optional<JsonNode> dump(String wanted) {
-        return wanted.equals(process) ? Optional.of(dumpOfEventLoop()) : Optional.empty();
+    public Optional<JsonNode> dump(String processName) {
+        return processName.equals(process) ? Optional.of(eventLoopDump()) : Optional.empty();
     }
 
     @Override
@@ -154,20 +154,20 @@
         return Optional.empty();
     }
 
-    private ObjectNode dumpOfEventLoop() {
-        return await(eventLoop.get(), JsonNodeFactory.instance.objectNode());
+    private ObjectNode eventLoopDump() {
+        return await(dumpSupplier.get(), JsonNodeFactory.instance.objectNode());
     }
 
     /** A eventLoop that is stuck must not hold the threads that answer operators; its part of the status is left out. */
-    private static <T> T await(CompletableFuture<T> answer, T fallback) {
+    private static <T> T await(CompletableFuture<T> answer, T defaultValue) {
         try {
             return answer.get(EVENT_LOOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            return fallback;
-        } catch (ExecutionException | TimeoutException silent) {
-            LOG.warnf("administration: the event loop gave no answer, %s", silent);
-            return fallback;
+            return defaultValue;
+        } catch (ExecutionException | TimeoutException failure) {
+            LOG.warnf("administration: the event loop gave no answer, %s", failure);
+            return defaultValue;
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
@@ -31,13 +31,13 @@
         return switch (error) {
             case FindingsException mistakes -> ofFindings(mistakes);
             case DocumentConflictException conflict -> ofConflict(conflict);
-            case DocumentNotFoundException missing -> answer(NOT_FOUND, missing);
+            case DocumentNotFoundException notFound -> answer(NOT_FOUND, notFound);
             case DocumentOutcomeUnknownException unknown -> ofUnknown(unknown);
             case RequestRefusedException refused -> answer(refused.status(), refused);
-            case StoreUnavailableException down -> comeBack(down);
-            case StoreBudgetException spent -> comeBack(spent);
+            case StoreUnavailableException unavailable -> retryLater(unavailable);
+            case StoreBudgetException overBudget -> retryLater(overBudget);
             // Only the record of the revision before the change was being written.
-            case StoreOutcomeUnknownException beforeTheChange -> comeBack(beforeTheChange);
+            case StoreOutcomeUnknownException beforeChange -> retryLater(beforeChange);
             default -> answer(INTERNAL, error);
         };
     }
@@ -80,8 +80,8 @@
         return new ApiAnswer(GATEWAY_TIMEOUT, body, Map.of());
     }
 
-    private static ApiAnswer comeBack(AspenmoorException storeTrouble) {
-        return new ApiAnswer(UNAVAILABLE, body(storeTrouble), RETRY_AFTER);
+    private static ApiAnswer retryLater(AspenmoorException storeError) {
+        return new ApiAnswer(UNAVAILABLE, body(storeError), RETRY_AFTER);
     }
 
     private static ApiAnswer answer(int status, AspenmoorException error) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorTokens.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorTokens.java
@@ -8,7 +8,7 @@
 
 /** Finds the operator who holds a token. */
 public final class OperatorTokens {
-    private static final String SCHEME = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final List<Operator> operators;
 
@@ -18,11 +18,11 @@
 
     /** Returns the operator of an {@code Authorization} header; empty where the token is missing or unknown. */
     public Optional<Operator> find(Optional<String> authorization) {
-        if (authorization.isEmpty() || !authorization.get().startsWith(SCHEME)) {
+        if (authorization.isEmpty() || !authorization.get().startsWith(BEARER_PREFIX)) {
             return Optional.empty();
         }
-        byte[] hash = bytes(
-                TokenHash.of(authorization.get().substring(SCHEME.length()).strip()));
+        byte[] hash = bytes(TokenHash.of(
+                authorization.get().substring(BEARER_PREFIX.length()).strip()));
         Optional<Operator> found = Optional.empty();
         // Every hash is compared in constant time, so that the time taken tells nothing about them.
         for (Operator operator : operators) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestRefusedException.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestRefusedException.java
@@ -52,7 +52,7 @@
                 "Look the path up in /admin/v1/openapi.json.");
     }
 
-    static RequestRefusedException readRevisionMissing() {
+    static RequestRefusedException expectedRevisionMissing() {
         return new RequestRefusedException(
                 PRECONDITION_REQUIRED,
                 "The change does not say which revision was read.",
@@ -60,10 +60,10 @@
                 "Send the header If-Match with the revision that you read and changed, or 0 for a first document.");
     }
 
-    static RequestRefusedException tooLarge(int mostBytes) {
+    static RequestRefusedException tooLarge(int maxBytes) {
         return new RequestRefusedException(
                 TOO_LARGE,
-                "The body is longer than " + mostBytes + " bytes.",
+                "The body is longer than " + maxBytes + " bytes.",
                 "body",
                 "Shorten the document, or split the service.");
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusEndpoints.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusEndpoints.java
@@ -30,11 +30,11 @@
     }
 
     private ApiAnswer status(ApiRequest request) {
-        ObjectNode body = StatusAnswers.object().put("process", source.process());
+        ObjectNode body = StatusJson.object().put("process", source.process());
         ArrayNode services = body.putArray("services");
         for (ServiceStatus service : source.services()) {
             if (isShown(request, service.name())) {
-                services.add(StatusAnswers.service(service, registry.revision(service.name())));
+                services.add(StatusJson.service(service, registry.revision(service.name())));
             }
         }
         body.set("engines", backends(request));
@@ -42,40 +42,40 @@
     }
 
     private ApiAnswer engines(ApiRequest request) {
-        ObjectNode body = StatusAnswers.object();
+        ObjectNode body = StatusJson.object();
         body.set("engines", backends(request));
         return ApiAnswer.ok(body);
     }
 
     private ArrayNode backends(ApiRequest request) {
-        ArrayNode backends = StatusAnswers.object().arrayNode();
+        ArrayNode backends = StatusJson.object().arrayNode();
         for (BackendStatus backend : source.backends()) {
             if (isShown(request, backend.service())
-                    && request.passes("dataCentre", backend.dataCentre())
-                    && request.passes("engine", backend.name())) {
-                backends.add(StatusAnswers.backend(backend));
+                    && request.matchesFilter("dataCentre", backend.dataCentre())
+                    && request.matchesFilter("engine", backend.name())) {
+                backends.add(StatusJson.backend(backend));
             }
         }
         return backends;
     }
 
     private ApiAnswer duties(ApiRequest request) throws AspenmoorException {
-        ObjectNode body = StatusAnswers.object();
+        ObjectNode body = StatusJson.object();
         ArrayNode duties = body.putArray("duties");
         for (DutyStatus duty : source.duties()) {
-            if (isShown(request, duty) && request.passes("dataCentre", duty.dataCentre())) {
-                duties.add(StatusAnswers.duty(duty));
+            if (isShown(request, duty) && request.matchesFilter("dataCentre", duty.dataCentre())) {
+                duties.add(StatusJson.duty(duty));
             }
         }
         return ApiAnswer.ok(body);
     }
 
     private ApiAnswer inForce(ApiRequest request) {
-        ObjectNode body = StatusAnswers.object();
+        ObjectNode body = StatusJson.object();
         ArrayNode processes = body.putArray("inForce");
         for (ProcessRevision revision : source.revisions()) {
-            if (isShown(request, revision.service()) && request.passes("dataCentre", revision.dataCentre())) {
-                processes.add(StatusAnswers.revision(revision));
+            if (isShown(request, revision.service()) && request.matchesFilter("dataCentre", revision.dataCentre())) {
+                processes.add(StatusJson.revision(revision));
             }
         }
         return ApiAnswer.ok(body);
@@ -101,7 +101,7 @@
                         "request", "\"" + text + "\" is no request identity of 32 hexadecimal digits."));
         Optional<RequestExplanation> explanation =
                 source.explain(id).filter(found -> isShown(request.operator().scope(), found));
-        ObjectNode body = StatusAnswers.object().put("request", id.toString());
+        ObjectNode body = StatusJson.object().put("request", id.toString());
         explanation
                 .orElseThrow(() -> RequestRefusedException.unknown(
                         "This entry does not remember the request.",
@@ -123,13 +123,13 @@
     private static boolean isShown(ApiRequest request, DutyStatus duty) {
         boolean covered = duty.team().map(request.operator().scope()::covers).orElse(true);
         return covered
-                && request.passes("team", duty.team().orElse(""))
-                && request.passes("service", duty.service().orElse(""));
+                && request.matchesFilter("team", duty.team().orElse(""))
+                && request.matchesFilter("service", duty.service().orElse(""));
     }
 
     private static boolean isShown(ApiRequest request, ServiceName name) {
         return request.operator().scope().covers(name)
-                && request.passes("team", name.team())
-                && request.passes("service", name.service());
+                && request.matchesFilter("team", name.team())
+                && request.matchesFilter("service", name.service());
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusJson.java
@@ -6,15 +6,15 @@
 import org.aspenmoor.internal.document.ServiceName;
 
 /** Writes status as JSON. */
-final class StatusAnswers {
-    private StatusAnswers() {}
+final class StatusJson {
+    private StatusJson() {}
 
     static ObjectNode object() {
         return JsonNodeFactory.instance.objectNode();
     }
 
     static ObjectNode service(ServiceStatus status, long revision) {
-        ObjectNode node = named(status.name());
+        ObjectNode node = serviceFields(status.name());
         node.put("revision", revision);
         for (KindStatus kind : status.kinds()) {
             node.withArray("kinds")
@@ -29,7 +29,7 @@
     }
 
     static ObjectNode backend(BackendStatus backend) {
-        ObjectNode node = named(backend.service());
+        ObjectNode node = serviceFields(backend.service());
         node.put("name", backend.name());
         node.put("dataCentre", backend.dataCentre());
         node.put("state", lowerCase(backend.state()));
@@ -56,7 +56,7 @@
     }
 
     static ObjectNode revision(ProcessRevision revision) {
-        ObjectNode node = named(revision.service());
+        ObjectNode node = serviceFields(revision.service());
         node.put("process", revision.process());
         node.put("dataCentre", revision.dataCentre());
         node.put("revision", revision.revision());
@@ -64,7 +64,7 @@
         return node;
     }
 
-    private static ObjectNode named(ServiceName name) {
+    private static ObjectNode serviceFields(ServiceName name) {
         return object().put("team", name.team()).put("service", name.service());
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentEventLoop.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.IntConsumer;
 import org.aspenmoor.RefusalReason;
-import org.aspenmoor.internal.duty.DutyHandler;
+import org.aspenmoor.internal.duty.MessageHandler;
 import org.aspenmoor.internal.link.Link;
 import org.aspenmoor.internal.settings.AgentSettings;
 import org.aspenmoor.internal.wire.v1.Credit;
@@ -24,7 +24,7 @@
 import org.jboss.logging.Logger;
 
 /** The agent's one place of decision: takes dispatches, runs them at the backend server, sends the answers back. */
-final class AgentEventLoop implements DutyHandler<AgentMessage> {
+final class AgentEventLoop implements MessageHandler<AgentMessage> {
     private static final Logger LOG = Logger.getLogger("agent");
     private static final int SOON_MILLISECONDS = 1000;
     private static final int BUSY_MILLISECONDS = 200;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentProcess.java
@@ -12,11 +12,11 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.authority.PauseWatch;
 import org.aspenmoor.internal.authority.SlotTerms;
-import org.aspenmoor.internal.duty.Duty;
 import org.aspenmoor.internal.duty.Ticker;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.engine.EngineControl;
-import org.aspenmoor.internal.link.DutyLinkListener;
 import org.aspenmoor.internal.link.LinkNetwork;
+import org.aspenmoor.internal.link.WorkerLinkListener;
 import org.aspenmoor.internal.registration.AgentRegistration;
 import org.aspenmoor.internal.settings.AgentSettings;
 import org.aspenmoor.internal.settings.BackendType;
@@ -42,7 +42,7 @@
             CALL_THREADS,
             work -> Thread.ofPlatform().name("aspenmoor-calls").daemon(true).unstarted(work));
     private final HttpClient client;
-    private final Duty<AgentMessage> eventLoop;
+    private final Worker<AgentMessage> eventLoop;
     private final LinkNetwork network;
     private final StatusDuty status;
     private final EventLoopDrain drain;
@@ -68,11 +68,11 @@
         boolean takesOrders = settings.backend().type() == BackendType.ENGINE;
         AgentEventLoop handler = new AgentEventLoop(
                 settings, caller, reports, drain::runningChanged, takesOrders ? drain : PauseGuard.NONE, metrics);
-        this.eventLoop = new Duty<>("agent-events", RING_SIZE, handler);
+        this.eventLoop = new Worker<>("agent-events", RING_SIZE, handler);
         caller.use(new HttpBackendCaller(client, settings.backend().url(), eventLoop));
         this.network = new LinkNetwork(
                 hello(),
-                new DutyLinkListener<>(
+                new WorkerLinkListener<>(
                         this::tellEventLoop,
                         AgentMessage.LinkOpened::new,
                         AgentMessage.FrameArrived::new,
@@ -91,7 +91,7 @@
                 network.listen(settings.process().address(), settings.process().linkPort());
         status.start();
         orders.ifPresent(OrderDuty::start);
-        ticker.every(TICK, () -> eventLoop.offer(new AgentMessage.Tick()));
+        ticker.scheduleEvery(TICK, () -> eventLoop.offer(new AgentMessage.Tick()));
         registration = new RegistrationDuty(store, registrationAt(port), random);
         registration.start();
         LOG.infof(
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCall.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Flow;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.store.client.DiscardingSubscriber;
 import org.aspenmoor.internal.wire.v1.Header;
 
@@ -23,7 +23,7 @@
             Set.of("connection", "transfer-encoding", "content-length", "keep-alive", "upgrade", ":status");
 
     private final AttemptKey key;
-    private final Duty<AgentMessage> eventLoop;
+    private final Worker<AgentMessage> eventLoop;
     private final AnswerDecoder decoder;
     private final boolean generation;
     private final Object lock = new Object();
@@ -32,7 +32,7 @@
     private boolean cancelled;
     private boolean ended;
 
-    HttpBackendCall(AttemptKey key, Duty<AgentMessage> eventLoop, AnswerDecoder decoder, boolean generation) {
+    HttpBackendCall(AttemptKey key, Worker<AgentMessage> eventLoop, AnswerDecoder decoder, boolean generation) {
         this.key = key;
         this.eventLoop = eventLoop;
         this.decoder = decoder;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/HttpBackendCaller.java
@@ -11,7 +11,7 @@
 import java.net.http.HttpRequest.BodyPublishers;
 import java.util.Locale;
 import java.util.Set;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.wire.v1.Dispatch;
 import org.aspenmoor.internal.wire.v1.Generation;
 import org.aspenmoor.internal.wire.v1.Header;
@@ -38,9 +38,9 @@
 
     private final HttpClient client;
     private final URI backend;
-    private final Duty<AgentMessage> eventLoop;
+    private final Worker<AgentMessage> eventLoop;
 
-    HttpBackendCaller(HttpClient client, URI backend, Duty<AgentMessage> eventLoop) {
+    HttpBackendCaller(HttpClient client, URI backend, Worker<AgentMessage> eventLoop) {
         this.client = client;
         this.backend = backend;
         this.eventLoop = eventLoop;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusDuty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/StatusDuty.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.engine.EngineControl;
 import org.aspenmoor.internal.engine.EngineUnreachableException;
 
@@ -12,11 +12,11 @@
     private static final Duration PERIOD = Duration.ofMillis(250);
 
     private final EngineControl control;
-    private final Duty<AgentMessage> eventLoop;
+    private final Worker<AgentMessage> eventLoop;
     private final CountDownLatch closed = new CountDownLatch(1);
     private final Thread thread;
 
-    StatusDuty(EngineControl control, Duty<AgentMessage> eventLoop) {
+    StatusDuty(EngineControl control, Worker<AgentMessage> eventLoop) {
         this.control = control;
         this.eventLoop = eventLoop;
         this.thread = Thread.ofPlatform().name("aspenmoor-status").daemon(true).unstarted(this::run);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/claims/ClaimHandler.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimSettings;
 import org.aspenmoor.internal.claim.ClaimVerdict;
-import org.aspenmoor.internal.duty.DutyHandler;
+import org.aspenmoor.internal.duty.MessageHandler;
 import org.aspenmoor.internal.limit.TokenBucket;
 import org.aspenmoor.internal.retry.BreakerDecision;
 import org.aspenmoor.internal.retry.BreakerSettings;
@@ -29,7 +29,7 @@
  * <p>A store that keeps silent costs each batch its whole time-out, and calls would wait for a refusal that was certain.
  * So after failures the next claims are refused at once for a while, and one is let through to try.
  */
-public final class ClaimHandler implements DutyHandler<ClaimMessage> {
+public final class ClaimHandler implements MessageHandler<ClaimMessage> {
     /** When claims are refused without asking the store: after one failure, with pauses of 1 s to 5 s. */
     public static final BreakerSettings STORE_BREAKER =
             new BreakerSettings(1, Duration.ofSeconds(1), Duration.ofSeconds(5), Duration.ofSeconds(10));
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AspenmoorDaemon.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AspenmoorDaemon.java
@@ -54,8 +54,8 @@
                 return EXIT_USAGE;
             }
             return start(Path.of(options.valueOf(settingsFile)), options.has(check), out, err);
-        } catch (OptionException wrong) {
-            err.println(wrong.getMessage() + ". See --help.");
+        } catch (OptionException invalid) {
+            err.println(invalid.getMessage() + ". See --help.");
             return EXIT_USAGE;
         }
     }
@@ -64,8 +64,8 @@
         DaemonSettings settings;
         try {
             settings = new SettingsReader().read(file);
-        } catch (AspenmoorException wrong) {
-            err.println(wrong.getMessage());
+        } catch (AspenmoorException invalid) {
+            err.println(invalid.getMessage());
             return EXIT_USAGE;
         }
         if (checkOnly) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/EntryDaemon.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/EntryDaemon.java
@@ -55,7 +55,7 @@
                 process.address(),
                 process.httpPort(),
                 HTTP_THREADS,
-                settings.limits().headerBytes(),
+                settings.limits().maxHeaderBytes(),
                 routes(entry, store));
         out.println("listening " + process.name() + " http://" + process.address() + ":" + server.getBindPort()
                 + " link " + linkPort);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/GracefulStop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/GracefulStop.java
@@ -22,7 +22,7 @@
     private static void stop(CompletableFuture<Void> drained, Duration limit, Runnable close) {
         try {
             drained.get(limit.toMillis(), TimeUnit.MILLISECONDS);
-        } catch (TimeoutException late) {
+        } catch (TimeoutException limitExceeded) {
             LOG.errorf("daemon: requests still ran after %d s, they are cut", limit.toSeconds());
         } catch (ExecutionException failure) {
             LOG.errorf(failure, "daemon: the drain failed");
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/StoreConnections.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/StoreConnections.java
@@ -8,12 +8,12 @@
 
 /** Connects a process to the platform's store. */
 final class StoreConnections {
-    private static final int SECONDS_OF_BURST = 2;
+    private static final int BURST_SECONDS = 2;
 
     private StoreConnections() {}
 
     static StoreSettings settings(ProcessSettings process) {
-        int burst = (int) Math.ceil(process.storeCallsPerSecond() * SECONDS_OF_BURST);
+        int burst = (int) Math.ceil(process.storeCallsPerSecond() * BURST_SECONDS);
         return StoreSettings.defaults().withBudget(process.storeCallsPerSecond(), burst);
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/Deflated.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DeflatedContent.java
@@ -12,20 +12,20 @@
  * @param bytes what is sent
  * @param inflatedLength how long it was; 0 where it is sent as it was
  */
-record Deflated(ByteString bytes, int inflatedLength) {
+record DeflatedContent(ByteString bytes, int inflatedLength) {
     /** The store's own limit on a value; nothing longer was ever a document. */
-    private static final int LONGEST_DOCUMENT = 1024 * 1024;
+    private static final int MAX_DOCUMENT_BYTES = 1024 * 1024;
 
-    static Deflated of(byte[] plain) {
+    static DeflatedContent of(byte[] uncompressed) {
         Deflater deflater = new Deflater(Deflater.BEST_COMPRESSION, true);
         try {
-            deflater.setInput(plain);
+            deflater.setInput(uncompressed);
             deflater.finish();
-            byte[] shortened = new byte[plain.length];
-            int length = deflater.deflate(shortened);
-            return deflater.finished() && length < plain.length
-                    ? new Deflated(ByteString.copyFrom(shortened, 0, length), plain.length)
-                    : new Deflated(ByteString.copyFrom(plain), 0);
+            byte[] compressed = new byte[uncompressed.length];
+            int length = deflater.deflate(compressed);
+            return deflater.finished() && length < uncompressed.length
+                    ? new DeflatedContent(ByteString.copyFrom(compressed, 0, length), uncompressed.length)
+                    : new DeflatedContent(ByteString.copyFrom(uncompressed), 0);
         } finally {
             deflater.end();
         }
@@ -36,15 +36,15 @@
         if (inflatedLength == 0) {
             return Optional.of(bytes.toByteArray());
         }
-        if (inflatedLength < 0 || inflatedLength > LONGEST_DOCUMENT) {
+        if (inflatedLength < 0 || inflatedLength > MAX_DOCUMENT_BYTES) {
             return Optional.empty();
         }
         Inflater inflater = new Inflater(true);
         try {
             inflater.setInput(bytes.toByteArray());
-            byte[] plain = new byte[inflatedLength];
-            int length = inflater.inflate(plain);
-            return length == inflatedLength ? Optional.of(plain) : Optional.empty();
+            byte[] uncompressed = new byte[inflatedLength];
+            int length = inflater.inflate(uncompressed);
+            return length == inflatedLength ? Optional.of(uncompressed) : Optional.empty();
         } catch (DataFormatException malformed) {
             return Optional.empty();
         } finally {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
@@ -98,7 +98,7 @@
     }
 
     private static DocumentUpdate update(KnownDocument document) {
-        Deflated content = Deflated.of(document.content().getBytes(StandardCharsets.UTF_8));
+        DeflatedContent content = DeflatedContent.of(document.content().getBytes(StandardCharsets.UTF_8));
         return DocumentUpdate.newBuilder()
                 .setTeam(document.key().team())
                 .setService(document.key().service())
@@ -110,9 +110,10 @@
 
     private static Optional<KnownDocument> document(DocumentUpdate update) {
         DocumentKey key = new DocumentKey(update.getTeam(), update.getService());
-        return new Deflated(update.getDocument(), update.getInflatedLength())
+        return new DeflatedContent(update.getDocument(), update.getInflatedLength())
                 .inflate()
-                .map(plain -> new KnownDocument(key, update.getRevision(), new String(plain, StandardCharsets.UTF_8)));
+                .map(uncompressed ->
+                        new KnownDocument(key, update.getRevision(), new String(uncompressed, StandardCharsets.UTF_8)));
     }
 
     private static List<DocumentDigest.Line> lines(List<RevisionLine> lines) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/DutyHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/MessageHandler.java
@@ -5,7 +5,7 @@
  *
  * @param <M> the duty's messages
  */
-public interface DutyHandler<M> {
+public interface MessageHandler<M> {
     /** Handles the next message. */
     void handle(M message);
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/DutySlot.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/RingSlot.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** One place of a duty's ring. */
-final class DutySlot<M> {
+final class RingSlot<M> {
     private Optional<M> message = Optional.empty();
 
     void put(M newMessage) {
@@ -12,8 +12,8 @@
 
     /** Empties the slot, so that the ring keeps nothing alive that was handled. */
     Optional<M> take() {
-        Optional<M> taken = message;
+        Optional<M> current = message;
         message = Optional.empty();
-        return taken;
+        return current;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Ticker.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Ticker.java
@@ -8,10 +8,10 @@
 /** The thread that reminds duties of the passing of time. */
 public final class Ticker implements AutoCloseable {
     private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(
-            work -> Thread.ofPlatform().name("aspenmoor-ticker").daemon(true).unstarted(work));
+            task -> Thread.ofPlatform().name("aspenmoor-ticker").daemon(true).unstarted(task));
 
     /** Runs a short, non-blocking action again and again. */
-    public void every(Duration period, Runnable action) {
+    public void scheduleEvery(Duration period, Runnable action) {
         executor.scheduleWithFixedDelay(action, period.toMillis(), period.toMillis(), TimeUnit.MILLISECONDS);
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Duty.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Worker.java
@@ -14,23 +14,23 @@
  *
  * @param <M> its messages
  */
-public final class Duty<M> implements AutoCloseable {
+public final class Worker<M> implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("duty");
 
     private final String name;
-    private final DutyHandler<M> handler;
-    private final Disruptor<DutySlot<M>> disruptor;
-    private final RingBuffer<DutySlot<M>> ring;
-    private final EventTranslatorOneArg<DutySlot<M>, M> translator = (slot, sequence, message) -> slot.put(message);
+    private final MessageHandler<M> handler;
+    private final Disruptor<RingSlot<M>> disruptor;
+    private final RingBuffer<RingSlot<M>> ring;
+    private final EventTranslatorOneArg<RingSlot<M>, M> translator = (slot, sequence, message) -> slot.put(message);
     private final LongAdder refused = new LongAdder();
     private final LongAdder failed = new LongAdder();
 
-    public Duty(String name, int ringSize, DutyHandler<M> handler) {
+    public Worker(String name, int ringSize, MessageHandler<M> handler) {
         this.name = name;
         this.handler = handler;
         this.disruptor = new Disruptor<>(
-                DutySlot::new, ringSize, this::newThread, ProducerType.MULTI, new BlockingWaitStrategy());
-        EventHandler<DutySlot<M>> consumer = this::consume;
+                RingSlot::new, ringSize, this::newThread, ProducerType.MULTI, new BlockingWaitStrategy());
+        EventHandler<RingSlot<M>> consumer = this::consume;
         disruptor.handleEventsWith(consumer);
         this.ring = disruptor.getRingBuffer();
     }
@@ -42,11 +42,11 @@
 
     /** Puts a message in if there is room; false, and nothing done, where the ring is full. */
     public boolean offer(M message) {
-        boolean taken = ring.tryPublishEvent(translator, message);
-        if (!taken) {
+        boolean accepted = ring.tryPublishEvent(translator, message);
+        if (!accepted) {
             refused.increment();
         }
-        return taken;
+        return accepted;
     }
 
     /** Puts a message in, waiting for room: the producer is slowed down instead of losing the message. */
@@ -55,9 +55,9 @@
     }
 
     /** Returns the duty's state for a dump. */
-    public DutyState state() {
+    public WorkerState state() {
         long waiting = ring.getBufferSize() - ring.remainingCapacity();
-        return new DutyState(name, ring.getBufferSize(), waiting, refused.sum(), failed.sum());
+        return new WorkerState(name, ring.getBufferSize(), waiting, refused.sum(), failed.sum());
     }
 
     /** Ends the thread after what is in the ring was handled. */
@@ -66,7 +66,7 @@
         disruptor.shutdown();
     }
 
-    private void consume(DutySlot<M> slot, long sequence, boolean endOfBatch) {
+    private void consume(RingSlot<M> slot, long sequence, boolean endOfBatch) {
         slot.take().ifPresent(this::handleSafely);
         if (endOfBatch) {
             endBatchSafely();
@@ -82,8 +82,8 @@
         }
     }
 
-    private Thread newThread(Runnable work) {
-        return Thread.ofPlatform().name("aspenmoor-" + name).daemon(true).unstarted(work);
+    private Thread newThread(Runnable task) {
+        return Thread.ofPlatform().name("aspenmoor-" + name).daemon(true).unstarted(task);
     }
 
     // An error in one message would end the thread, and with it every request of the process, without a word.
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/DutyState.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/WorkerState.java
@@ -11,7 +11,7 @@
  * @param refused messages that found no room
  * @param failed messages whose handling failed
  */
-public record DutyState(String name, int ringSize, long waiting, long refused, long failed) {
+public record WorkerState(String name, int ringSize, long waiting, long refused, long failed) {
     /** Writes the state into a dump. */
     public void writeTo(ObjectNode node) {
         node.put("name", name);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/AnswerReceiver.java
@@ -116,11 +116,11 @@
 
     private void deliverPlain(ActiveRequest request, byte[] data, long now) {
         int length = request.plainData(data);
-        if (length > limits.answerBytes()) {
+        if (length > limits.maxAnswerBytes()) {
             cancelAtAgent(request);
             driver.endAttempt(request, true, now);
             requestTable.unknown(
-                    request, "The service's answer is longer than " + limits.answerBytes() + " bytes.", now);
+                    request, "The service's answer is longer than " + limits.maxAnswerBytes() + " bytes.", now);
             return;
         }
         credit(request, 1);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/Claims.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/Claims.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.claim.ClaimTicket;
 import org.aspenmoor.internal.claim.RecordedAnswer;
 import org.aspenmoor.internal.claims.ClaimMessage;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.wire.v1.Header;
 
 /** Claims calls that carry a key before they are dispatched, and reports what became of them. */
@@ -23,9 +23,9 @@
     private static final Duration FULL_RING_COME_BACK = Duration.ofSeconds(1);
     private static final String CONTENT_TYPE = "content-type";
 
-    private final Duty<ClaimMessage> duty;
+    private final Worker<ClaimMessage> duty;
 
-    Claims(Duty<ClaimMessage> duty) {
+    Claims(Worker<ClaimMessage> duty) {
         this.duty = duty;
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryEventLoop.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.accounting.RequestAccount;
 import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.document.ServiceName;
-import org.aspenmoor.internal.duty.DutyHandler;
+import org.aspenmoor.internal.duty.MessageHandler;
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.link.Link;
 import org.aspenmoor.internal.membership.Standing;
@@ -27,7 +27,7 @@
 import org.jboss.logging.Logger;
 
 /** The entry's one place of decision: admits requests, follows their attempts, watches over agents. */
-public final class EntryEventLoop implements DutyHandler<EntryMessage> {
+public final class EntryEventLoop implements MessageHandler<EntryMessage> {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final int PROBES_WITHIN_SILENCE = 4;
     private static final int STALLS_WITHIN_DEADLINE = 3;
@@ -67,7 +67,7 @@
         this.directory = directory;
         this.traces = new TraceLog();
         this.requestTable = new RequestTable(traces, metrics);
-        this.waitingRequests = new WaitingRequests(settings.limits().waitingRequests());
+        this.waitingRequests = new WaitingRequests(settings.limits().maxWaitingRequests());
         this.driver = new AttemptDriver(
                 requestTable, directory, serviceQueues, waitingRequests, settings.limits(), metrics, claims);
         this.receiver = new AnswerReceiver(requestTable, driver, settings.limits(), metrics, claims);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -18,10 +18,10 @@
 import org.aspenmoor.internal.claims.ClaimHandler;
 import org.aspenmoor.internal.claims.ClaimMessage;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
 import org.aspenmoor.internal.duty.Ticker;
-import org.aspenmoor.internal.link.DutyLinkListener;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.link.LinkNetwork;
+import org.aspenmoor.internal.link.WorkerLinkListener;
 import org.aspenmoor.internal.membership.MembershipView;
 import org.aspenmoor.internal.planner.EngineSnapshot;
 import org.aspenmoor.internal.planner.PlanDraft;
@@ -58,8 +58,8 @@
             List.of(ObjectKind.DOCUMENT, ObjectKind.AGENT_REGISTRATION, ObjectKind.HOST);
 
     private final EntrySettings settings;
-    private final Duty<EntryMessage> eventLoop;
-    private final Duty<ClaimMessage> claimDuty;
+    private final Worker<EntryMessage> eventLoop;
+    private final Worker<ClaimMessage> claimDuty;
     private final DocumentRegistry registry;
     private final PlannerDuty planner;
     private final LinkNetwork network;
@@ -78,7 +78,7 @@
         this.settings = settings;
         this.network = new LinkNetwork(
                 hello(settings.process(), random),
-                new DutyLinkListener<>(
+                new WorkerLinkListener<>(
                         this::tellEventLoop,
                         EntryMessage.LinkOpened::new,
                         EntryMessage.FrameArrived::new,
@@ -86,7 +86,7 @@
         this.registry = new DocumentRegistry(time);
         ClaimSettings claimSettings = ClaimSettings.DEFAULT;
         ClaimCommitter claimCommitter = new ClaimCommitter(store, claimSettings, time, random);
-        this.claimDuty = new Duty<>(
+        this.claimDuty = new Worker<>(
                 "entry-claims",
                 CLAIM_RING_SIZE,
                 new ClaimHandler(
@@ -97,13 +97,13 @@
                         settings.process().storeCallsPerSecond() * CLAIM_SHARE / CALLS_OF_COMMIT,
                         this::claimJudged));
         ServiceQueues serviceQueues = new ServiceQueues(
-                registry, routerSettings(settings), settings.limits().waitingRequests(), random);
+                registry, routerSettings(settings), settings.limits().maxWaitingRequests(), random);
         MembershipView membership = new MembershipView(MembershipBounds.of(settings.leavingBound()), time);
         AgentDirectory directory = new AgentDirectory(
                 network, membership, () -> new CircuitBreaker(BreakerSettings.DEFAULT, time, random), serviceQueues);
         EntryEventLoop handler = new EntryEventLoop(
                 settings, time, directory, serviceQueues, new Claims(claimDuty), new DocumentIndex(registry), metrics);
-        this.eventLoop = new Duty<>("entry-events", RING_SIZE, handler);
+        this.eventLoop = new Worker<>("entry-events", RING_SIZE, handler);
         LoadBudget loadBudget = new LoadBudget(time, LOADS_PER_SECOND, MOST_LOADS_SAVED);
         this.planner = new PlannerDuty(
                 settings.process().name() + "/" + RequestId.draw(random),
@@ -125,8 +125,8 @@
                 network.listen(settings.process().address(), settings.process().linkPort());
         followed.forEach(WatchedCollection::start);
         planner.start();
-        ticker.every(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
-        ticker.every(TICK, () -> claimDuty.offer(new ClaimMessage.Tick()));
+        ticker.scheduleEvery(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
+        ticker.scheduleEvery(TICK, () -> claimDuty.offer(new ClaimMessage.Tick()));
         LOG.infof(
                 "entry: %s in %s, link port %d",
                 settings.process().name(), settings.process().dataCentre(), port);
@@ -134,7 +134,7 @@
     }
 
     /** Returns the duty that callers' requests go to. */
-    public Duty<EntryMessage> eventLoop() {
+    public Worker<EntryMessage> eventLoop() {
         return eventLoop;
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerWriter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerWriter.java
@@ -19,17 +19,17 @@
     static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private static final int BAD_GATEWAY = 502;
-    private static final int LAST_MILLISECOND_OF_SECOND = 999;
+    private static final int ROUND_UP_MILLISECONDS = 999;
     private static final String JSON = "application/json";
 
     private AnswerWriter() {}
 
-    static Promise<FirstSignal> await(CompletableFuture<FirstSignal> signal) {
-        return Promise.async(downstream -> signal.thenAccept(downstream::success));
+    static Promise<AnswerStart> await(CompletableFuture<AnswerStart> start) {
+        return Promise.async(downstream -> start.thenAccept(downstream::success));
     }
 
     static void writeRefusal(Context context, RequestId id, Outcome.NotRun refusal) {
-        long seconds = TimeUnit.MILLISECONDS.toSeconds(refusal.comeBackAfter().toMillis() + LAST_MILLISECOND_OF_SECOND);
+        long seconds = TimeUnit.MILLISECONDS.toSeconds(refusal.comeBackAfter().toMillis() + ROUND_UP_MILLISECONDS);
         if (seconds > 0) {
             context.getResponse().getHeaders().set("Retry-After", String.valueOf(seconds));
         }
@@ -41,12 +41,12 @@
     }
 
     static void writeError(Context context, RequestId id, int status, String outcome, ObjectNode body) {
-        name(context, id, outcome);
+        setOutcomeHeaders(context, id, outcome);
         context.getResponse().status(status).send(JSON, body.toString());
     }
 
     static void writeJson(Context context, RequestId id, String body) {
-        name(context, id, "answered");
+        setOutcomeHeaders(context, id, "answered");
         context.getResponse().send(JSON, body);
     }
 
@@ -54,11 +54,11 @@
         for (Header header : answer.headers()) {
             context.getResponse().getHeaders().add(header.getName(), header.getValue());
         }
-        name(context, id, "answered");
+        setOutcomeHeaders(context, id, "answered");
         context.getResponse().status(answer.status()).send(answer.body());
     }
 
-    static void name(Context context, RequestId id, String outcome) {
+    static void setOutcomeHeaders(Context context, RequestId id, String outcome) {
         context.getResponse().getHeaders().set(OUTCOME_HEADER, outcome).set(REQUEST_ID_HEADER, id.toString());
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
@@ -2,7 +2,7 @@
 
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.entry.EntryMessage;
 import org.aspenmoor.internal.settings.CallerLimits;
 import org.aspenmoor.internal.time.TimeSource;
@@ -17,7 +17,7 @@
     private final TimeSource time;
 
     public CallerRoutes(
-            Duty<EntryMessage> eventLoop,
+            Worker<EntryMessage> eventLoop,
             DocumentRegistry registry,
             RandomGenerator random,
             CallerLimits limits,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/WholeSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompleteAnswerSink.java
@@ -7,44 +7,44 @@
 import org.aspenmoor.internal.entry.PlainAnswer;
 
 /** Collects an answer and gives it to the caller whole. */
-final class WholeSink implements CallerSink {
-    private final CompletableFuture<FirstSignal> signal = new CompletableFuture<>();
+final class CompleteAnswerSink implements CallerSink {
+    private final CompletableFuture<AnswerStart> start = new CompletableFuture<>();
     private final StringBuilder text = new StringBuilder();
-    private final AtomicInteger taken = new AtomicInteger();
+    private final AtomicInteger consumed = new AtomicInteger();
 
-    CompletableFuture<FirstSignal> signal() {
-        return signal;
+    CompletableFuture<AnswerStart> start() {
+        return start;
     }
 
     @Override
     public void piece(String piece) {
         text.append(piece);
-        taken.incrementAndGet();
+        consumed.incrementAndGet();
     }
 
     @Override
     public void generationDone(String finishReason, int promptTokens, int outputTokens) {
-        signal.complete(new FirstSignal.WholeText(text.toString(), finishReason, promptTokens, outputTokens));
+        start.complete(new AnswerStart.CompleteText(text.toString(), finishReason, promptTokens, outputTokens));
     }
 
     @Override
     public void plainAnswer(PlainAnswer answer) {
-        signal.complete(new FirstSignal.Plain(answer));
+        start.complete(new AnswerStart.PlainServiceAnswer(answer));
     }
 
     @Override
     public void refused(Outcome.NotRun refusal) {
-        signal.complete(new FirstSignal.Refused(refusal));
+        start.complete(new AnswerStart.Refused(refusal));
     }
 
     @Override
     public void unknown(Outcome.Unknown unknown) {
-        signal.complete(new FirstSignal.Lost(unknown));
+        start.complete(new AnswerStart.UnknownOutcome(unknown));
     }
 
     @Override
     public int takeTaken() {
-        return taken.getAndSet(0);
+        return consumed.getAndSet(0);
     }
 
     @Override
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
@@ -13,7 +13,7 @@
 /** Reads a completion request and names every field that is wrong. */
 final class CompletionReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final int CHARACTERS_OF_TOKEN = 4;
+    private static final int CHARACTERS_PER_TOKEN = 4;
     private static final String SOURCE = "request body";
 
     private final Findings findings;
@@ -27,14 +27,14 @@
         try {
             root = MAPPER.readTree(body);
         } catch (JsonProcessingException malformed) {
-            add("", "The body is not valid JSON: " + malformed.getOriginalMessage() + ".", "Mend the syntax.");
+            addFinding("", "The body is not valid JSON: " + malformed.getOriginalMessage() + ".", "Mend the syntax.");
             return Optional.empty();
         } catch (IOException unreadable) {
-            add("", "The body cannot be read.", "Send it again.");
+            addFinding("", "The body cannot be read.", "Send it again.");
             return Optional.empty();
         }
         if (root == null || !root.isObject()) {
-            add("", "The body is not a JSON object.", "Send an object with \"model\" and a prompt.");
+            addFinding("", "The body is not a JSON object.", "Send an object with \"model\" and a prompt.");
             return Optional.empty();
         }
         CompletionRequest request = readFields(root, chat, body);
@@ -47,21 +47,21 @@
         String model = colon < 0 ? name : name.substring(0, colon);
         Optional<String> adapter = colon < 0 ? Optional.empty() : Optional.of(name.substring(colon + 1));
         String prompt = chat ? readMessages(root.path("messages")) : readPrompt(root.path("prompt"));
-        refuseSeveralChoices(root.path("n"));
+        rejectMultipleChoices(root.path("n"));
         return new CompletionRequest(
                 model,
                 adapter,
                 chat,
                 readStream(root.path("stream")),
                 readMaxTokens(root.path("max_tokens")),
-                Math.max(1, prompt.length() / CHARACTERS_OF_TOKEN),
+                Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN),
                 PromptPrefix.of(prompt),
                 body);
     }
 
     private String readModel(JsonNode model) {
         if (!model.isTextual() || model.textValue().isBlank()) {
-            add("model", "The model is missing or no text.", "Name a model, as GET /v1/models lists them.");
+            addFinding("model", "The model is missing or no text.", "Name a model, as GET /v1/models lists them.");
             return "";
         }
         return model.textValue();
@@ -69,7 +69,7 @@
 
     private String readPrompt(JsonNode prompt) {
         if (!prompt.isTextual()) {
-            add("prompt", "The prompt is missing or no text.", "Send one text; lists of prompts are not taken.");
+            addFinding("prompt", "The prompt is missing or no text.", "Send one text; lists of prompts are not taken.");
             return "";
         }
         return prompt.textValue();
@@ -77,14 +77,14 @@
 
     private String readMessages(JsonNode messages) {
         if (!messages.isArray() || messages.isEmpty()) {
-            add("messages", "The messages are missing.", "Send an array of {\"role\", \"content\"}.");
+            addFinding("messages", "The messages are missing.", "Send an array of {\"role\", \"content\"}.");
             return "";
         }
         StringBuilder prompt = new StringBuilder();
         for (int index = 0; index < messages.size(); index++) {
             JsonNode message = messages.get(index);
             if (!message.path("role").isTextual()) {
-                add(
+                addFinding(
                         "messages[" + index + "].role",
                         "The role is missing.",
                         "Write \"system\", \"user\" or \"assistant\".");
@@ -99,7 +99,7 @@
             return false;
         }
         if (!stream.isBoolean()) {
-            add("stream", "The value is no truth value.", "Write true or false.");
+            addFinding("stream", "The value is no truth value.", "Write true or false.");
         }
         return stream.asBoolean();
     }
@@ -109,19 +109,19 @@
             return Optional.empty();
         }
         if (!maxTokens.isInt() || maxTokens.intValue() < 1) {
-            add("max_tokens", "The value is no whole number above 0.", "Write a number such as 128.");
+            addFinding("max_tokens", "The value is no whole number above 0.", "Write a number such as 128.");
             return Optional.empty();
         }
         return Optional.of(maxTokens.intValue());
     }
 
-    private void refuseSeveralChoices(JsonNode count) {
+    private void rejectMultipleChoices(JsonNode count) {
         if (count.isNumber() && count.intValue() != 1) {
-            add("n", "Only one choice is given for a request.", "Leave \"n\" out or send several requests.");
+            addFinding("n", "Only one choice is given for a request.", "Leave \"n\" out or send several requests.");
         }
     }
 
-    private void add(String path, String problem, String remedy) {
+    private void addFinding(String path, String problem, String remedy) {
         findings.add(new Place(SOURCE, 0, 0, path), problem, remedy);
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
@@ -14,7 +14,7 @@
 
 /** Takes completions, in the plain or the chat form of the protocol. */
 final class CompletionsHandler implements Handler {
-    private static final int MALFORMED = 400;
+    private static final int BAD_REQUEST = 400;
     private static final String EVENT_STREAM = "text/event-stream;charset=UTF-8";
 
     private final RequestSubmitter submitter;
@@ -31,59 +31,63 @@
 
     @Override
     public void handle(Context context) {
-        RequestId id = submitter.drawId();
-        BodyReading.read(context, id, limits, body -> answer(context, id, body));
+        RequestId id = submitter.newRequestId();
+        RequestBodyReader.read(context, id, limits, body -> answer(context, id, body));
     }
 
     private void answer(Context context, RequestId id, byte[] body) {
         Findings findings = new Findings();
         Optional<CompletionRequest> request = new CompletionReader(findings).read(body, chat);
         if (request.isEmpty()) {
-            AnswerWriter.writeError(context, id, MALFORMED, "not-run", ErrorBodies.malformed(findings.all()));
+            AnswerWriter.writeError(context, id, BAD_REQUEST, "not-run", ErrorBodies.malformed(findings.all()));
             return;
         }
-        CompletionEvents events =
-                new CompletionEvents(id, request.get(), time.timeOfDay().getEpochSecond());
+        CompletionFormatter formatter =
+                new CompletionFormatter(id, request.get(), time.timeOfDay().getEpochSecond());
         if (request.get().stream()) {
-            answerStream(context, id, request.get(), events);
+            answerStream(context, id, request.get(), formatter);
         } else {
-            answerWhole(context, id, request.get(), events);
+            answerComplete(context, id, request.get(), formatter);
         }
     }
 
-    private void answerWhole(Context context, RequestId id, CompletionRequest request, CompletionEvents events) {
-        WholeSink sink = new WholeSink();
+    private void answerComplete(
+            Context context, RequestId id, CompletionRequest request, CompletionFormatter formatter) {
+        CompleteAnswerSink sink = new CompleteAnswerSink();
         submitter.submit(context, id, new CallerWork.Generation(request), sink);
-        AnswerWriter.await(sink.signal()).then(signal -> {
-            switch (signal) {
-                case FirstSignal.WholeText whole -> AnswerWriter.writeJson(context, id, events.whole(whole));
-                case FirstSignal.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
-                case FirstSignal.Lost lost -> AnswerWriter.writeUnknown(context, id, lost.unknown());
-                case FirstSignal.Plain plain -> AnswerWriter.writePlain(context, id, plain.answer());
-                case FirstSignal.StreamBegins ignored ->
+        AnswerWriter.await(sink.start()).then(start -> {
+            switch (start) {
+                case AnswerStart.CompleteText complete ->
+                    AnswerWriter.writeJson(context, id, formatter.completeAnswer(complete));
+                case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
+                case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
+                case AnswerStart.PlainServiceAnswer plain -> AnswerWriter.writePlain(context, id, plain.answer());
+                case AnswerStart.StreamStarted ignored ->
                     throw new IllegalStateException("a whole answer has no stream");
             }
         });
     }
 
-    private void answerStream(Context context, RequestId id, CompletionRequest request, CompletionEvents events) {
-        Runnable cut = () -> context.getDirectChannelAccess().getChannel().close();
-        int noticeEvery = Math.max(1, limits.chunkCredit() / 4);
-        StreamSink sink = new StreamSink(events, () -> submitter.callerTook(id), cut, noticeEvery);
+    private void answerStream(Context context, RequestId id, CompletionRequest request, CompletionFormatter formatter) {
+        Runnable abort = () -> context.getDirectChannelAccess().getChannel().close();
+        int reportInterval = Math.max(1, limits.chunkCredit() / 4);
+        StreamedAnswerSink sink =
+                new StreamedAnswerSink(formatter, () -> submitter.reportConsumption(id), abort, reportInterval);
         submitter.submit(context, id, new CallerWork.Generation(request), sink);
-        AnswerWriter.await(sink.signal()).then(signal -> {
-            switch (signal) {
-                case FirstSignal.StreamBegins ignored -> writeStream(context, id, sink);
-                case FirstSignal.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
-                case FirstSignal.Lost lost -> AnswerWriter.writeUnknown(context, id, lost.unknown());
-                case FirstSignal.Plain plain -> AnswerWriter.writePlain(context, id, plain.answer());
-                case FirstSignal.WholeText whole -> AnswerWriter.writeJson(context, id, events.whole(whole));
+        AnswerWriter.await(sink.start()).then(start -> {
+            switch (start) {
+                case AnswerStart.StreamStarted ignored -> writeStream(context, id, sink);
+                case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
+                case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
+                case AnswerStart.PlainServiceAnswer plain -> AnswerWriter.writePlain(context, id, plain.answer());
+                case AnswerStart.CompleteText complete ->
+                    AnswerWriter.writeJson(context, id, formatter.completeAnswer(complete));
             }
         });
     }
 
-    private static void writeStream(Context context, RequestId id, StreamSink sink) {
-        AnswerWriter.name(context, id, "answered");
+    private static void writeStream(Context context, RequestId id, StreamedAnswerSink sink) {
+        AnswerWriter.setOutcomeHeaders(context, id, "answered");
         context.getResponse().getHeaders().set("Cache-Control", "no-cache");
         context.render(ResponseChunks.bufferChunks(EVENT_STREAM, Streams.bindExec(sink)));
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
@@ -13,7 +13,7 @@
 
     static ObjectNode notRun(Outcome.NotRun refusal) {
         ObjectNode body = body("not_run", refusal.reason().name().toLowerCase(java.util.Locale.ROOT), refusal.detail());
-        error(body)
+        errorObject(body)
                 .put("outcome", "not-run")
                 .put("come_back_after_milliseconds", refusal.comeBackAfter().toMillis());
         return body;
@@ -21,14 +21,14 @@
 
     static ObjectNode unknown(String detail) {
         ObjectNode body = body("unknown", "outcome_unknown", detail);
-        error(body).put("outcome", "unknown");
+        errorObject(body).put("outcome", "unknown");
         return body;
     }
 
     static ObjectNode malformed(List<Finding> findings) {
         Finding first = findings.getFirst();
         ObjectNode body = body("invalid_request_error", "malformed", first.problem() + " " + first.remedy());
-        ObjectNode error = error(body);
+        ObjectNode error = errorObject(body);
         error.put("outcome", "not-run");
         error.put("param", first.place().path());
         var all = error.putArray("findings");
@@ -61,7 +61,7 @@
         return body;
     }
 
-    private static ObjectNode error(ObjectNode body) {
+    private static ObjectNode errorObject(ObjectNode body) {
         return (ObjectNode) body.get("error");
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
@@ -16,16 +16,16 @@
     public static RatpackServer start(String address, int port, int threads, int headerBytes, Action<Chain> routes)
             throws AspenmoorException {
         try {
-            InetAddress listenAt = InetAddress.getByName(address);
+            InetAddress bindAddress = InetAddress.getByName(address);
             return RatpackServer.start(spec -> spec.serverConfig(ServerConfig.embedded()
-                            .address(listenAt)
+                            .address(bindAddress)
                             .port(port)
                             .threads(threads)
                             .maxHeaderSize(headerBytes))
                     .handlers(routes));
-        } catch (UnknownHostException malformed) {
+        } catch (UnknownHostException invalidAddress) {
             throw new AspenmoorException(
-                    "The address is not an IP number.", address, "Write \"address\" as an IP number.", malformed);
+                    "The address is not an IP number.", address, "Write \"address\" as an IP number.", invalidAddress);
         } catch (Exception failure) {
             throw new AspenmoorException(
                     "The HTTP port cannot be opened: " + failure.getMessage() + ".",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/LimitedBody.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/LimitedBody.java
@@ -7,7 +7,7 @@
 
 /** Reads a request body up to a limit. */
 public final class LimitedBody {
-    private static final long READ_BEYOND = 4;
+    private static final long READ_LIMIT_FACTOR = 4;
 
     private LimitedBody() {}
 
@@ -18,9 +18,9 @@
      * what was wrong: the caller sees a broken connection. So a body moderately beyond the limit is read to its end and
      * dropped before it is refused.
      */
-    public static Promise<TypedData> read(Context context, int limit, Block tooLong) {
+    public static Promise<TypedData> read(Context context, int limit, Block onTooLong) {
         return context.getRequest()
-                .getBody(limit * READ_BEYOND, tooLong)
-                .route(body -> body.getBuffer().readableBytes() > limit, body -> tooLong.execute());
+                .getBody(limit * READ_LIMIT_FACTOR, onTooLong)
+                .route(body -> body.getBuffer().readableBytes() > limit, body -> onTooLong.execute());
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ModelsHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ModelsHandler.java
@@ -27,32 +27,32 @@
 
     @Override
     public void handle(Context context) {
-        String hash = TokenHash.of(RequestSubmitter.tokenOf(context));
+        String tokenHash = TokenHash.of(RequestSubmitter.bearerToken(context));
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         body.put("object", "list");
         ArrayNode data = body.putArray("data");
-        boolean known = false;
+        boolean tokenKnown = false;
         for (DocumentInForce inForce : registry.all()) {
             ServiceDocument document = inForce.document();
-            if (document.callerTokenHashes().contains(hash)) {
-                known = true;
-                document.models().forEach(model -> list(data, document, model));
+            if (document.callerTokenHashes().contains(tokenHash)) {
+                tokenKnown = true;
+                document.models().forEach(model -> addModel(data, document, model));
             }
         }
-        if (known) {
-            AnswerWriter.writeJson(context, submitter.drawId(), body.toString());
+        if (tokenKnown) {
+            AnswerWriter.writeJson(context, submitter.newRequestId(), body.toString());
             return;
         }
         AnswerWriter.writeRefusal(
                 context,
-                submitter.drawId(),
+                submitter.newRequestId(),
                 new Outcome.NotRun(
                         RefusalReason.NOT_AUTHORISED,
                         Duration.ZERO,
                         "The token opens no service; send the team's token."));
     }
 
-    private static void list(ArrayNode data, ServiceDocument document, ModelDeclaration model) {
+    private static void addModel(ArrayNode data, ServiceDocument document, ModelDeclaration model) {
         data.addObject().put("id", model.name()).put("object", "model").put("owned_by", document.team());
         for (AdapterDeclaration adapter : model.adapters()) {
             data.addObject()
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/PassThroughHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/PassThroughHandler.java
@@ -14,7 +14,8 @@
 
 /** Passes calls below {@code /services/SERVICE/} on to the team's plain service. */
 final class PassThroughHandler implements Handler {
-    private static final Set<String> KEPT_BACK = Set.of("authorization", "host", "connection", "transfer-encoding");
+    private static final Set<String> UNFORWARDED_HEADERS =
+            Set.of("authorization", "host", "connection", "transfer-encoding");
 
     private final RequestSubmitter submitter;
     private final CallerLimits limits;
@@ -26,51 +27,51 @@
 
     @Override
     public void handle(Context context) {
-        RequestId id = submitter.drawId();
-        BodyReading.read(context, id, limits, body -> pass(context, id, body));
+        RequestId id = submitter.newRequestId();
+        RequestBodyReader.read(context, id, limits, body -> forward(context, id, body));
     }
 
-    private void pass(Context context, RequestId id, byte[] body) {
+    private void forward(Context context, RequestId id, byte[] body) {
         String service = context.getPathTokens().get("service");
         CallerWork.PlainCall call = new CallerWork.PlainCall(
                 service,
                 context.getRequest().getMethod().getName(),
-                pathBelow(context, service),
-                headersOf(context.getRequest().getHeaders()),
+                pathBelowService(context, service),
+                forwardedHeaders(context.getRequest().getHeaders()),
                 body);
-        WholeSink sink = new WholeSink();
+        CompleteAnswerSink sink = new CompleteAnswerSink();
         submitter.submit(context, id, call, sink);
-        AnswerWriter.await(sink.signal()).then(signal -> {
-            switch (signal) {
-                case FirstSignal.Plain plain -> AnswerWriter.writePlain(context, id, plain.answer());
-                case FirstSignal.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
-                case FirstSignal.Lost lost -> AnswerWriter.writeUnknown(context, id, lost.unknown());
-                case FirstSignal.StreamBegins ignored ->
+        AnswerWriter.await(sink.start()).then(start -> {
+            switch (start) {
+                case AnswerStart.PlainServiceAnswer plain -> AnswerWriter.writePlain(context, id, plain.answer());
+                case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
+                case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
+                case AnswerStart.StreamStarted ignored ->
                     throw new IllegalStateException("a plain service has no stream");
-                case FirstSignal.WholeText ignored ->
+                case AnswerStart.CompleteText ignored ->
                     throw new IllegalStateException("a plain service gives no generation");
             }
         });
     }
 
-    private static String pathBelow(Context context, String service) {
+    private static String pathBelowService(Context context, String service) {
         String prefix = "services/" + service;
         String path = context.getRequest().getPath();
-        String below = path.length() > prefix.length() ? path.substring(prefix.length()) : "/";
+        String subPath = path.length() > prefix.length() ? path.substring(prefix.length()) : "/";
         String query = context.getRequest().getQuery();
-        return query.isEmpty() ? below : below + "?" + query;
+        return query.isEmpty() ? subPath : subPath + "?" + query;
     }
 
-    private static List<Header> headersOf(Headers headers) {
-        List<Header> kept = new ArrayList<>();
+    private static List<Header> forwardedHeaders(Headers headers) {
+        List<Header> forwarded = new ArrayList<>();
         for (String name : headers.getNames()) {
-            if (KEPT_BACK.contains(name.toLowerCase(Locale.ROOT))) {
+            if (UNFORWARDED_HEADERS.contains(name.toLowerCase(Locale.ROOT))) {
                 continue;
             }
             for (String value : headers.getAll(name)) {
-                kept.add(Header.newBuilder().setName(name).setValue(value).build());
+                forwarded.add(Header.newBuilder().setName(name).setValue(value).build());
             }
         }
-        return kept;
+        return forwarded;
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/BodyReading.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestBodyReader.java
@@ -9,21 +9,21 @@
 import ratpack.handling.Context;
 
 /** Reads request bodies up to the limit. */
-final class BodyReading {
-    private static final int TOO_LARGE = 413;
+final class RequestBodyReader {
+    private static final int PAYLOAD_TOO_LARGE = 413;
 
-    private BodyReading() {}
+    private RequestBodyReader() {}
 
-    static void read(Context context, RequestId id, CallerLimits limits, Action<byte[]> then) {
-        LimitedBody.read(context, limits.bodyBytes(), () -> refuse(context, id, limits))
-                .then(body -> then.execute(body.getBytes()));
+    static void read(Context context, RequestId id, CallerLimits limits, Action<byte[]> action) {
+        LimitedBody.read(context, limits.maxBodyBytes(), () -> refuse(context, id, limits))
+                .then(body -> action.execute(body.getBytes()));
     }
 
     private static void refuse(Context context, RequestId id, CallerLimits limits) {
         Outcome.NotRun refusal = new Outcome.NotRun(
                 RefusalReason.MALFORMED,
                 Duration.ZERO,
-                "The body is longer than " + limits.bodyBytes() + " bytes; send a shorter one.");
-        AnswerWriter.writeError(context, id, TOO_LARGE, "not-run", ErrorBodies.notRun(refusal));
+                "The body is longer than " + limits.maxBodyBytes() + " bytes; send a shorter one.");
+        AnswerWriter.writeError(context, id, PAYLOAD_TOO_LARGE, "not-run", ErrorBodies.notRun(refusal));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.Outcome;
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.RequestId;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.entry.CallerSink;
 import org.aspenmoor.internal.entry.CallerWork;
 import org.aspenmoor.internal.entry.EntryMessage;
@@ -17,19 +17,19 @@
 
 /** Hands callers' requests to the event loop and tells it when a caller goes away. */
 final class RequestSubmitter {
-    private static final String KEY_HEADER = "Idempotency-Key";
-    private static final String BEARER = "Bearer ";
-    private static final Duration FULL_RING_COME_BACK = Duration.ofMillis(500);
+    private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final Duration FULL_RING_RETRY_AFTER = Duration.ofMillis(500);
 
-    private final Duty<EntryMessage> eventLoop;
+    private final Worker<EntryMessage> eventLoop;
     private final RandomGenerator random;
 
-    RequestSubmitter(Duty<EntryMessage> eventLoop, RandomGenerator random) {
+    RequestSubmitter(Worker<EntryMessage> eventLoop, RandomGenerator random) {
         this.eventLoop = eventLoop;
         this.random = random;
     }
 
-    RequestId drawId() {
+    RequestId newRequestId() {
         synchronized (random) {
             return RequestId.draw(random);
         }
@@ -38,36 +38,38 @@
     /** Hands a request over; where the event loop's ring is full it is refused at once. */
     void submit(Context context, RequestId id, CallerWork work, CallerSink sink) {
         Optional<String> key =
-                Optional.ofNullable(context.getRequest().getHeaders().get(KEY_HEADER));
-        IncomingRequest request = new IncomingRequest(id, tokenOf(context), work, key, sink);
+                Optional.ofNullable(context.getRequest().getHeaders().get(IDEMPOTENCY_KEY_HEADER));
+        IncomingRequest request = new IncomingRequest(id, bearerToken(context), work, key, sink);
         if (!eventLoop.offer(new EntryMessage.RequestCame(request))) {
             sink.refused(new Outcome.NotRun(
-                    RefusalReason.OVERLOADED, FULL_RING_COME_BACK, "The entry has more requests than it can look at."));
+                    RefusalReason.OVERLOADED,
+                    FULL_RING_RETRY_AFTER,
+                    "The entry has more requests than it can look at."));
             return;
         }
-        tellWhenGone(context, id);
+        notifyWhenClosed(context, id);
     }
 
     // A connection that is kept open serves many requests. Left in place, the listeners of all of them would be kept
     // until
     // it closes, and would then all tell of a caller who went away.
-    private void tellWhenGone(Context context, RequestId id) {
+    private void notifyWhenClosed(Context context, RequestId id) {
         ChannelFuture closed = context.getDirectChannelAccess().getChannel().closeFuture();
         ChannelFutureListener listener = future -> eventLoop.put(new EntryMessage.CallerGone(id));
         closed.addListener(listener);
         context.onClose(answered -> closed.removeListener(listener));
     }
 
-    void callerTook(RequestId id) {
+    void reportConsumption(RequestId id) {
         eventLoop.offer(new EntryMessage.CallerTook(id));
     }
 
     /** Returns the caller's token; empty where it sent none. */
-    static String tokenOf(Context context) {
+    static String bearerToken(Context context) {
         String header = context.getRequest().getHeaders().get("Authorization");
-        if (header == null || !header.startsWith(BEARER)) {
+        if (header == null || !header.startsWith(BEARER_PREFIX)) {
             return "";
         }
-        return header.substring(BEARER.length()).strip();
+        return header.substring(BEARER_PREFIX.length()).strip();
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamedAnswerSink.java
@@ -20,83 +20,83 @@
  * <p>The pieces held here are bounded by the credit that the entry gave the agent; a piece taken by the connection frees
  * credit for the next.
  */
-final class StreamSink implements CallerSink, Publisher<ByteBuf>, Subscription {
-    private final CompletableFuture<FirstSignal> signal = new CompletableFuture<>();
-    private final CompletionEvents events;
-    private final Runnable whenTaken;
-    private final Runnable whenCut;
-    private final int noticeEvery;
-    private final Deque<String> pieces = new ArrayDeque<>();
+final class StreamedAnswerSink implements CallerSink, Publisher<ByteBuf>, Subscription {
+    private final CompletableFuture<AnswerStart> start = new CompletableFuture<>();
+    private final CompletionFormatter formatter;
+    private final Runnable onConsumed;
+    private final Runnable onAborted;
+    private final int reportInterval;
+    private final Deque<String> chunks = new ArrayDeque<>();
     private Optional<Subscriber<? super ByteBuf>> subscriber = Optional.empty();
     private long demand;
-    private int taken;
+    private int consumed;
     private boolean finished;
-    private boolean cut;
+    private boolean aborted;
     private boolean completed;
     private boolean emitting;
 
-    StreamSink(CompletionEvents events, Runnable whenTaken, Runnable whenCut, int noticeEvery) {
-        this.events = events;
-        this.whenTaken = whenTaken;
-        this.whenCut = whenCut;
-        this.noticeEvery = noticeEvery;
+    StreamedAnswerSink(CompletionFormatter formatter, Runnable onConsumed, Runnable onAborted, int reportInterval) {
+        this.formatter = formatter;
+        this.onConsumed = onConsumed;
+        this.onAborted = onAborted;
+        this.reportInterval = reportInterval;
     }
 
-    CompletableFuture<FirstSignal> signal() {
-        return signal;
+    CompletableFuture<AnswerStart> start() {
+        return start;
     }
 
     @Override
     public void piece(String text) {
-        enqueue(events.piece(text));
-        signal.complete(new FirstSignal.StreamBegins());
+        enqueueChunk(formatter.chunkEvent(text));
+        start.complete(new AnswerStart.StreamStarted());
         drain();
     }
 
     @Override
     public void generationDone(String finishReason, int promptTokens, int outputTokens) {
         synchronized (this) {
-            pieces.addLast(events.end(finishReason, promptTokens, outputTokens));
+            chunks.addLast(formatter.endEvent(finishReason, promptTokens, outputTokens));
             finished = true;
         }
-        signal.complete(new FirstSignal.StreamBegins());
+        start.complete(new AnswerStart.StreamStarted());
         drain();
     }
 
     @Override
     public void plainAnswer(PlainAnswer answer) {
-        signal.complete(new FirstSignal.Plain(answer));
+        start.complete(new AnswerStart.PlainServiceAnswer(answer));
     }
 
     @Override
     public void refused(Outcome.NotRun refusal) {
-        signal.complete(new FirstSignal.Refused(refusal));
+        start.complete(new AnswerStart.Refused(refusal));
     }
 
     // A cut answer must not look like a whole one: it ends with an error event, without the end mark, and the
     // connection is closed without the last chunk of its encoding.
     @Override
     public void unknown(Outcome.Unknown unknown) {
-        if (signal.complete(new FirstSignal.Lost(unknown))) {
+        if (start.complete(new AnswerStart.UnknownOutcome(unknown))) {
             return;
         }
         synchronized (this) {
-            pieces.addLast(events.error(unknown.detail()));
-            cut = true;
+            chunks.addLast(formatter.errorEvent(unknown.detail()));
+            aborted = true;
         }
         drain();
     }
 
     @Override
     public synchronized int takeTaken() {
-        int count = taken;
-        taken = 0;
+        int count = consumed;
+        consumed = 0;
         return count;
     }
 
     @Override
     public synchronized boolean isHeldByCaller() {
-        return !pieces.isEmpty();
+        return !chunks.isEmpty();
     }
 
     @Override
@@ -118,12 +118,12 @@
     @Override
     public synchronized void cancel() {
         completed = true;
-        pieces.clear();
+        chunks.clear();
     }
 
-    private synchronized void enqueue(String piece) {
+    private synchronized void enqueueChunk(String chunk) {
         if (!completed) {
-            pieces.addLast(piece);
+            chunks.addLast(chunk);
         }
     }
 
@@ -135,31 +135,31 @@
             }
             emitting = true;
         }
-        Optional<String> next = nextPiece();
+        Optional<String> next = nextChunk();
         while (next.isPresent()) {
             subscriber.get().onNext(Unpooled.copiedBuffer(next.get(), StandardCharsets.UTF_8));
-            next = nextPiece();
+            next = nextChunk();
         }
     }
 
-    private Optional<String> nextPiece() {
-        boolean notice = false;
+    private Optional<String> nextChunk() {
+        boolean reportDue = false;
         Optional<String> next = Optional.empty();
         boolean end = false;
         synchronized (this) {
-            if (demand > 0 && !pieces.isEmpty()) {
+            if (demand > 0 && !chunks.isEmpty()) {
                 demand--;
-                taken++;
-                notice = taken == noticeEvery;
-                next = Optional.of(pieces.removeFirst());
+                consumed++;
+                reportDue = consumed == reportInterval;
+                next = Optional.of(chunks.removeFirst());
             } else {
                 emitting = false;
-                end = pieces.isEmpty() && (finished || cut) && !completed;
+                end = chunks.isEmpty() && (finished || aborted) && !completed;
                 completed |= end;
             }
         }
-        if (notice) {
-            whenTaken.run();
+        if (reportDue) {
+            onConsumed.run();
         }
         if (end) {
             endStream();
@@ -168,8 +168,8 @@
     }
 
     private void endStream() {
-        if (cut) {
-            whenCut.run();
+        if (aborted) {
+            onAborted.run();
         } else {
             subscriber.ifPresent(Subscriber::onComplete);
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkChannelHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkChannelHandler.java
@@ -17,19 +17,19 @@
 final class LinkChannelHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = Logger.getLogger("link");
 
-    private final Hello own;
+    private final Hello ownHello;
     private final LinkListener listener;
     private Optional<Link> link = Optional.empty();
     private String closeCause = "the other side closed the connection";
 
-    LinkChannelHandler(Hello own, LinkListener listener) {
-        this.own = own;
+    LinkChannelHandler(Hello ownHello, LinkListener listener) {
+        this.ownHello = ownHello;
         this.listener = listener;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        context.writeAndFlush(Frame.newBuilder().setHello(own).build());
+        context.writeAndFlush(Frame.newBuilder().setHello(ownHello).build());
     }
 
     @Override
@@ -39,36 +39,36 @@
             return;
         }
         if (!frame.hasHello()) {
-            closeFor(context, "the first frame was no greeting");
+            closeWithCause(context, "the first frame was no greeting");
             return;
         }
-        greeted(context, frame.getHello());
+        receiveHello(context, frame.getHello());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        link.ifPresent(opened -> listener.closed(opened, closeCause));
+        link.ifPresent(openedLink -> listener.closed(openedLink, closeCause));
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        closeFor(context, cause.getClass().getSimpleName() + ": " + cause.getMessage());
+        closeWithCause(context, cause.getClass().getSimpleName() + ": " + cause.getMessage());
     }
 
-    private void greeted(ChannelHandlerContext context, Hello peer) {
+    private void receiveHello(ChannelHandlerContext context, Hello peer) {
         if (peer.getProtocolVersion() != FramePipeline.PROTOCOL_VERSION) {
-            closeFor(
+            closeWithCause(
                     context,
                     "protocol version " + peer.getProtocolVersion() + " of " + peer.getProcess() + " is not "
                             + FramePipeline.PROTOCOL_VERSION);
             return;
         }
-        Link opened = new Link(context.channel(), peer);
-        link = Optional.of(opened);
-        listener.opened(opened);
+        Link openedLink = new Link(context.channel(), peer);
+        link = Optional.of(openedLink);
+        listener.opened(openedLink);
     }
 
-    private void closeFor(ChannelHandlerContext context, String cause) {
+    private void closeWithCause(ChannelHandlerContext context, String cause) {
         closeCause = cause;
         LOG.warnf("link: closed to %s, %s", context.channel().remoteAddress(), cause);
         context.close();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkNetwork.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkNetwork.java
@@ -21,22 +21,23 @@
 /** Opens and accepts links; one network thread serves all of them. */
 public final class LinkNetwork implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 1000;
-    private static final int QUIET_MILLISECONDS = 50;
-    private static final int CLOSE_MILLISECONDS = 2000;
+    private static final int SHUTDOWN_QUIET_MILLISECONDS = 50;
+    private static final int SHUTDOWN_TIMEOUT_MILLISECONDS = 2000;
 
-    private final Hello own;
+    private final Hello ownHello;
     private final LinkListener listener;
-    private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("aspenmoor-network", true));
+    private final EventLoopGroup eventLoopGroup =
+            new NioEventLoopGroup(1, new DefaultThreadFactory("aspenmoor-network", true));
 
-    public LinkNetwork(Hello own, LinkListener listener) {
-        this.own = own;
+    public LinkNetwork(Hello ownHello, LinkListener listener) {
+        this.ownHello = ownHello;
         this.listener = listener;
     }
 
     /** Listens for links and returns the port. */
     public int listen(String address, int port) throws AspenmoorException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(group)
+                .group(eventLoopGroup)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(initializer());
@@ -51,9 +52,9 @@
     }
 
     /** Opens a link; the failure action runs if no connection comes about, else the listener hears of it. */
-    public void connect(String address, int port, Runnable whenFailed) {
+    public void connect(String address, int port, Runnable onFailure) {
         new Bootstrap()
-                .group(group)
+                .group(eventLoopGroup)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLISECONDS)
@@ -61,14 +62,15 @@
                 .connect(address, port)
                 .addListener(result -> {
                     if (!result.isSuccess()) {
-                        whenFailed.run();
+                        onFailure.run();
                     }
                 });
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(QUIET_MILLISECONDS, CLOSE_MILLISECONDS, TimeUnit.MILLISECONDS)
+        eventLoopGroup
+                .shutdownGracefully(SHUTDOWN_QUIET_MILLISECONDS, SHUTDOWN_TIMEOUT_MILLISECONDS, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly();
     }
 
@@ -83,6 +85,6 @@
 
     private void addHandlers(Channel channel) {
         FramePipeline.addTo(channel.pipeline());
-        channel.pipeline().addLast(new LinkChannelHandler(own, listener));
+        channel.pipeline().addLast(new LinkChannelHandler(ownHello, listener));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/DutyLinkListener.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/WorkerLinkListener.java
@@ -11,18 +11,18 @@
  *
  * @param <M> the duty's messages
  */
-public final class DutyLinkListener<M> implements LinkListener {
-    private final Consumer<M> duty;
+public final class WorkerLinkListener<M> implements LinkListener {
+    private final Consumer<M> worker;
     private final Function<Link, M> opened;
     private final BiFunction<Link, Frame, M> received;
     private final BiFunction<Link, String, M> closed;
 
-    public DutyLinkListener(
-            Consumer<M> duty,
+    public WorkerLinkListener(
+            Consumer<M> worker,
             Function<Link, M> opened,
             BiFunction<Link, Frame, M> received,
             BiFunction<Link, String, M> closed) {
-        this.duty = duty;
+        this.worker = worker;
         this.opened = opened;
         this.received = received;
         this.closed = closed;
@@ -30,16 +30,16 @@
 
     @Override
     public void opened(Link link) {
-        duty.accept(opened.apply(link));
+        worker.accept(opened.apply(link));
     }
 
     @Override
     public void received(Link link, Frame frame) {
-        duty.accept(received.apply(link, frame));
+        worker.accept(received.apply(link, frame));
     }
 
     @Override
     public void closed(Link link, String cause) {
-        duty.accept(closed.apply(link, cause));
+        worker.accept(closed.apply(link, cause));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/LogSetup.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/LogSetup.java
@@ -17,8 +17,8 @@
     /** Uses the given format from now on. */
     public static void use(LogFormat format) {
         Logger root = Logger.getLogger("");
-        for (Handler old : root.getHandlers()) {
-            root.removeHandler(old);
+        for (Handler handler : root.getHandlers()) {
+            root.removeHandler(handler);
         }
         root.addHandler(new ConsoleHandler(ConsoleHandler.Target.SYSTEM_ERR, formatter(format)));
         root.setLevel(Level.INFO);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
@@ -15,23 +15,23 @@
 
 /** Reads a process's settings and reports all mistakes with their places at once. */
 public final class SettingsReader {
-    private static final int HIGHEST_PORT = 65535;
+    private static final int MAX_PORT = 65535;
     private static final int KIBIBYTE = 1024;
     private static final int MEBIBYTE = KIBIBYTE * KIBIBYTE;
     private static final int DEFAULT_HEADER_BYTES = 16 * KIBIBYTE;
-    private static final int MOST_WAITING = 100_000;
-    private static final int DEFAULT_WAITING = 512;
-    private static final int MOST_CREDIT = 4096;
+    private static final int MAX_WAITING_REQUESTS = 100_000;
+    private static final int DEFAULT_WAITING_REQUESTS = 512;
+    private static final int MAX_CREDIT = 4096;
     private static final int DEFAULT_CHUNK_CREDIT = 64;
     private static final int DEFAULT_REQUEST_CREDIT = 64;
-    private static final double MOST_SECONDS = 3600;
-    private static final double LEAST_SECONDS = 0.1;
+    private static final double MAX_SECONDS = 3600;
+    private static final double MIN_POSITIVE_VALUE = 0.1;
     private static final Duration DEFAULT_LEAVING_BOUND = Duration.ofSeconds(3);
     private static final Duration DEFAULT_STALL_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration DEFAULT_DRAIN_LIMIT = Duration.ofMinutes(10);
-    private static final double MOST_STORE_CALLS = 2000;
-    private static final double DEFAULT_STORE_CALLS = 20;
-    private static final int HASH_DIGITS = 64;
+    private static final double MAX_STORE_CALLS_PER_SECOND = 2000;
+    private static final double DEFAULT_STORE_CALLS_PER_SECOND = 20;
+    private static final int TOKEN_HASH_DIGITS = 64;
 
     private final Findings findings = new Findings();
 
@@ -61,8 +61,8 @@
         return new EntrySettings(
                 readProcess(reader),
                 readLimits(reader),
-                reader.seconds("leavingBoundSeconds", LEAST_SECONDS, MOST_SECONDS, DEFAULT_LEAVING_BOUND),
-                reader.seconds("stallTimeoutSeconds", LEAST_SECONDS, MOST_SECONDS, DEFAULT_STALL_TIMEOUT),
+                reader.seconds("leavingBoundSeconds", MIN_POSITIVE_VALUE, MAX_SECONDS, DEFAULT_LEAVING_BOUND),
+                reader.seconds("stallTimeoutSeconds", MIN_POSITIVE_VALUE, MAX_SECONDS, DEFAULT_STALL_TIMEOUT),
                 EngineSpeedReader.read(reader),
                 readOperators(reader));
     }
@@ -71,13 +71,13 @@
         return new AgentSettings(
                 readProcess(reader),
                 readBackend(reader),
-                reader.integer("requestCredit", 1, MOST_CREDIT, DEFAULT_REQUEST_CREDIT),
-                reader.seconds("drainLimitSeconds", 1, MOST_SECONDS, DEFAULT_DRAIN_LIMIT));
+                reader.integer("requestCredit", 1, MAX_CREDIT, DEFAULT_REQUEST_CREDIT),
+                reader.seconds("drainLimitSeconds", 1, MAX_SECONDS, DEFAULT_DRAIN_LIMIT));
     }
 
     private ProcessSettings readProcess(FieldReader reader) {
-        int httpPort = reader.integer("httpPort", 0, HIGHEST_PORT, 0);
-        int linkPort = reader.integer("linkPort", 0, HIGHEST_PORT, 0);
+        int httpPort = reader.integer("httpPort", 0, MAX_PORT, 0);
+        int linkPort = reader.integer("linkPort", 0, MAX_PORT, 0);
         if (httpPort == linkPort && httpPort != 0) {
             findings.add(reader.placeOf("linkPort"), "The port is the same as \"httpPort\".", "Choose another, or 0.");
         }
@@ -88,7 +88,11 @@
                 httpPort,
                 linkPort,
                 reader.requiredHttpUrl("store"),
-                reader.decimal("storeCallsPerSecond", LEAST_SECONDS, MOST_STORE_CALLS, DEFAULT_STORE_CALLS),
+                reader.decimal(
+                        "storeCallsPerSecond",
+                        MIN_POSITIVE_VALUE,
+                        MAX_STORE_CALLS_PER_SECOND,
+                        DEFAULT_STORE_CALLS_PER_SECOND),
                 readChoice(reader, "logFormat", LogFormat.values(), LogFormat.TEXT));
     }
 
@@ -97,15 +101,15 @@
                 reader.integer("longestBodyBytes", KIBIBYTE, 2 * MEBIBYTE, MEBIBYTE),
                 reader.integer("longestHeaderBytes", KIBIBYTE, MEBIBYTE, DEFAULT_HEADER_BYTES),
                 reader.integer("longestAnswerBytes", KIBIBYTE, 16 * MEBIBYTE, MEBIBYTE),
-                reader.integer("mostWaitingRequests", 1, MOST_WAITING, DEFAULT_WAITING),
-                reader.integer("chunkCredit", 1, MOST_CREDIT, DEFAULT_CHUNK_CREDIT));
+                reader.integer("mostWaitingRequests", 1, MAX_WAITING_REQUESTS, DEFAULT_WAITING_REQUESTS),
+                reader.integer("chunkCredit", 1, MAX_CREDIT, DEFAULT_CHUNK_CREDIT));
     }
 
     private List<OperatorSettings> readOperators(FieldReader reader) {
         List<OperatorSettings> operators = new ArrayList<>();
         for (FieldReader operator : reader.objects("operators")) {
             String hash = operator.requiredText("tokenHash");
-            if (hash.length() != HASH_DIGITS) {
+            if (hash.length() != TOKEN_HASH_DIGITS) {
                 findings.add(
                         operator.placeOf("tokenHash"),
                         "The hash has " + hash.length() + " digits.",
@@ -135,25 +139,25 @@
         return settings;
     }
 
-    private <E extends Enum<E>> E readChoice(FieldReader reader, String name, E[] choices, E fallback) {
+    private <E extends Enum<E>> E readChoice(FieldReader reader, String name, E[] choices, E defaultChoice) {
         Optional<String> text = reader.optionalText(name);
         if (text.isEmpty()) {
-            return fallback;
+            return defaultChoice;
         }
-        List<String> known = new ArrayList<>();
+        List<String> allowed = new ArrayList<>();
         for (E choice : choices) {
-            String spelled = spell(choice);
-            if (spelled.equals(text.get())) {
+            String value = settingValue(choice);
+            if (value.equals(text.get())) {
                 return choice;
             }
-            known.add(spelled);
+            allowed.add(value);
         }
         findings.add(
-                reader.placeOf(name), "The choice is not known.", "Write one of " + String.join(", ", known) + ".");
-        return fallback;
+                reader.placeOf(name), "The choice is not known.", "Write one of " + String.join(", ", allowed) + ".");
+        return defaultChoice;
     }
 
-    private static String spell(Enum<?> choice) {
+    private static String settingValue(Enum<?> choice) {
         return choice.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationApiTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationApiTest.java
@@ -19,31 +19,32 @@
 import org.testng.annotations.Test;
 
 public class AdministrationApiTest {
-    private static final String ONE = "documents/studio/drafting";
-    private static final String FIRST = """
+    private static final String DOCUMENT_PATH = "documents/studio/drafting";
+    private static final String FIRST_DOCUMENT = """
             {"team": "studio", "service": "drafting", "callerTokenHashes": ["%s"],
              "models": [{"name": "scene-drafter", "version": "3"}],
              "kinds": [{"name": "cue", "weight": 5, "deadlineSeconds": 2.5, "longestOutputTokens": 60}],
              "engines": [{"name": "drafter-1", "dataCentre": "almaty-1"}]}""".formatted("a".repeat(64));
-    private static final String SECOND = FIRST.replace("\"version\": \"3\"", "\"version\": \"4\"");
-    private static final String BROKEN = FIRST.replace("almaty-1", "almaty-2").replace("60", "0");
-    private static final String PLATFORM = AdministrationServer.PLATFORM_TOKEN;
-    private static final String STUDIO = AdministrationServer.STUDIO_TOKEN;
+    private static final String CHANGED_DOCUMENT = FIRST_DOCUMENT.replace("\"version\": \"3\"", "\"version\": \"4\"");
+    private static final String INVALID_DOCUMENT =
+            FIRST_DOCUMENT.replace("almaty-1", "almaty-2").replace("60", "0");
+    private static final String PLATFORM_TOKEN = AdministrationServer.PLATFORM_TOKEN;
+    private static final String STUDIO_TOKEN = AdministrationServer.STUDIO_TOKEN;
 
     private AdministrationServer server;
 
     @BeforeMethod
-    public void start_with_an_empty_store() throws Exception {
+    public void startServer() throws Exception {
         server = new AdministrationServer(new InMemoryObjectStore());
     }
 
     @AfterMethod
-    public void stop() throws Exception {
+    public void stopServer() throws Exception {
         server.close();
     }
 
     @Test
-    public void should_describe_exactly_the_operations_it_has() throws Exception {
+    public void should_describe_exactly_the_operations_that_it_handles() throws Exception {
         TreeSet<String> described = new TreeSet<>();
         for (Map.Entry<String, JsonNode> path : description().get("paths").properties()) {
             path.getValue()
@@ -64,44 +65,44 @@
         String request = FixedStatusSource.REQUEST.toString();
         return new Object[][] {
             {"GET", "documents", "", "", "", 401},
-            {"GET", "documents", STUDIO, "", "", 200},
-            {"GET", ONE, STUDIO, "", "", 200},
-            {"GET", "documents/studio/none", STUDIO, "", "", 404},
-            {"GET", "documents/sheets/drafting", STUDIO, "", "", 403},
-            {"PUT", ONE, STUDIO, "\"1\"", SECOND, 200},
-            {"PUT", ONE, STUDIO, "", SECOND, 428},
-            {"PUT", ONE, STUDIO, "x", SECOND, 400},
-            {"PUT", ONE, STUDIO, "0", SECOND, 412},
-            {"PUT", ONE, STUDIO, "1", BROKEN, 422},
-            {"PUT", ONE, STUDIO, "1", "/*" + "x".repeat(800_000) + "*/", 413},
-            {"PUT", "documents/sheets/drafting", STUDIO, "0", SECOND, 403},
-            {"POST", ONE + "/check", STUDIO, "", BROKEN, 200},
-            {"POST", ONE + "/propose", STUDIO, "", SECOND, 200},
-            {"POST", ONE + "/propose", STUDIO, "", BROKEN, 422},
-            {"POST", ONE + "/propose", STUDIO, "0", SECOND, 412},
-            {"GET", ONE + "/history?limit=3", STUDIO, "", "", 200},
-            {"GET", ONE + "/history?limit=many", STUDIO, "", "", 400},
-            {"GET", ONE + "/history/1", STUDIO, "", "", 200},
-            {"GET", ONE + "/history/9", STUDIO, "", "", 404},
-            {"POST", ONE + "/revert/1", STUDIO, "1", "", 200},
-            {"POST", ONE + "/revert/9", STUDIO, "1", "", 404},
-            {"GET", "status", PLATFORM, "", "", 200},
-            {"GET", "engines?dataCentre=lima-1", PLATFORM, "", "", 200},
-            {"GET", "duties", PLATFORM, "", "", 200},
-            {"GET", "in-force", PLATFORM, "", "", 200},
-            {"GET", "dump/entry-1", PLATFORM, "", "", 200},
-            {"GET", "dump/entry-1", STUDIO, "", "", 403},
-            {"GET", "dump/entry-9", PLATFORM, "", "", 404},
-            {"GET", "explain/" + request, STUDIO, "", "", 200},
-            {"GET", "explain/zz", STUDIO, "", "", 400},
-            {"GET", "explain/" + "0".repeat(32), STUDIO, "", "", 404},
+            {"GET", "documents", STUDIO_TOKEN, "", "", 200},
+            {"GET", DOCUMENT_PATH, STUDIO_TOKEN, "", "", 200},
+            {"GET", "documents/studio/none", STUDIO_TOKEN, "", "", 404},
+            {"GET", "documents/sheets/drafting", STUDIO_TOKEN, "", "", 403},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "\"1\"", CHANGED_DOCUMENT, 200},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "", CHANGED_DOCUMENT, 428},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "x", CHANGED_DOCUMENT, 400},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "0", CHANGED_DOCUMENT, 412},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "1", INVALID_DOCUMENT, 422},
+            {"PUT", DOCUMENT_PATH, STUDIO_TOKEN, "1", "/*" + "x".repeat(800_000) + "*/", 413},
+            {"PUT", "documents/sheets/drafting", STUDIO_TOKEN, "0", CHANGED_DOCUMENT, 403},
+            {"POST", DOCUMENT_PATH + "/check", STUDIO_TOKEN, "", INVALID_DOCUMENT, 200},
+            {"POST", DOCUMENT_PATH + "/propose", STUDIO_TOKEN, "", CHANGED_DOCUMENT, 200},
+            {"POST", DOCUMENT_PATH + "/propose", STUDIO_TOKEN, "", INVALID_DOCUMENT, 422},
+            {"POST", DOCUMENT_PATH + "/propose", STUDIO_TOKEN, "0", CHANGED_DOCUMENT, 412},
+            {"GET", DOCUMENT_PATH + "/history?limit=3", STUDIO_TOKEN, "", "", 200},
+            {"GET", DOCUMENT_PATH + "/history?limit=many", STUDIO_TOKEN, "", "", 400},
+            {"GET", DOCUMENT_PATH + "/history/1", STUDIO_TOKEN, "", "", 200},
+            {"GET", DOCUMENT_PATH + "/history/9", STUDIO_TOKEN, "", "", 404},
+            {"POST", DOCUMENT_PATH + "/revert/1", STUDIO_TOKEN, "1", "", 200},
+            {"POST", DOCUMENT_PATH + "/revert/9", STUDIO_TOKEN, "1", "", 404},
+            {"GET", "status", PLATFORM_TOKEN, "", "", 200},
+            {"GET", "engines?dataCentre=lima-1", PLATFORM_TOKEN, "", "", 200},
+            {"GET", "duties", PLATFORM_TOKEN, "", "", 200},
+            {"GET", "in-force", PLATFORM_TOKEN, "", "", 200},
+            {"GET", "dump/entry-1", PLATFORM_TOKEN, "", "", 200},
+            {"GET", "dump/entry-1", STUDIO_TOKEN, "", "", 403},
+            {"GET", "dump/entry-9", PLATFORM_TOKEN, "", "", 404},
+            {"GET", "explain/" + request, STUDIO_TOKEN, "", "", 200},
+            {"GET", "explain/zz", STUDIO_TOKEN, "", "", 400},
+            {"GET", "explain/" + "0".repeat(32), STUDIO_TOKEN, "", "", 404},
         };
     }
 
     @Test(dataProvider = "calls")
     public void should_answer_as_described(
             String method, String path, String token, String readRevision, String body, int status) throws Exception {
-        server.call("PUT", ONE, PLATFORM, "0", FIRST);
+        server.call("PUT", DOCUMENT_PATH, PLATFORM_TOKEN, "0", FIRST_DOCUMENT);
 
         HttpResponse<String> response = server.call(method, path, token, readRevision, body);
 
@@ -109,12 +110,12 @@
         JsonNode answers = operation(method, path).get("responses");
         JsonNode described = answers.path(String.valueOf(status)).at("/content/application~1json/schema");
         assertFalse(described.isMissingNode(), status + " is not described");
-        assertEquals(new DescribedSchema(description()).differences(described, server.json(response)), List.of());
+        assertEquals(new OpenApiSchemaCheck(description()).differences(described, server.json(response)), List.of());
     }
 
     @Test
     public void should_report_all_mistakes_with_their_places() throws Exception {
-        JsonNode error = server.json(server.call("PUT", ONE, STUDIO, "0", BROKEN));
+        JsonNode error = server.json(server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "0", INVALID_DOCUMENT));
 
         assertEquals(error.get("findings").size(), 2, error.toString());
         assertEquals(error.at("/findings/0/path").asText(), "kinds[0].longestOutputTokens");
@@ -122,13 +123,14 @@
     }
 
     @Test
-    public void should_tell_the_second_of_two_operators_what_changed() throws Exception {
+    public void should_report_the_first_change_when_a_second_operator_submits_an_outdated_revision() throws Exception {
         // Both read revision 1; the first one's change is accepted. Without the condition the second would undo it
         // unseen.
-        server.call("PUT", ONE, STUDIO, "0", FIRST);
-        server.call("PUT", ONE, STUDIO, "1", SECOND);
+        server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "0", FIRST_DOCUMENT);
+        server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "1", CHANGED_DOCUMENT);
 
-        HttpResponse<String> late = server.call("PUT", ONE, PLATFORM, "1", FIRST.replace("5,", "6,"));
+        HttpResponse<String> late =
+                server.call("PUT", DOCUMENT_PATH, PLATFORM_TOKEN, "1", FIRST_DOCUMENT.replace("5,", "6,"));
 
         assertEquals(late.statusCode(), 412);
         assertEquals(late.headers().firstValue("ETag"), Optional.of("\"2\""));
@@ -138,11 +140,11 @@
     }
 
     @Test
-    public void should_record_who_accepted_what() throws Exception {
-        server.call("PUT", ONE, PLATFORM, "0", FIRST);
-        server.call("PUT", ONE, STUDIO, "1", SECOND);
+    public void should_record_the_operator_who_accepted_a_revision() throws Exception {
+        server.call("PUT", DOCUMENT_PATH, PLATFORM_TOKEN, "0", FIRST_DOCUMENT);
+        server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "1", CHANGED_DOCUMENT);
 
-        JsonNode newest = server.json(server.call("GET", ONE + "/history", STUDIO, "", ""))
+        JsonNode newest = server.json(server.call("GET", DOCUMENT_PATH + "/history", STUDIO_TOKEN, "", ""))
                 .at("/revisions/0");
 
         assertEquals(newest.get("acceptedBy").asText(), "aigul");
@@ -150,20 +152,20 @@
     }
 
     @Test
-    public void should_show_a_team_only_its_own() throws Exception {
-        String seen = "";
+    public void should_show_an_operator_only_the_services_of_its_team() throws Exception {
+        String shown = "";
         for (String path : List.of("documents", "status", "engines", "duties", "in-force")) {
-            seen += server.call("GET", path, STUDIO, "", "").body();
+            shown += server.call("GET", path, STUDIO_TOKEN, "", "").body();
         }
 
-        assertTrue(seen.contains("studio"), seen);
-        assertFalse(seen.contains("sheets") || seen.contains("sheet-1"), seen);
+        assertTrue(shown.contains("studio"), shown);
+        assertFalse(shown.contains("sheets") || shown.contains("sheet-1"), shown);
     }
 
     @Test
-    public void should_refuse_a_method_that_a_path_does_not_take() throws Exception {
-        assertEquals(server.call("DELETE", ONE, STUDIO, "", "").statusCode(), 405);
-        assertEquals(server.call("GET", "nothing", STUDIO, "", "").statusCode(), 404);
+    public void should_reject_unsupported_methods_and_unknown_paths() throws Exception {
+        assertEquals(server.call("DELETE", DOCUMENT_PATH, STUDIO_TOKEN, "", "").statusCode(), 405);
+        assertEquals(server.call("GET", "nothing", STUDIO_TOKEN, "", "").statusCode(), 404);
     }
 
     private JsonNode description() throws Exception {
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/EntryStatusSourceTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/EntryStatusSourceTest.java
@@ -36,7 +36,7 @@
             List::of);
 
     @BeforeMethod
-    public void forget_backend_servers() {
+    public void clearDump() {
         dump.removeAll();
     }
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    public void should_tell_the_states_of_backend_servers_apart() {
+    public void should_derive_backend_states_from_the_dump() {
         addBackend("a", true, true, "", "DECODE");
         addBackend("b", true, false, "", "");
         addBackend("c", true, false, "its host is leaving", "");
@@ -87,7 +87,7 @@
     }
 
     @Test
-    public void should_show_a_story_without_a_service_to_the_platform_only() {
+    public void should_return_an_explanation_without_a_service() {
         RequestExplanation explanation = source.explain(new RequestId(1, 1)).orElseThrow();
 
         assertEquals(explanation.sentences(), List.of("+0 ms: came"));
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/DescribedSchema.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/OpenApiSchemaCheck.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** Compares answers with the schemas of the published description; knows as much of JSON schema as that one uses. */
-final class DescribedSchema {
+final class OpenApiSchemaCheck {
     private static final String REFERENCE = "$ref";
 
     private final JsonNode description;
     private final List<String> differences = new ArrayList<>();
 
-    DescribedSchema(JsonNode description) {
+    OpenApiSchemaCheck(JsonNode description) {
         this.description = description;
     }
 
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/agent/AgentEventLoopTest.java
@@ -56,7 +56,7 @@
                 running::set,
                 drain,
                 new AgentMetrics(new PrometheusRegistry()));
-        entry = EmbeddedLink.agentOf("");
+        entry = EmbeddedLink.openFromAgentOf("");
         eventLoop.handle(new AgentMessage.LinkOpened(entry.link()));
     }
 
@@ -68,10 +68,10 @@
 
         pieces(FIRST, "a", "b", "c");
 
-        assertEquals(chunksOf(entry.sent()), List.of("a", "b"));
+        assertEquals(chunksOf(entry.takeSent()), List.of("a", "b"));
         assertEquals(wanted.get(), 0);
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), credit(FIRST, 2)));
-        assertEquals(chunksOf(entry.sent()), List.of("c"));
+        assertEquals(chunksOf(entry.takeSent()), List.of("c"));
         assertEquals(wanted.get(), 1);
     }
 
@@ -80,11 +80,11 @@
         dispatch(FIRST, 1);
         pieces(FIRST, "a", "b");
         eventLoop.handle(new AgentMessage.AnswerEnded(FIRST, new CallEnd.Complete("stop")));
-        assertTrue(entry.sent().stream().noneMatch(Frame::hasLast));
+        assertTrue(entry.takeSent().stream().noneMatch(Frame::hasLast));
 
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), credit(FIRST, 1)));
 
-        Last last = entry.sent().getLast().getLast();
+        Last last = entry.takeSent().getLast().getLast();
         assertEquals(last.getEnd(), Last.End.COMPLETE);
         assertEquals(last.getCount(), 2);
     }
@@ -97,7 +97,7 @@
 
         eventLoop.handle(new AgentMessage.AnswerEnded(FIRST, new CallEnd.NeverStarted("connection refused")));
 
-        assertTrue(entry.sent().getLast().hasRefused());
+        assertTrue(entry.takeSent().getLast().hasRefused());
     }
 
     // A frame is delivered twice. Without the check the booking would be made twice under one name.
@@ -107,7 +107,7 @@
         dispatch(FIRST, 4);
 
         assertEquals(started, List.of(FIRST));
-        assertTrue(entry.sent().getLast().hasRefused());
+        assertTrue(entry.takeSent().getLast().hasRefused());
     }
 
     // The caller's deadline has passed on the way; an engine that worked on it would take room from live requests.
@@ -116,7 +116,7 @@
         eventLoop.handle(new AgentMessage.FrameArrived(entry.link(), dispatchFrame(FIRST, 4, 0)));
 
         assertTrue(started.isEmpty());
-        assertTrue(entry.sent().getLast().hasRefused());
+        assertTrue(entry.takeSent().getLast().hasRefused());
     }
 
     // The entry was killed. Nobody takes its answers any more, and engines would go on generating for nobody.
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
@@ -36,14 +36,14 @@
     }
 
     @Test(dataProvider = "messages")
-    public void should_read_back_what_was_written(DisseminationMessage message) throws InvalidProtocolBufferException {
+    public void should_round_trip_every_message(DisseminationMessage message) throws InvalidProtocolBufferException {
         Frame frame = Frame.parseFrom(DisseminationFrames.toFrame(message).toByteArray());
 
         assertEquals(DisseminationFrames.fromFrame(frame), Optional.of(message));
     }
 
     @Test
-    public void should_never_make_a_table_look_fresher_on_the_other_side() {
+    public void should_round_the_confirmed_age_up() {
         Duration age = Duration.ofNanos(1_999_999);
 
         DisseminationMessage read = DisseminationFrames.fromFrame(
@@ -54,7 +54,7 @@
     }
 
     @Test
-    public void should_shorten_a_document_on_the_way() {
+    public void should_compress_documents() {
         String content = "{\"name\": \"drafting-1\", \"dataCentre\": \"lima-1\"}".repeat(50);
 
         Frame frame = DisseminationFrames.toFrame(new DisseminationMessage.Update(new KnownDocument(KEY, 12, content)));
@@ -66,19 +66,19 @@
     // what
     // comes out would put half a document in force.
     @Test
-    public void should_drop_an_update_whose_length_does_not_fit() {
+    public void should_ignore_an_update_when_its_inflated_length_is_wrong() {
         String content = "{\"engines\": [] }".repeat(200);
         Frame frame = DisseminationFrames.toFrame(new DisseminationMessage.Update(new KnownDocument(KEY, 12, content)));
 
         for (int length : new int[] {content.length() + 1, Integer.MAX_VALUE, -1}) {
-            Frame.Builder garbled = frame.toBuilder();
-            garbled.getDocumentUpdateBuilder().setInflatedLength(length);
-            assertTrue(DisseminationFrames.fromFrame(garbled.build()).isEmpty());
+            Frame.Builder corrupted = frame.toBuilder();
+            corrupted.getDocumentUpdateBuilder().setInflatedLength(length);
+            assertTrue(DisseminationFrames.fromFrame(corrupted.build()).isEmpty());
         }
     }
 
     @Test
-    public void should_leave_other_frames_alone() {
+    public void should_return_nothing_when_a_frame_carries_no_dissemination_message() {
         Frame probe = Frame.newBuilder().setProbe(Probe.getDefaultInstance()).build();
 
         assertTrue(DisseminationFrames.fromFrame(probe).isEmpty());
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
@@ -111,8 +111,8 @@
         EmbeddedLink first = fixture.connect("desk-1", "desk");
         EmbeddedLink second = fixture.connect("desk-2", "desk");
         RecordingSink caller = fixture.book(Optional.empty());
-        EmbeddedLink used = first.sent().stream().anyMatch(Frame::hasDispatch) ? first : second;
-        second.sent();
+        EmbeddedLink used = first.takeSent().stream().anyMatch(Frame::hasDispatch) ? first : second;
+        second.takeSent();
 
         fixture.cut(used);
 
@@ -197,11 +197,11 @@
     public void should_cancel_at_the_agent_when_the_caller_goes_away() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         fixture.generate(EventLoopFixture.TOKEN);
-        engine.sent();
+        engine.takeSent();
 
         fixture.eventLoop().handle(new EntryMessage.CallerGone(fixture.lastId()));
 
-        assertTrue(engine.sent().getLast().hasCancel());
+        assertTrue(engine.takeSent().getLast().hasCancel());
     }
 
     // A host is to be replaced and its agent says so. New requests must go elsewhere at once.
@@ -259,7 +259,7 @@
     }
 
     private int creditIn(EmbeddedLink link) {
-        List<Frame> frames = link.sent();
+        List<Frame> frames = link.takeSent();
         return frames.stream()
                 .filter(Frame::hasCredit)
                 .mapToInt(frame -> frame.getCredit().getChunks())
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EventLoopFixture.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.claims.ClaimMessage;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.link.EmbeddedLink;
 import org.aspenmoor.internal.link.LinkListener;
 import org.aspenmoor.internal.link.LinkNetwork;
@@ -65,7 +65,7 @@
     private final List<ClaimMessage> claims = new ArrayList<>();
     private final LinkNetwork network =
             new LinkNetwork(org.aspenmoor.internal.wire.v1.Hello.getDefaultInstance(), new SilentListener());
-    private final Duty<ClaimMessage> claimDuty = new Duty<>("test-claims", 16, claims::add);
+    private final Worker<ClaimMessage> claimDuty = new Worker<>("test-claims", 16, claims::add);
     private final EntryEventLoop eventLoop;
     private long requests;
 
@@ -107,7 +107,7 @@
         AgentRegistration registration = new AgentRegistration(
                 backend, "studio", service, "host-" + backend, "almaty-1", "127.0.0.1", 1, "incarnation-" + backend);
         changed(ObjectKind.AGENT_REGISTRATION, backend, registration.write());
-        EmbeddedLink link = EmbeddedLink.agentOf(backend);
+        EmbeddedLink link = EmbeddedLink.openFromAgentOf(backend);
         links.put(backend, link);
         eventLoop.handle(new EntryMessage.LinkOpened(link.link()));
         receive(
@@ -144,7 +144,7 @@
 
     /** Returns the one dispatch that a backend server was sent since last asked, if any. */
     Optional<Dispatch> dispatchTo(EmbeddedLink link) {
-        return link.sent().stream()
+        return link.takeSent().stream()
                 .filter(Frame::hasDispatch)
                 .map(Frame::getDispatch)
                 .findFirst();
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/EmbeddedLink.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/EmbeddedLink.java
@@ -32,12 +32,12 @@
     }
 
     /** Makes a link whose frames are bytes and to which nothing was said yet. */
-    static EmbeddedLink bytes() {
+    static EmbeddedLink unopened() {
         return new EmbeddedLink(true);
     }
 
     /** Greets as an agent of a backend server. */
-    public static EmbeddedLink agentOf(String backend) {
+    public static EmbeddedLink openFromAgentOf(String backend) {
         return open(Hello.newBuilder()
                 .setProtocolVersion(FramePipeline.PROTOCOL_VERSION)
                 .setProcess("agent-" + backend)
@@ -53,7 +53,7 @@
     }
 
     /** Returns and forgets the frames sent so far. */
-    public List<Frame> sent() {
+    public List<Frame> takeSent() {
         List<Frame> frames = new ArrayList<>();
         Object next = channel.readOutbound();
         while (next != null) {
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
@@ -16,11 +16,11 @@
             Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(7)).build();
 
     @Test
-    public void should_pass_frames_on_once_both_sides_have_greeted() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+    public void should_deliver_frames_when_both_sides_have_sent_hello() {
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
-        link.channel().writeInbound(encoded(PROBE));
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
+        link.channel().writeInbound(encode(PROBE));
 
         assertTrue(link.wasOpened());
         assertEquals(link.received().getFirst(), PROBE);
@@ -31,9 +31,9 @@
     // another meaning and callers would get garbled answers.
     @Test
     public void should_close_when_the_protocol_versions_differ() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION + 1)));
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION + 1)));
 
         assertFalse(link.wasOpened());
         assertFalse(link.channel().isOpen());
@@ -41,10 +41,10 @@
 
     // Something that is no process of the system connects to the port, a scanner for example.
     @Test
-    public void should_close_when_the_first_frame_is_no_greeting() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+    public void should_close_when_the_first_frame_is_not_a_hello() {
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(PROBE));
+        link.channel().writeInbound(encode(PROBE));
 
         assertFalse(link.wasOpened());
         assertFalse(link.channel().isOpen());
@@ -54,9 +54,9 @@
     // killed,
     // and every request it holds would be lost.
     @Test
-    public void should_close_and_tell_when_a_frame_is_longer_than_allowed() {
-        EmbeddedLink link = EmbeddedLink.bytes();
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
+    public void should_close_and_notify_the_listener_when_a_frame_exceeds_the_size_limit() {
+        EmbeddedLink link = EmbeddedLink.unopened();
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
 
         link.channel().writeInbound(Unpooled.buffer().writeInt(FramePipeline.LONGEST_FRAME + 1));
 
@@ -67,9 +67,9 @@
     // Bytes are damaged on the way. A frame that cannot be read may have been the end of somebody's answer, so the link
     // is closed and the listener gives every attempt on it up, instead of one answer being lost without a word.
     @Test
-    public void should_close_and_tell_when_a_frame_is_broken() {
-        EmbeddedLink link = EmbeddedLink.bytes();
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
+    public void should_close_and_notify_the_listener_when_a_frame_cannot_be_decoded() {
+        EmbeddedLink link = EmbeddedLink.unopened();
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
 
         link.channel()
                 .writeInbound(Unpooled.buffer()
@@ -82,13 +82,13 @@
         assertEquals(link.closeCauses().size(), 1);
     }
 
-    private static Frame greeting(int version) {
+    private static Frame hello(int version) {
         return Frame.newBuilder()
                 .setHello(Hello.newBuilder().setProtocolVersion(version).setProcess("peer"))
                 .build();
     }
 
-    private static Object encoded(Frame frame) {
+    private static Object encode(Frame frame) {
         byte[] bytes = frame.toByteArray();
         return Unpooled.buffer().writeInt(bytes.length).writeBytes(bytes);
     }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
@@ -22,7 +22,7 @@
             }""";
 
     @Test
-    public void should_read_settings_with_comments_and_fill_in_the_rest() throws AspenmoorException {
+    public void should_accept_comments_and_apply_defaults() throws AspenmoorException {
         EntrySettings settings = (EntrySettings) new SettingsReader().read("entry.json", ENTRY);
 
         assertEquals(settings.process().name(), "entry-1");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    public void should_name_every_mistake_with_its_place_at_once() {
+    public void should_report_all_mistakes_with_their_places() {
         String text = """
                 {
                   "role": "entry",
@@ -56,7 +56,7 @@
     }
 
     @Test
-    public void should_refuse_two_ports_that_clash() {
+    public void should_reject_equal_http_and_link_ports() {
         String text = ENTRY.replace("\"role\"", "\"httpPort\": 8080, \"linkPort\": 8080, \"role\"");
 
         FindingsException mistakes =
@@ -66,7 +66,7 @@
     }
 
     @Test
-    public void should_ask_an_agent_for_its_backend_server() {
+    public void should_require_a_backend_when_the_role_is_agent() {
         String text = ENTRY.replace("\"entry\"", "\"agent\"");
 
         FindingsException mistakes =
@@ -76,7 +76,7 @@
     }
 
     @Test
-    public void should_refuse_a_role_that_it_does_not_know() {
+    public void should_reject_an_unknown_role() {
         assertThrows(
                 FindingsException.class,
                 () -> new SettingsReader().read("x.json", ENTRY.replace("\"entry\"", "\"sentry\"")));
--- a/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
@@ -32,19 +32,19 @@
     private CallerServer server;
 
     @BeforeMethod
-    public void begin() throws Exception {
+    public void startServer() throws Exception {
         server = new CallerServer();
     }
 
     @AfterMethod
-    public void end() throws Exception {
+    public void stopServer() throws Exception {
         server.close();
     }
 
     @Test
-    public void should_stream_pieces_as_events_and_end_with_the_mark() throws Exception {
+    public void should_stream_chunks_as_events_and_finish_with_the_end_marker() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
-        CallerSink sink = request().sink();
+        CallerSink sink = nextRequest().sink();
         sink.piece("rain ");
         sink.piece("falls");
         sink.generationDone("stop", 3, 2);
@@ -59,13 +59,13 @@
 
     // Every engine that could go on with the stream is gone. The caller has read half a draft and must be able to tell.
     @Test
-    public void should_let_the_caller_tell_a_cut_stream_from_a_whole_one() throws Exception {
-        HttpRequest call = server.to("/v1/completions")
+    public void should_break_the_connection_without_an_end_marker_when_a_stream_is_aborted() throws Exception {
+        HttpRequest call = server.requestTo("/v1/completions")
                 .POST(BodyPublishers.ofString(STREAMED))
                 .build();
         CompletableFuture<HttpResponse<InputStream>> answer =
                 server.client().sendAsync(call, BodyHandlers.ofInputStream());
-        CallerSink sink = request().sink();
+        CallerSink sink = nextRequest().sink();
         sink.piece("rain ");
         sink.unknown(new Outcome.Unknown("All attempts failed."));
 
@@ -77,9 +77,9 @@
     }
 
     @Test
-    public void should_refuse_with_a_typed_error_and_when_to_come_back() throws Exception {
+    public void should_return_a_typed_error_with_a_retry_time_when_a_request_is_refused() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
-        request()
+        nextRequest()
                 .sink()
                 .refused(new Outcome.NotRun(RefusalReason.OVERLOADED, Duration.ofMillis(1200), "The queue is full."));
 
@@ -92,7 +92,7 @@
     }
 
     @Test
-    public void should_name_every_malformed_field_and_trouble_nobody() throws Exception {
+    public void should_report_every_malformed_field_without_involving_the_event_loop() throws Exception {
         HttpResponse<String> refused =
                 server.post("/v1/completions", "{\"prompt\": 3, \"max_tokens\": 0, \"stream\": \"yes\"}");
 
@@ -100,34 +100,34 @@
         for (String field : List.of("model", "prompt", "max_tokens", "stream")) {
             assertTrue(refused.body().contains("\"param\":\"" + field + "\""), field);
         }
-        assertTrue(server.eventLoopHeardNothing());
+        assertTrue(server.eventLoopReceivedNothing());
     }
 
     @Test
-    public void should_answer_a_body_that_is_too_long_with_its_limit() throws Exception {
+    public void should_report_the_limit_when_a_body_is_too_long() throws Exception {
         HttpResponse<String> refused = server.post("/v1/completions", "x".repeat(CallerServer.BODY_BYTES + 1));
 
         assertEquals(refused.statusCode(), 413);
         assertTrue(refused.body().contains(CallerServer.BODY_BYTES + " bytes"));
-        assertTrue(server.eventLoopHeardNothing());
+        assertTrue(server.eventLoopReceivedNothing());
     }
 
     @Test
-    public void should_pass_a_call_through_with_its_key_and_keep_status_and_body() throws Exception {
-        HttpRequest call = server.to("/services/studio-desk/bookings?booth=3")
+    public void should_forward_a_call_with_its_idempotency_key_and_keep_status_and_body() throws Exception {
+        HttpRequest call = server.requestTo("/services/studio-desk/bookings?booth=3")
                 .header("Idempotency-Key", "key-1")
                 .header("X-Narrator", "Aigerim")
                 .POST(BodyPublishers.ofString("tuesday"))
                 .build();
         CompletableFuture<HttpResponse<String>> answer = server.client().sendAsync(call, BodyHandlers.ofString());
-        IncomingRequest request = request();
+        IncomingRequest request = nextRequest();
         request.sink().plainAnswer(new PlainAnswer(201, List.of(header("X-Booth", "3")), bytes("booked")));
 
-        CallerWork.PlainCall passed = (CallerWork.PlainCall) request.work();
-        assertEquals(passed.service(), "studio-desk");
-        assertEquals(passed.path(), "/bookings?booth=3");
+        CallerWork.PlainCall forwarded = (CallerWork.PlainCall) request.work();
+        assertEquals(forwarded.service(), "studio-desk");
+        assertEquals(forwarded.path(), "/bookings?booth=3");
         assertEquals(request.idempotencyKey().orElseThrow(), "key-1");
-        assertTrue(passed.headers().stream().noneMatch(sent -> sent.getName().equalsIgnoreCase("Authorization")));
+        assertTrue(forwarded.headers().stream().noneMatch(sent -> sent.getName().equalsIgnoreCase("Authorization")));
         assertEquals(answer.get().statusCode(), 201);
         assertEquals(answer.get().body(), "booked");
         assertEquals(answer.get().headers().firstValue("X-Booth").orElseThrow(), "3");
@@ -135,40 +135,41 @@
 
     // The caller closes its connection while it waits. Without the word the engine would go on generating for nobody.
     @Test
-    public void should_tell_the_event_loop_when_a_caller_goes_away() throws Exception {
+    public void should_notify_the_event_loop_when_a_caller_disconnects() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
-        IncomingRequest request = request();
+        IncomingRequest request = nextRequest();
 
         answer.cancel(true);
 
-        assertEquals(server.next(EntryMessage.CallerGone.class).id(), request.id());
+        assertEquals(server.nextMessage(EntryMessage.CallerGone.class).id(), request.id());
     }
 
     // The caller has read a piece and closes its connection in the middle of the stream.
     @Test
-    public void should_tell_the_event_loop_when_a_caller_goes_away_in_the_middle_of_a_stream() throws Exception {
-        HttpRequest call = server.to("/v1/completions")
+    public void should_notify_the_event_loop_when_a_caller_disconnects_during_a_stream() throws Exception {
+        HttpRequest call = server.requestTo("/v1/completions")
                 .POST(BodyPublishers.ofString(STREAMED))
                 .build();
         CompletableFuture<HttpResponse<InputStream>> answer =
                 server.client().sendAsync(call, BodyHandlers.ofInputStream());
-        IncomingRequest request = request();
+        IncomingRequest request = nextRequest();
         request.sink().piece("rain ");
         InputStream body = answer.get().body();
         assertTrue(body.read() >= 0);
 
         body.close();
 
-        assertEquals(server.next(EntryMessage.CallerGone.class).id(), request.id());
+        assertEquals(server.nextMessage(EntryMessage.CallerGone.class).id(), request.id());
     }
 
     private CompletableFuture<HttpResponse<String>> send(String path, String body) {
-        HttpRequest call = server.to(path).POST(BodyPublishers.ofString(body)).build();
+        HttpRequest call =
+                server.requestTo(path).POST(BodyPublishers.ofString(body)).build();
         return server.client().sendAsync(call, BodyHandlers.ofString());
     }
 
-    private IncomingRequest request() throws InterruptedException {
-        return server.next(EntryMessage.RequestCame.class).request();
+    private IncomingRequest nextRequest() throws InterruptedException {
+        return server.nextMessage(EntryMessage.RequestCame.class).request();
     }
 
     private static boolean readAll(InputStream body, StringBuilder seen) {
--- a/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerServer.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerServer.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.entry.EntryMessage;
 import org.aspenmoor.internal.http.CallerRoutes;
 import org.aspenmoor.internal.http.HttpServers;
@@ -26,10 +26,10 @@
     static final int BODY_BYTES = 2048;
 
     private static final int RING_SIZE = 64;
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     private final BlockingQueue<EntryMessage> messages = new LinkedBlockingQueue<>();
-    private final Duty<EntryMessage> eventLoop = new Duty<>("test-events", RING_SIZE, messages::add);
+    private final Worker<EntryMessage> eventLoop = new Worker<>("test-events", RING_SIZE, messages::add);
     private final HttpClient client = HttpClient.newHttpClient();
     private final RatpackServer server;
 
@@ -41,7 +41,7 @@
                 "127.0.0.1",
                 0,
                 1,
-                limits.headerBytes(),
+                limits.maxHeaderBytes(),
                 new CallerRoutes(eventLoop, new DocumentRegistry(time), new Random(1), limits, time));
     }
 
@@ -49,19 +49,19 @@
         return client;
     }
 
-    HttpRequest.Builder to(String path) {
+    HttpRequest.Builder requestTo(String path) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + server.getBindPort() + path))
                 .header("Authorization", "Bearer studio-token");
     }
 
     HttpResponse<String> post(String path, String body) throws IOException, InterruptedException {
-        return client.send(to(path).POST(BodyPublishers.ofString(body)).build(), BodyHandlers.ofString());
+        return client.send(requestTo(path).POST(BodyPublishers.ofString(body)).build(), BodyHandlers.ofString());
     }
 
     /** Returns the next message of a type that reaches the event loop. */
-    <M extends EntryMessage> M next(Class<M> type) throws InterruptedException {
+    <M extends EntryMessage> M nextMessage(Class<M> type) throws InterruptedException {
         while (true) {
-            EntryMessage message = messages.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            EntryMessage message = messages.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (message == null) {
                 throw new AssertionError("no " + type.getSimpleName() + " reached the event loop");
             }
@@ -71,7 +71,7 @@
         }
     }
 
-    boolean eventLoopHeardNothing() {
+    boolean eventLoopReceivedNothing() {
         return messages.isEmpty();
     }
 
