--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerStart.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerStart.java
@@ -3,20 +3,20 @@
 import org.aspenmoor.Outcome;
 import org.aspenmoor.internal.entry.PlainAnswer;
 
-/** The first thing that is known about an answer; it decides the HTTP status. */
+/** The first part of an answer or its refusal; it determines the HTTP status. */
 sealed interface AnswerStart {
-    /** Pieces follow. */
+    /** A streamed answer has started; its chunks follow. */
     record StreamStarted() implements AnswerStart {}
 
-    /** A generation is whole. */
+    /** A generated text is complete. */
     record CompleteText(String text, String finishReason, int promptTokens, int outputTokens) implements AnswerStart {}
 
-    /** A plain service answered. */
+    /** A plain service has answered. */
     record PlainServiceAnswer(PlainAnswer answer) implements AnswerStart {}
 
     /** The request did not run. */
     record Refused(Outcome.NotRun refusal) implements AnswerStart {}
 
-    /** Nobody knows. */
+    /** It is unknown whether the request ran. */
     record UnknownOutcome(Outcome.Unknown unknown) implements AnswerStart {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerWriter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/AnswerWriter.java
@@ -10,22 +10,23 @@
 import ratpack.exec.Promise;
 import ratpack.handling.Context;
 
-/** Writes what became of a request as an HTTP answer. */
+/** Writes the outcome of a request as an HTTP answer. */
 final class AnswerWriter {
-    /** Says which of the three outcomes an answer is. */
+    /** Header with the outcome: answered, not-run or unknown. */
     static final String OUTCOME_HEADER = "Aspenmoor-Outcome";
 
-    /** Names the request, for {@code aspenmoor explain}. */
+    /** Header with the request id, which {@code aspenmoor explain} takes. */
     static final String REQUEST_ID_HEADER = "X-Request-Id";
 
     private static final int BAD_GATEWAY = 502;
+    // Retry-After has whole seconds; added before the division, so that the wait is rounded up.
     private static final int ROUND_UP_MILLISECONDS = 999;
     private static final String JSON = "application/json";
 
     private AnswerWriter() {}
 
-    static Promise<AnswerStart> await(CompletableFuture<AnswerStart> start) {
-        return Promise.async(downstream -> start.thenAccept(downstream::success));
+    static Promise<AnswerStart> await(CompletableFuture<AnswerStart> answerStart) {
+        return Promise.async(downstream -> answerStart.thenAccept(downstream::success));
     }
 
     static void writeRefusal(Context context, RequestId id, Outcome.NotRun refusal) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
@@ -9,7 +9,7 @@
 import ratpack.func.Action;
 import ratpack.handling.Chain;
 
-/** The paths that callers use. */
+/** Routes of the HTTP API for callers. */
 public final class CallerRoutes implements Action<Chain> {
     private final RequestSubmitter submitter;
     private final DocumentRegistry registry;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompleteAnswerSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompleteAnswerSink.java
@@ -6,14 +6,14 @@
 import org.aspenmoor.internal.entry.CallerSink;
 import org.aspenmoor.internal.entry.PlainAnswer;
 
-/** Collects an answer and gives it to the caller whole. */
+/** Collects an answer and delivers it to the caller when it is complete. */
 final class CompleteAnswerSink implements CallerSink {
-    private final CompletableFuture<AnswerStart> start = new CompletableFuture<>();
+    private final CompletableFuture<AnswerStart> answerStart = new CompletableFuture<>();
     private final StringBuilder text = new StringBuilder();
     private final AtomicInteger consumed = new AtomicInteger();
 
-    CompletableFuture<AnswerStart> start() {
-        return start;
+    CompletableFuture<AnswerStart> answerStart() {
+        return answerStart;
     }
 
     @Override
@@ -24,22 +24,22 @@
 
     @Override
     public void generationDone(String finishReason, int promptTokens, int outputTokens) {
-        start.complete(new AnswerStart.CompleteText(text.toString(), finishReason, promptTokens, outputTokens));
+        answerStart.complete(new AnswerStart.CompleteText(text.toString(), finishReason, promptTokens, outputTokens));
     }
 
     @Override
     public void plainAnswer(PlainAnswer answer) {
-        start.complete(new AnswerStart.PlainServiceAnswer(answer));
+        answerStart.complete(new AnswerStart.PlainServiceAnswer(answer));
     }
 
     @Override
     public void refused(Outcome.NotRun refusal) {
-        start.complete(new AnswerStart.Refused(refusal));
+        answerStart.complete(new AnswerStart.Refused(refusal));
     }
 
     @Override
     public void unknown(Outcome.Unknown unknown) {
-        start.complete(new AnswerStart.UnknownOutcome(unknown));
+        answerStart.complete(new AnswerStart.UnknownOutcome(unknown));
     }
 
     @Override
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionFormatter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionFormatter.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.entry.CompletionRequest;
 
-/** Writes answers in the completions protocol, whole and as server-sent events. */
+/** Formats answers in the completions protocol, as one JSON body or as server-sent events. */
 final class CompletionFormatter {
     private static final String END_MARKER = "data: [DONE]\n\n";
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionReader.java
@@ -10,9 +10,10 @@
 import org.aspenmoor.internal.finding.Findings;
 import org.aspenmoor.internal.finding.Place;
 
-/** Reads a completion request and names every field that is wrong. */
+/** Parses a completion request and reports every invalid field. */
 final class CompletionReader {
     private static final ObjectMapper MAPPER = new ObjectMapper();
+    // Only for the estimate of the prompt's length.
     private static final int CHARACTERS_PER_TOKEN = 4;
     private static final String SOURCE = "request body";
 
@@ -27,14 +28,18 @@
         try {
             root = MAPPER.readTree(body);
         } catch (JsonProcessingException malformed) {
-            addFinding("", "The body is not valid JSON: " + malformed.getOriginalMessage() + ".", "Mend the syntax.");
+            addFinding(
+                    "", "The body is not valid JSON: " + malformed.getOriginalMessage() + ".", "Correct the syntax.");
             return Optional.empty();
         } catch (IOException unreadable) {
-            addFinding("", "The body cannot be read.", "Send it again.");
+            addFinding("", "The body cannot be read.", "Send the request again.");
             return Optional.empty();
         }
         if (root == null || !root.isObject()) {
-            addFinding("", "The body is not a JSON object.", "Send an object with \"model\" and a prompt.");
+            addFinding(
+                    "",
+                    "The body is not a JSON object.",
+                    "Send an object with \"model\" and \"prompt\" or \"messages\".");
             return Optional.empty();
         }
         CompletionRequest request = readFields(root, chat, body);
@@ -61,7 +66,10 @@
 
     private String readModel(JsonNode model) {
         if (!model.isTextual() || model.textValue().isBlank()) {
-            addFinding("model", "The model is missing or no text.", "Name a model, as GET /v1/models lists them.");
+            addFinding(
+                    "model",
+                    "The model is missing or not a string.",
+                    "Send the name of a model that GET /v1/models lists.");
             return "";
         }
         return model.textValue();
@@ -69,7 +77,10 @@
 
     private String readPrompt(JsonNode prompt) {
         if (!prompt.isTextual()) {
-            addFinding("prompt", "The prompt is missing or no text.", "Send one text; lists of prompts are not taken.");
+            addFinding(
+                    "prompt",
+                    "The prompt is missing or not a string.",
+                    "Send one string; lists of prompts are not supported.");
             return "";
         }
         return prompt.textValue();
@@ -77,7 +88,8 @@
 
     private String readMessages(JsonNode messages) {
         if (!messages.isArray() || messages.isEmpty()) {
-            addFinding("messages", "The messages are missing.", "Send an array of {\"role\", \"content\"}.");
+            addFinding(
+                    "messages", "The messages are missing.", "Send an array of objects with \"role\" and \"content\".");
             return "";
         }
         StringBuilder prompt = new StringBuilder();
@@ -86,8 +98,8 @@
             if (!message.path("role").isTextual()) {
                 addFinding(
                         "messages[" + index + "].role",
-                        "The role is missing.",
-                        "Write \"system\", \"user\" or \"assistant\".");
+                        "The role is missing or not a string.",
+                        "Send \"system\", \"user\" or \"assistant\".");
             }
             prompt.append(message.path("content"));
         }
@@ -99,7 +111,7 @@
             return false;
         }
         if (!stream.isBoolean()) {
-            addFinding("stream", "The value is no truth value.", "Write true or false.");
+            addFinding("stream", "The value is not a boolean.", "Send true or false.");
         }
         return stream.asBoolean();
     }
@@ -109,7 +121,7 @@
             return Optional.empty();
         }
         if (!maxTokens.isInt() || maxTokens.intValue() < 1) {
-            addFinding("max_tokens", "The value is no whole number above 0.", "Write a number such as 128.");
+            addFinding("max_tokens", "The value is not a positive integer.", "Send a number such as 128.");
             return Optional.empty();
         }
         return Optional.of(maxTokens.intValue());
@@ -117,7 +129,7 @@
 
     private void rejectMultipleChoices(JsonNode count) {
         if (count.isNumber() && count.intValue() != 1) {
-            addFinding("n", "Only one choice is given for a request.", "Leave \"n\" out or send several requests.");
+            addFinding("n", "Only one choice per request is supported.", "Omit \"n\" or send several requests.");
         }
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CompletionsHandler.java
@@ -12,7 +12,7 @@
 import ratpack.http.ResponseChunks;
 import ratpack.stream.Streams;
 
-/** Takes completions, in the plain or the chat form of the protocol. */
+/** Handles text completions or chat completions. */
 final class CompletionsHandler implements Handler {
     private static final int BAD_REQUEST = 400;
     private static final String EVENT_STREAM = "text/event-stream;charset=UTF-8";
@@ -55,27 +55,28 @@
             Context context, RequestId id, CompletionRequest request, CompletionFormatter formatter) {
         CompleteAnswerSink sink = new CompleteAnswerSink();
         submitter.submit(context, id, new CallerWork.Generation(request), sink);
-        AnswerWriter.await(sink.start()).then(start -> {
-            switch (start) {
+        AnswerWriter.await(sink.answerStart()).then(answerStart -> {
+            switch (answerStart) {
                 case AnswerStart.CompleteText complete ->
                     AnswerWriter.writeJson(context, id, formatter.completeAnswer(complete));
                 case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
                 case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
                 case AnswerStart.PlainServiceAnswer plain -> AnswerWriter.writePlain(context, id, plain.answer());
                 case AnswerStart.StreamStarted ignored ->
-                    throw new IllegalStateException("a whole answer has no stream");
+                    throw new IllegalStateException("unexpected start of a stream for a request without streaming");
             }
         });
     }
 
     private void answerStream(Context context, RequestId id, CompletionRequest request, CompletionFormatter formatter) {
-        Runnable abort = () -> context.getDirectChannelAccess().getChannel().close();
+        Runnable closeConnection =
+                () -> context.getDirectChannelAccess().getChannel().close();
         int reportInterval = Math.max(1, limits.chunkCredit() / 4);
-        StreamedAnswerSink sink =
-                new StreamedAnswerSink(formatter, () -> submitter.reportConsumption(id), abort, reportInterval);
+        StreamedAnswerSink sink = new StreamedAnswerSink(
+                formatter, () -> submitter.reportConsumption(id), closeConnection, reportInterval);
         submitter.submit(context, id, new CallerWork.Generation(request), sink);
-        AnswerWriter.await(sink.start()).then(start -> {
-            switch (start) {
+        AnswerWriter.await(sink.answerStart()).then(answerStart -> {
+            switch (answerStart) {
                 case AnswerStart.StreamStarted ignored -> writeStream(context, id, sink);
                 case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
                 case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ErrorBodies.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.RefusalReason;
 import org.aspenmoor.internal.finding.Finding;
 
-/** Writes refusals and errors in the form that clients of the completions protocol read. */
+/** Formats refusals and errors as clients of the completions protocol expect them. */
 final class ErrorBodies {
     private ErrorBodies() {}
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
@@ -12,7 +12,7 @@
 public final class HttpServers {
     private HttpServers() {}
 
-    /** Starts a server and returns it; its bind port is the real one also where 0 was asked for. */
+    /** Starts a server; with port 0 a free port is chosen, and the returned server reports it as its bind port. */
     public static RatpackServer start(String address, int port, int threads, int headerBytes, Action<Chain> routes)
             throws AspenmoorException {
         try {
@@ -25,7 +25,7 @@
                     .handlers(routes));
         } catch (UnknownHostException invalidAddress) {
             throw new AspenmoorException(
-                    "The address is not an IP number.", address, "Write \"address\" as an IP number.", invalidAddress);
+                    "The address cannot be resolved.", address, "Set \"address\" to an IP address.", invalidAddress);
         } catch (Exception failure) {
             throw new AspenmoorException(
                     "The HTTP port cannot be opened: " + failure.getMessage() + ".",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ModelsHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ModelsHandler.java
@@ -15,7 +15,7 @@
 import ratpack.handling.Context;
 import ratpack.handling.Handler;
 
-/** Lists the models that the holder of a token may ask for. */
+/** Lists the models that the caller's token may use. */
 final class ModelsHandler implements Handler {
     private final DocumentRegistry registry;
     private final RequestSubmitter submitter;
@@ -49,7 +49,7 @@
                 new Outcome.NotRun(
                         RefusalReason.NOT_AUTHORISED,
                         Duration.ZERO,
-                        "The token opens no service; send the team's token."));
+                        "The token is not valid for any service; send the team's token."));
     }
 
     private static void addModel(ArrayNode data, ServiceDocument document, ModelDeclaration model) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/PassThroughHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/PassThroughHandler.java
@@ -12,7 +12,7 @@
 import ratpack.handling.Handler;
 import ratpack.http.Headers;
 
-/** Passes calls below {@code /services/SERVICE/} on to the team's plain service. */
+/** Forwards calls below {@code /services/SERVICE/} to the team's plain service. */
 final class PassThroughHandler implements Handler {
     private static final Set<String> UNFORWARDED_HEADERS =
             Set.of("authorization", "host", "connection", "transfer-encoding");
@@ -41,15 +41,15 @@
                 body);
         CompleteAnswerSink sink = new CompleteAnswerSink();
         submitter.submit(context, id, call, sink);
-        AnswerWriter.await(sink.start()).then(start -> {
-            switch (start) {
+        AnswerWriter.await(sink.answerStart()).then(answerStart -> {
+            switch (answerStart) {
                 case AnswerStart.PlainServiceAnswer plain -> AnswerWriter.writePlain(context, id, plain.answer());
                 case AnswerStart.Refused refused -> AnswerWriter.writeRefusal(context, id, refused.refusal());
                 case AnswerStart.UnknownOutcome unknown -> AnswerWriter.writeUnknown(context, id, unknown.unknown());
                 case AnswerStart.StreamStarted ignored ->
-                    throw new IllegalStateException("a plain service has no stream");
+                    throw new IllegalStateException("unexpected start of a stream from a plain service");
                 case AnswerStart.CompleteText ignored ->
-                    throw new IllegalStateException("a plain service gives no generation");
+                    throw new IllegalStateException("unexpected generated text from a plain service");
             }
         });
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ProcessRoutes.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/ProcessRoutes.java
@@ -13,7 +13,7 @@
 import ratpack.handling.Chain;
 import ratpack.handling.Context;
 
-/** The paths that every process has: health, readiness, metrics and the state dump. */
+/** Routes that every process serves: health, readiness, metrics and the state dump. */
 public final class ProcessRoutes implements Action<Chain> {
     private static final int UNAVAILABLE = 503;
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestBodyReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestBodyReader.java
@@ -8,7 +8,7 @@
 import ratpack.func.Action;
 import ratpack.handling.Context;
 
-/** Reads request bodies up to the limit. */
+/** Reads request bodies and refuses those above the size limit. */
 final class RequestBodyReader {
     private static final int PAYLOAD_TOO_LARGE = 413;
 
@@ -23,7 +23,7 @@
         Outcome.NotRun refusal = new Outcome.NotRun(
                 RefusalReason.MALFORMED,
                 Duration.ZERO,
-                "The body is longer than " + limits.maxBodyBytes() + " bytes; send a shorter one.");
+                "The request body is longer than " + limits.maxBodyBytes() + " bytes; send a shorter one.");
         AnswerWriter.writeError(context, id, PAYLOAD_TOO_LARGE, "not-run", ErrorBodies.notRun(refusal));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/RequestSubmitter.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.entry.IncomingRequest;
 import ratpack.handling.Context;
 
-/** Hands callers' requests to the event loop and tells it when a caller goes away. */
+/** Submits callers' requests to the event loop and notifies it when a caller disconnects. */
 final class RequestSubmitter {
     private static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
     private static final String BEARER_PREFIX = "Bearer ";
@@ -35,24 +35,21 @@
         }
     }
 
-    /** Hands a request over; where the event loop's ring is full it is refused at once. */
+    /** Submits a request; it is refused at once if the event loop's ring buffer is full. */
     void submit(Context context, RequestId id, CallerWork work, CallerSink sink) {
         Optional<String> key =
                 Optional.ofNullable(context.getRequest().getHeaders().get(IDEMPOTENCY_KEY_HEADER));
         IncomingRequest request = new IncomingRequest(id, bearerToken(context), work, key, sink);
         if (!eventLoop.offer(new EntryMessage.RequestCame(request))) {
             sink.refused(new Outcome.NotRun(
-                    RefusalReason.OVERLOADED,
-                    FULL_RING_RETRY_AFTER,
-                    "The entry has more requests than it can look at."));
+                    RefusalReason.OVERLOADED, FULL_RING_RETRY_AFTER, "The entry's message queue is full."));
             return;
         }
         notifyWhenClosed(context, id);
     }
 
-    // A connection that is kept open serves many requests. Left in place, the listeners of all of them would be kept
-    // until
-    // it closes, and would then all tell of a caller who went away.
+    // A persistent connection serves many requests. Each listener is removed after its answer; otherwise all of them
+    // would be retained until the connection closes and would then each report a disconnected caller.
     private void notifyWhenClosed(Context context, RequestId id) {
         ChannelFuture closed = context.getDirectChannelAccess().getChannel().closeFuture();
         ChannelFutureListener listener = future -> eventLoop.put(new EntryMessage.CallerGone(id));
@@ -64,7 +61,7 @@
         eventLoop.offer(new EntryMessage.CallerTook(id));
     }
 
-    /** Returns the caller's token; empty where it sent none. */
+    /** Returns the caller's bearer token; an empty string if it sent none. */
     static String bearerToken(Context context) {
         String header = context.getRequest().getHeaders().get("Authorization");
         if (header == null || !header.startsWith(BEARER_PREFIX)) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamedAnswerSink.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/StreamedAnswerSink.java
@@ -15,16 +15,16 @@
 import org.reactivestreams.Subscription;
 
 /**
- * Gives an answer to the caller piece by piece, as fast as its connection takes them.
+ * Streams an answer to the caller in chunks, as fast as its connection accepts them.
  *
- * <p>The pieces held here are bounded by the credit that the entry gave the agent; a piece taken by the connection frees
- * credit for the next.
+ * <p>The number of chunks buffered here is bounded by the credit that the entry granted to the agent; each chunk that
+ * the connection accepts frees credit for one more.
  */
 final class StreamedAnswerSink implements CallerSink, Publisher<ByteBuf>, Subscription {
-    private final CompletableFuture<AnswerStart> start = new CompletableFuture<>();
+    private final CompletableFuture<AnswerStart> answerStart = new CompletableFuture<>();
     private final CompletionFormatter formatter;
     private final Runnable onConsumed;
-    private final Runnable onAborted;
+    private final Runnable closeConnection;
     private final int reportInterval;
     private final Deque<String> chunks = new ArrayDeque<>();
     private Optional<Subscriber<? super ByteBuf>> subscriber = Optional.empty();
@@ -35,21 +35,22 @@
     private boolean completed;
     private boolean emitting;
 
-    StreamedAnswerSink(CompletionFormatter formatter, Runnable onConsumed, Runnable onAborted, int reportInterval) {
+    StreamedAnswerSink(
+            CompletionFormatter formatter, Runnable onConsumed, Runnable closeConnection, int reportInterval) {
         this.formatter = formatter;
         this.onConsumed = onConsumed;
-        this.onAborted = onAborted;
+        this.closeConnection = closeConnection;
         this.reportInterval = reportInterval;
     }
 
-    CompletableFuture<AnswerStart> start() {
-        return start;
+    CompletableFuture<AnswerStart> answerStart() {
+        return answerStart;
     }
 
     @Override
     public void piece(String text) {
         enqueueChunk(formatter.chunkEvent(text));
-        start.complete(new AnswerStart.StreamStarted());
+        answerStart.complete(new AnswerStart.StreamStarted());
         drain();
     }
 
@@ -59,25 +60,25 @@
             chunks.addLast(formatter.endEvent(finishReason, promptTokens, outputTokens));
             finished = true;
         }
-        start.complete(new AnswerStart.StreamStarted());
+        answerStart.complete(new AnswerStart.StreamStarted());
         drain();
     }
 
     @Override
     public void plainAnswer(PlainAnswer answer) {
-        start.complete(new AnswerStart.PlainServiceAnswer(answer));
+        answerStart.complete(new AnswerStart.PlainServiceAnswer(answer));
     }
 
     @Override
     public void refused(Outcome.NotRun refusal) {
-        start.complete(new AnswerStart.Refused(refusal));
+        answerStart.complete(new AnswerStart.Refused(refusal));
     }
 
-    // A cut answer must not look like a whole one: it ends with an error event, without the end mark, and the
-    // connection is closed without the last chunk of its encoding.
+    // An aborted answer must not look complete: it ends with an error event and without the end marker, and the
+    // connection is closed without the last chunk of the chunked encoding.
     @Override
     public void unknown(Outcome.Unknown unknown) {
-        if (start.complete(new AnswerStart.UnknownOutcome(unknown))) {
+        if (answerStart.complete(new AnswerStart.UnknownOutcome(unknown))) {
             return;
         }
         synchronized (this) {
@@ -127,7 +128,7 @@
         }
     }
 
-    // Two threads may come here, the event loop's with a piece and the connection's with demand; one of them emits.
+    // Called by two threads, the event loop's with a chunk and the connection's with demand; only one emits at a time.
     private void drain() {
         synchronized (this) {
             if (emitting || subscriber.isEmpty()) {
@@ -169,7 +170,7 @@
 
     private void endStream() {
         if (aborted) {
-            onAborted.run();
+            closeConnection.run();
         } else {
             subscriber.ifPresent(Subscriber::onComplete);
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/package-info.java
@@ -1,2 +1,2 @@
-/** The side towards callers: the completions protocol and pass-through over HTTP. */
+/** HTTP interface for callers (completions protocol and pass-through calls) and the HTTP routes of every process. */
 package org.aspenmoor.internal.http;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerProtocolTest.java
@@ -57,7 +57,8 @@
         assertTrue(received.body().endsWith("data: [DONE]\n\n"));
     }
 
-    // Every engine that could go on with the stream is gone. The caller has read half a draft and must be able to tell.
+    // No engine is left that could continue the stream. The caller has received part of the answer and must be able to
+    // recognise it as incomplete.
     @Test
     public void should_break_the_connection_without_an_end_marker_when_a_stream_is_aborted() throws Exception {
         HttpRequest call = server.requestTo("/v1/completions")
@@ -133,7 +134,8 @@
         assertEquals(answer.get().headers().firstValue("X-Booth").orElseThrow(), "3");
     }
 
-    // The caller closes its connection while it waits. Without the word the engine would go on generating for nobody.
+    // The caller closes its connection while waiting. Without the notification the engine would continue a generation
+    // that nobody reads.
     @Test
     public void should_notify_the_event_loop_when_a_caller_disconnects() throws Exception {
         CompletableFuture<HttpResponse<String>> answer = send("/v1/completions", STREAMED);
@@ -144,7 +146,7 @@
         assertEquals(server.nextMessage(EntryMessage.CallerGone.class).id(), request.id());
     }
 
-    // The caller has read a piece and closes its connection in the middle of the stream.
+    // The caller has received a chunk and closes its connection during the stream.
     @Test
     public void should_notify_the_event_loop_when_a_caller_disconnects_during_a_stream() throws Exception {
         HttpRequest call = server.requestTo("/v1/completions")
--- a/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerServer.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoorusage/caller/CallerServer.java
@@ -21,7 +21,7 @@
 import org.aspenmoor.internal.time.ManualTimeSource;
 import ratpack.server.RatpackServer;
 
-/** The callers' side of an entry on a free port; what reaches its event loop waits for the test. */
+/** Serves the callers' API of an entry on a free port; messages to its event loop are queued for the test. */
 final class CallerServer implements AutoCloseable {
     static final int BODY_BYTES = 2048;
 
@@ -58,12 +58,12 @@
         return client.send(requestTo(path).POST(BodyPublishers.ofString(body)).build(), BodyHandlers.ofString());
     }
 
-    /** Returns the next message of a type that reaches the event loop. */
+    /** Waits for the next message of the given type to the event loop; skips messages of other types. */
     <M extends EntryMessage> M nextMessage(Class<M> type) throws InterruptedException {
         while (true) {
             EntryMessage message = messages.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (message == null) {
-                throw new AssertionError("no " + type.getSimpleName() + " reached the event loop");
+                throw new AssertionError("no message of type " + type.getSimpleName() + " reached the event loop");
             }
             if (type.isInstance(message)) {
                 return type.cast(message);
