--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/Link.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/Link.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.wire.v1.Frame;
 import org.aspenmoor.internal.wire.v1.Hello;
 
-/** One open connection to another process; both sides have said who they are. */
+/** An open connection to another process; both sides have identified themselves. */
 public final class Link {
     private final Channel channel;
     private final Hello peer;
@@ -14,22 +14,21 @@
         this.peer = peer;
     }
 
-    /** Returns who is at the other end. */
+    /** Returns the greeting of the peer, which identifies it. */
     public Hello peer() {
         return peer;
     }
 
-    /** Sends a frame; on a closed link it is dropped, and the listener hears of the closing. */
+    /** Sends a frame; on a closed link it is dropped, and the listener is notified of the closing. */
     public void send(Frame frame) {
         channel.writeAndFlush(frame, channel.voidPromise());
     }
 
-    /** Says whether the connection stands, as far as this end can tell. */
+    /** Returns whether the connection is open as far as this side knows. */
     public boolean isOpen() {
         return channel.isActive();
     }
 
-    /** Closes the connection. */
     public void close() {
         channel.close();
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkChannelHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkChannelHandler.java
@@ -9,10 +9,11 @@
 import org.jboss.logging.Logger;
 
 /**
- * The state of one connection: first a greeting from each side, then frames.
+ * Handles one connection: each side first sends a {@code Hello} frame, then other frames.
  *
- * <p>A process of another version may give the same bytes another meaning; it would show as garbled answers. So the
- * versions are compared before any other frame is read, and the link is closed with a logged cause where they differ.
+ * <p>A process with another protocol version may interpret the same bytes differently, which would corrupt answers. The
+ * versions are therefore compared before any other frame is read; if they differ, the cause is logged and the link
+ * closed.
  */
 final class LinkChannelHandler extends SimpleChannelInboundHandler<Frame> {
     private static final Logger LOG = Logger.getLogger("link");
@@ -20,7 +21,7 @@
     private final Hello ownHello;
     private final LinkListener listener;
     private Optional<Link> link = Optional.empty();
-    private String closeCause = "the other side closed the connection";
+    private String closeCause = "the peer closed the connection";
 
     LinkChannelHandler(Hello ownHello, LinkListener listener) {
         this.ownHello = ownHello;
@@ -39,7 +40,7 @@
             return;
         }
         if (!frame.hasHello()) {
-            closeWithCause(context, "the first frame was no greeting");
+            closeWithCause(context, "the first frame is not a Hello");
             return;
         }
         receiveHello(context, frame.getHello());
@@ -59,7 +60,7 @@
         if (peer.getProtocolVersion() != FramePipeline.PROTOCOL_VERSION) {
             closeWithCause(
                     context,
-                    "protocol version " + peer.getProtocolVersion() + " of " + peer.getProcess() + " is not "
+                    "protocol version " + peer.getProtocolVersion() + " of " + peer.getProcess() + " does not match "
                             + FramePipeline.PROTOCOL_VERSION);
             return;
         }
@@ -70,7 +71,7 @@
 
     private void closeWithCause(ChannelHandlerContext context, String cause) {
         closeCause = cause;
-        LOG.warnf("link: closed to %s, %s", context.channel().remoteAddress(), cause);
+        LOG.warnf("link: closed the connection to %s: %s", context.channel().remoteAddress(), cause);
         context.close();
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkListener.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkListener.java
@@ -2,14 +2,14 @@
 
 import org.aspenmoor.internal.wire.v1.Frame;
 
-/** Hears what happens on links; called on the network thread, which a blocked call slows down. */
+/** Receives the events of links; called on the network thread, which a blocking call delays. */
 public interface LinkListener {
-    /** A link stands. */
+    /** Called when a link has been opened: the peer has sent a matching greeting. */
     void opened(Link link);
 
-    /** A frame arrived. */
+    /** Called for each received frame. */
     void received(Link link, Frame frame);
 
-    /** A link that was opened has ended; no more frames follow. */
+    /** Called when an opened link has been closed; no more frames follow. */
     void closed(Link link, String cause);
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkNetwork.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/LinkNetwork.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.wire.FramePipeline;
 import org.aspenmoor.internal.wire.v1.Hello;
 
-/** Opens and accepts links; one network thread serves all of them. */
+/** Opens and accepts links; a single network thread serves all of them. */
 public final class LinkNetwork implements AutoCloseable {
     private static final int CONNECT_TIMEOUT_MILLISECONDS = 1000;
     private static final int SHUTDOWN_QUIET_MILLISECONDS = 50;
@@ -34,7 +34,7 @@
         this.listener = listener;
     }
 
-    /** Listens for links and returns the port. */
+    /** Listens for links and returns the bound port. */
     public int listen(String address, int port) throws AspenmoorException {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(eventLoopGroup)
@@ -51,7 +51,7 @@
         return ((InetSocketAddress) bound.channel().localAddress()).getPort();
     }
 
-    /** Opens a link; the failure action runs if no connection comes about, else the listener hears of it. */
+    /** Opens a link; calls {@code onFailure} if the connection fails, the listener once the link is open. */
     public void connect(String address, int port, Runnable onFailure) {
         new Bootstrap()
                 .group(eventLoopGroup)
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/WorkerLinkListener.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/WorkerLinkListener.java
@@ -6,10 +6,10 @@
 import org.aspenmoor.internal.wire.v1.Frame;
 
 /**
- * Turns what happens on links into messages of a duty. Putting a message in waits for room in the duty's ring, which slows
- * the network down where the duty lags.
+ * Converts link events to messages of a worker. Adding a message waits for space in the worker's ring buffer, so that a
+ * worker that falls behind slows the network thread down.
  *
- * @param <M> the duty's messages
+ * @param <M> the type of the worker's messages
  */
 public final class WorkerLinkListener<M> implements LinkListener {
     private final Consumer<M> worker;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/EmbeddedLink.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/EmbeddedLink.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.wire.v1.Frame;
 import org.aspenmoor.internal.wire.v1.Hello;
 
-/** A link without a network: what is sent on it is kept to be looked at. */
+/** A link on an embedded channel, without a network; sent frames are recorded for the test. */
 public final class EmbeddedLink {
     private final EmbeddedChannel channel;
     private final List<Link> opened = new ArrayList<>();
@@ -24,19 +24,19 @@
         channel.releaseOutbound();
     }
 
-    /** Makes a link whose frames are objects. */
+    /** Opens a link that carries frames as objects, without the codec. */
     public static EmbeddedLink open(Hello peer) {
         EmbeddedLink link = new EmbeddedLink(false);
         link.channel.writeInbound(Frame.newBuilder().setHello(peer).build());
         return link;
     }
 
-    /** Makes a link whose frames are bytes and to which nothing was said yet. */
+    /** Returns a link with the codec, on which the peer has not sent anything yet. */
     static EmbeddedLink unopened() {
         return new EmbeddedLink(true);
     }
 
-    /** Greets as an agent of a backend server. */
+    /** Opens a link whose peer is the agent of a backend server. */
     public static EmbeddedLink openFromAgentOf(String backend) {
         return open(Hello.newBuilder()
                 .setProtocolVersion(FramePipeline.PROTOCOL_VERSION)
@@ -47,12 +47,12 @@
                 .build());
     }
 
-    /** Returns the link as the process under test sees it. */
+    /** Returns the opened link of the process under test. */
     public Link link() {
         return opened.getFirst();
     }
 
-    /** Returns and forgets the frames sent so far. */
+    /** Returns and removes the frames sent so far. */
     public List<Frame> takeSent() {
         List<Frame> frames = new ArrayList<>();
         Object next = channel.readOutbound();
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
@@ -26,9 +26,8 @@
         assertEquals(link.received().getFirst(), PROBE);
     }
 
-    // During an upgrade an entry of a later build connects to an older agent. If both went on, fields would be read
-    // with
-    // another meaning and callers would get garbled answers.
+    // During an upgrade an entry with a newer protocol connects to an older agent. Without the check both would read
+    // fields differently, and callers would receive corrupted answers.
     @Test
     public void should_close_when_the_protocol_versions_differ() {
         EmbeddedLink link = EmbeddedLink.unopened();
@@ -39,7 +38,7 @@
         assertFalse(link.channel().isOpen());
     }
 
-    // Something that is no process of the system connects to the port, a scanner for example.
+    // A client that is not a process of the system, such as a port scanner, connects to the port.
     @Test
     public void should_close_when_the_first_frame_is_not_a_hello() {
         EmbeddedLink link = EmbeddedLink.unopened();
@@ -50,9 +49,8 @@
         assertFalse(link.channel().isOpen());
     }
 
-    // A broken peer announces a frame of two gigabytes. Without the bound the process would allocate until it is
-    // killed,
-    // and every request it holds would be lost.
+    // A faulty peer announces a frame of two gigabytes. Without the limit the process would allocate memory until it is
+    // killed, and all its requests would be lost.
     @Test
     public void should_close_and_notify_the_listener_when_a_frame_exceeds_the_size_limit() {
         EmbeddedLink link = EmbeddedLink.unopened();
@@ -64,8 +62,8 @@
         assertTrue(link.closeCauses().getFirst().startsWith("TooLongFrameException"));
     }
 
-    // Bytes are damaged on the way. A frame that cannot be read may have been the end of somebody's answer, so the link
-    // is closed and the listener gives every attempt on it up, instead of one answer being lost without a word.
+    // Bytes are corrupted in transit. An undecodable frame may have been the end of an answer. The link is closed and
+    // the listener abandons every attempt on it; otherwise that answer would be lost without notice.
     @Test
     public void should_close_and_notify_the_listener_when_a_frame_cannot_be_decoded() {
         EmbeddedLink link = EmbeddedLink.unopened();
