--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/MessageHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/MessageHandler.java
@@ -1,14 +1,14 @@
 package org.aspenmoor.internal.duty;
 
 /**
- * Carries out one duty; only the duty's own thread calls it.
+ * Handles the messages of one worker; called only on that worker's thread.
  *
- * @param <M> the duty's messages
+ * @param <M> the type of the messages
  */
 public interface MessageHandler<M> {
-    /** Handles the next message. */
+    /** Handles one message. */
     void handle(M message);
 
-    /** Called when the ring is empty for now, so that what was handled can be finished together. */
+    /** Called after the last message available in the ring buffer, for work to be done once per batch. */
     default void batchEnded() {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/RingSlot.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/RingSlot.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** One place of a duty's ring. */
+/** A slot of a worker's ring buffer. */
 final class RingSlot<M> {
     private Optional<M> message = Optional.empty();
 
@@ -10,7 +10,7 @@
         message = Optional.of(newMessage);
     }
 
-    /** Empties the slot, so that the ring keeps nothing alive that was handled. */
+    /** Removes and returns the message, so that the ring buffer does not retain handled messages. */
     Optional<M> take() {
         Optional<M> current = message;
         message = Optional.empty();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Worker.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/Worker.java
@@ -10,9 +10,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * A named thread that handles messages from a bounded ring, one after the other.
+ * A named thread that handles the messages of a bounded ring buffer one after the other.
  *
- * @param <M> its messages
+ * @param <M> the type of the messages
  */
 public final class Worker<M> implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("duty");
@@ -40,7 +40,7 @@
         disruptor.start();
     }
 
-    /** Puts a message in if there is room; false, and nothing done, where the ring is full. */
+    /** Adds a message; returns false without effect if the ring buffer is full. */
     public boolean offer(M message) {
         boolean accepted = ring.tryPublishEvent(translator, message);
         if (!accepted) {
@@ -49,18 +49,18 @@
         return accepted;
     }
 
-    /** Puts a message in, waiting for room: the producer is slowed down instead of losing the message. */
+    /** Adds a message, waiting for space: the producer is slowed down, and no message is lost. */
     public void put(M message) {
         ring.publishEvent(translator, message);
     }
 
-    /** Returns the duty's state for a dump. */
+    /** Returns the current state, for a dump. */
     public WorkerState state() {
         long waiting = ring.getBufferSize() - ring.remainingCapacity();
         return new WorkerState(name, ring.getBufferSize(), waiting, refused.sum(), failed.sum());
     }
 
-    /** Ends the thread after what is in the ring was handled. */
+    /** Stops the thread after all messages in the ring buffer have been handled. */
     @Override
     public void close() {
         disruptor.shutdown();
@@ -78,7 +78,7 @@
             handler.batchEnded();
         } catch (RuntimeException failure) {
             failed.increment();
-            LOG.errorf(failure, "duty: %s failed at the end of a batch", name);
+            LOG.errorf(failure, "duty: worker %s failed at the end of a batch", name);
         }
     }
 
@@ -86,14 +86,17 @@
         return Thread.ofPlatform().name("aspenmoor-" + name).daemon(true).unstarted(task);
     }
 
-    // An error in one message would end the thread, and with it every request of the process, without a word.
+    // An exception that is not caught would end the thread, and with it every request of the process, unreported.
     private void handleSafely(M message) {
         try {
             handler.handle(message);
         } catch (RuntimeException failure) {
             failed.increment();
             LOG.errorf(
-                    failure, "duty: %s failed on %s", name, message.getClass().getSimpleName());
+                    failure,
+                    "duty: worker %s failed to handle a message of type %s",
+                    name,
+                    message.getClass().getSimpleName());
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/WorkerState.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/WorkerState.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A duty at one moment.
+ * The state of a worker at one moment.
  *
- * @param name the duty's name
- * @param ringSize places in its ring
- * @param waiting messages in the ring
- * @param refused messages that found no room
- * @param failed messages whose handling failed
+ * @param name the worker's name
+ * @param ringSize capacity of its ring buffer, in messages
+ * @param waiting number of messages in the ring buffer
+ * @param refused number of messages refused because the ring buffer was full
+ * @param failed number of messages or ends of a batch whose handling failed
  */
 public record WorkerState(String name, int ringSize, long waiting, long refused, long failed) {
     /** Writes the state into a dump. */
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/duty/package-info.java
@@ -1,2 +1,2 @@
-/** A thread for each duty, fed by a bounded ring. */
+/** Worker threads, each with a bounded ring buffer of messages. */
 package org.aspenmoor.internal.duty;
