--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/JsonLinesFormatter.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/JsonLinesFormatter.java
@@ -7,7 +7,7 @@
 import org.jboss.logmanager.ExtFormatter;
 import org.jboss.logmanager.ExtLogRecord;
 
-/** Writes each log message as a JSON object on a line of its own. */
+/** Formats each log message as a JSON object on one line. */
 final class JsonLinesFormatter extends ExtFormatter {
     @Override
     public String format(ExtLogRecord record) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/LogSetup.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/LogSetup.java
@@ -8,13 +8,13 @@
 import org.jboss.logmanager.formatters.PatternFormatter;
 import org.jboss.logmanager.handlers.ConsoleHandler;
 
-/** Sets the process's log up: one handler, to the console, as text or as JSON lines. */
+/** Configures logging: a single handler that writes to standard error, as text or as JSON lines. */
 public final class LogSetup {
     private static final String TEXT_PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %s%e%n";
 
     private LogSetup() {}
 
-    /** Uses the given format from now on. */
+    /** Replaces the handlers of the root logger by one with the given format. */
     public static void use(LogFormat format) {
         Logger root = Logger.getLogger("");
         for (Handler handler : root.getHandlers()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/log/package-info.java
@@ -1,2 +1,2 @@
-/** How logs are written. */
+/** Configuration and formats of the log. */
 package org.aspenmoor.internal.log;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/BackendType.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/BackendType.java
@@ -1,6 +1,6 @@
 package org.aspenmoor.internal.settings;
 
-/** What stands behind an agent. */
+/** Type of an agent's backend server. */
 public enum BackendType {
     /** A model engine. */
     ENGINE,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/CallerLimits.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/CallerLimits.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.settings;
 
 /**
- * Bounds on what callers may send and how much waits.
+ * Limits on the requests of callers and on what is buffered for them.
  *
- * @param maxBodyBytes longest request body
- * @param maxHeaderBytes longest request head
- * @param maxAnswerBytes longest answer of a plain service
- * @param maxWaitingRequests most requests waiting for an engine
- * @param chunkCredit most chunks of one answer held for a slow reader
+ * @param maxBodyBytes maximum size of a request body
+ * @param maxHeaderBytes maximum size of a request head
+ * @param maxAnswerBytes maximum size of an answer of a plain service
+ * @param maxWaitingRequests maximum number of requests waiting for an engine
+ * @param chunkCredit maximum number of chunks of one answer buffered for a slow caller
  */
 public record CallerLimits(
         int maxBodyBytes, int maxHeaderBytes, int maxAnswerBytes, int maxWaitingRequests, int chunkCredit) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/DaemonSettings.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/DaemonSettings.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.settings;
 
-/** What a process is told at its start. */
+/** Settings of a process, read at its start. */
 public sealed interface DaemonSettings permits EntrySettings, AgentSettings {
-    /** Returns what every process is told. */
+    /** Returns the settings that every process has. */
     ProcessSettings process();
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/EntrySettings.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/EntrySettings.java
@@ -7,12 +7,12 @@
 /**
  * Settings of an entry.
  *
- * @param process what every process is told
- * @param limits bounds on what callers may send and how much waits
- * @param leavingBound within which a leaving backend server gets no new work
- * @param stallTimeout after which an attempt that gives no sign is given up
- * @param engineSpeed how fast engines are assumed to work
- * @param operators who may use the administration API
+ * @param process settings that every process has
+ * @param limits limits on the requests of callers and on what is buffered for them
+ * @param leavingBound maximum time until a leaving backend server is sent no more new work
+ * @param stallTimeout time without progress after which an attempt is abandoned
+ * @param engineSpeed assumed speed of the engines
+ * @param operators operators who may use the administration API
  */
 public record EntrySettings(
         ProcessSettings process,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/LogFormat.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/LogFormat.java
@@ -1,9 +1,9 @@
 package org.aspenmoor.internal.settings;
 
-/** How logs are written. */
+/** Output format of the log. */
 public enum LogFormat {
-    /** A line of text a message. */
+    /** One line of text per message. */
     TEXT,
-    /** A JSON object a line. */
+    /** One JSON object per line. */
     JSON
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/OperatorSettings.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/OperatorSettings.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.settings;
 
 /**
- * Who may use the administration API.
+ * An operator who may use the administration API.
  *
- * @param name who it is, for the record of changes
- * @param tokenHash SHA-256 of the token, in hexadecimal
- * @param scope a team's name, or {@code platform} for all
+ * @param name name recorded with the operator's changes
+ * @param tokenHash SHA-256 hash of the token, in hexadecimal
+ * @param scope name of a team, or {@code platform} for access to all teams
  */
 public record OperatorSettings(String name, String tokenHash, String scope) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/ProcessSettings.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/ProcessSettings.java
@@ -3,16 +3,16 @@
 import java.net.URI;
 
 /**
- * What every process is told.
+ * Settings that every process has.
  *
- * @param name the process's name, unique within the platform
- * @param dataCentre where it runs
- * @param address the IP number it listens at
- * @param httpPort port for HTTP; 0 for a free one
- * @param linkPort port for links from other processes; 0 for a free one
- * @param store the platform's object store
- * @param storeCallsPerSecond this process's share of the store's budget
- * @param logFormat how logs are written
+ * @param name name of the process, unique within the platform
+ * @param dataCentre data centre in which the process runs
+ * @param address IP address on which the process listens
+ * @param httpPort port for HTTP; 0 selects a free one
+ * @param linkPort port for links from other processes; 0 selects a free one
+ * @param store URL of the platform's object store
+ * @param storeCallsPerSecond this process's share of the store's call budget
+ * @param logFormat output format of the log
  */
 public record ProcessSettings(
         String name,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/SettingsReader.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.json.SettingsFile;
 import org.aspenmoor.internal.routing.EngineSpeedReader;
 
-/** Reads a process's settings and reports all mistakes with their places at once. */
+/** Reads the settings of a process and reports all mistakes, with their places, at once. */
 public final class SettingsReader {
     private static final int MAX_PORT = 65535;
     private static final int KIBIBYTE = 1024;
@@ -40,7 +40,7 @@
         return SettingsFile.read(file, findings, this::readRole);
     }
 
-    /** Reads settings from a text. */
+    /** Reads settings from a string; {@code source} names it in findings. */
     public DaemonSettings read(String source, String text) throws AspenmoorException {
         return SettingsFile.read(source, text, findings, this::readRole);
     }
@@ -51,7 +51,7 @@
             case "agent" -> readAgent(reader);
             case "entry" -> readEntry(reader);
             default -> {
-                findings.add(reader.placeOf("role"), "The role is not known.", "Write \"entry\" or \"agent\".");
+                findings.add(reader.placeOf("role"), "The role is unknown.", "Write \"entry\" or \"agent\".");
                 yield readEntry(reader);
             }
         };
@@ -79,7 +79,10 @@
         int httpPort = reader.integer("httpPort", 0, MAX_PORT, 0);
         int linkPort = reader.integer("linkPort", 0, MAX_PORT, 0);
         if (httpPort == linkPort && httpPort != 0) {
-            findings.add(reader.placeOf("linkPort"), "The port is the same as \"httpPort\".", "Choose another, or 0.");
+            findings.add(
+                    reader.placeOf("linkPort"),
+                    "The port is the same as \"httpPort\".",
+                    "Choose another port, or 0 for a free one.");
         }
         return new ProcessSettings(
                 reader.requiredText("process"),
@@ -112,7 +115,7 @@
             if (hash.length() != TOKEN_HASH_DIGITS) {
                 findings.add(
                         operator.placeOf("tokenHash"),
-                        "The hash has " + hash.length() + " digits.",
+                        "The token hash has " + hash.length() + " digits.",
                         "Write the SHA-256 of the token as 64 hexadecimal digits.");
             }
             operators.add(new OperatorSettings(operator.requiredText("name"), hash, operator.requiredText("scope")));
@@ -152,8 +155,7 @@
             }
             allowed.add(value);
         }
-        findings.add(
-                reader.placeOf(name), "The choice is not known.", "Write one of " + String.join(", ", allowed) + ".");
+        findings.add(reader.placeOf(name), "The value is unknown.", "Write one of " + String.join(", ", allowed) + ".");
         return defaultChoice;
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings of the daemon: JSON with comments, checked as a whole at the start. */
+/** Settings of the daemon: JSON with comments, validated completely at the start. */
 package org.aspenmoor.internal.settings;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/settings/SettingsReaderTest.java
@@ -14,7 +14,7 @@
 public class SettingsReaderTest {
     private static final String ENTRY = """
             {
-              // An entry host in the first data centre.
+              // An entry in the first data centre.
               "role": "entry",
               "process": "entry-1",
               "dataCentre": "almaty-1",
