--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AgentDaemon.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AgentDaemon.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.time.TimeSource;
 import ratpack.server.RatpackServer;
 
-/** Puts an agent's parts together. */
+/** Assembles and starts an agent. */
 final class AgentDaemon {
     private static final int HTTP_THREADS = 1;
     private static final int HEADER_BYTES = 8192;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AspenmoorDaemon.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/AspenmoorDaemon.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.settings.EntrySettings;
 import org.aspenmoor.internal.settings.SettingsReader;
 
-/** The daemon's main program. */
+/** Main class of the daemon. */
 public final class AspenmoorDaemon {
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILED = 1;
@@ -23,7 +23,7 @@
 
     private AspenmoorDaemon() {}
 
-    /** Starts the daemon; exit codes: 0 stopped in order, 1 could not start, 2 wrong command line or settings. */
+    /** Starts the daemon. Exit codes: 0 normal exit, 1 start failed, 2 invalid command line or settings. */
     public static void main(String[] arguments) throws IOException {
         int exit = run(arguments, System.out, System.err);
         if (exit != EXIT_OK) {
@@ -33,12 +33,14 @@
 
     private static int run(String[] arguments, PrintStream out, PrintStream err) throws IOException {
         OptionParser parser = new OptionParser();
-        OptionSpec<String> settingsFile = parser.accepts("settings", "the settings, JSON with comments")
+        OptionSpec<String> settingsFile = parser.accepts("settings", "settings file (JSON with comments)")
                 .withRequiredArg()
                 .describedAs("file");
-        OptionSpec<Void> check = parser.accepts("check", "check the settings and stop");
-        OptionSpec<Void> help = parser.accepts("help", "show this help").forHelp();
-        OptionSpec<Void> version = parser.accepts("version", "show the version").forHelp();
+        OptionSpec<Void> check = parser.accepts("check", "check the settings and exit");
+        OptionSpec<Void> help =
+                parser.accepts("help", "print this help and exit").forHelp();
+        OptionSpec<Void> version =
+                parser.accepts("version", "print the version and exit").forHelp();
         try {
             OptionSet options = parser.parse(arguments);
             if (options.has(help)) {
@@ -50,7 +52,7 @@
                 return EXIT_OK;
             }
             if (!options.has(settingsFile)) {
-                err.println("No settings were given. Write aspenmoord --settings FILE; see --help.");
+                err.println("No settings file was given. Use aspenmoord --settings FILE; see --help.");
                 return EXIT_USAGE;
             }
             return start(Path.of(options.valueOf(settingsFile)), options.has(check), out, err);
@@ -69,7 +71,7 @@
             return EXIT_USAGE;
         }
         if (checkOnly) {
-            out.println("The settings are in order.");
+            out.println("The settings are valid.");
             return EXIT_OK;
         }
         LogSetup.use(settings.process().logFormat());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/EntryDaemon.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/EntryDaemon.java
@@ -25,7 +25,7 @@
 import ratpack.handling.Chain;
 import ratpack.server.RatpackServer;
 
-/** Puts an entry's parts together. */
+/** Assembles and starts an entry. */
 final class EntryDaemon {
     private static final int HTTP_THREADS = 2;
     private static final Duration DRAIN_LIMIT = Duration.ofMinutes(10);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/GracefulStop.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/GracefulStop.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 import org.jboss.logging.Logger;
 
-/** Turns SIGTERM into a graceful shutdown: no new work, running requests end, then the process does. */
+/** Shuts the process down gracefully on SIGTERM: no new work is accepted, and running requests may finish first. */
 final class GracefulStop {
     private static final Logger LOG = Logger.getLogger("daemon");
 
@@ -23,9 +23,9 @@
         try {
             drained.get(limit.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException limitExceeded) {
-            LOG.errorf("daemon: requests still ran after %d s, they are cut", limit.toSeconds());
+            LOG.errorf("daemon: requests still running after %d s are aborted", limit.toSeconds());
         } catch (ExecutionException failure) {
-            LOG.errorf(failure, "daemon: the drain failed");
+            LOG.errorf(failure, "daemon: draining failed");
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/StoreConnections.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/StoreConnections.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.store.client.StoreSettings;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Connects a process to the platform's store. */
+/** Creates clients of the platform's object store. */
 final class StoreConnections {
     private static final int BURST_SECONDS = 2;
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DeflatedContent.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DeflatedContent.java
@@ -7,13 +7,13 @@
 import java.util.zip.Inflater;
 
 /**
- * Bytes shortened for the way; documents are JSON that repeats its field names for every engine.
+ * Content compressed for transfer; documents are JSON, which repeats its field names for every engine.
  *
- * @param bytes what is sent
- * @param inflatedLength how long it was; 0 where it is sent as it was
+ * @param bytes the bytes to send
+ * @param inflatedLength uncompressed length in bytes; 0 if the content is sent uncompressed
  */
 record DeflatedContent(ByteString bytes, int inflatedLength) {
-    /** The store's own limit on a value; nothing longer was ever a document. */
+    /** The store's limit on the size of a value, which no document exceeds. */
     private static final int MAX_DOCUMENT_BYTES = 1024 * 1024;
 
     static DeflatedContent of(byte[] uncompressed) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Returns the plain bytes; empty where the lengths do not fit, as in a frame that was tampered with. */
+    /** Returns the uncompressed bytes; empty if the data or its length is invalid, as in a corrupted frame. */
     Optional<byte[]> inflate() {
         if (inflatedLength == 0) {
             return Optional.of(bytes.toByteArray());
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFrames.java
@@ -13,11 +13,11 @@
 import org.aspenmoor.internal.wire.v1.DocumentUpdate;
 import org.aspenmoor.internal.wire.v1.Frame;
 
-/** Translates between the messages of the document exchange and the frames of a link. */
+/** Converts between dissemination messages and the frames of a link. */
 public final class DisseminationFrames {
     private DisseminationFrames() {}
 
-    /** Returns the frame that carries a message. */
+    /** Converts a message to a frame. */
     public static Frame toFrame(DisseminationMessage message) {
         Frame.Builder frame = Frame.newBuilder();
         return switch (message) {
@@ -52,7 +52,7 @@
         };
     }
 
-    /** Returns the message a frame carries; empty for a frame without one, or whose document cannot be read. */
+    /** Converts a frame to a message; empty if it carries none or its document cannot be decompressed. */
     public static Optional<DisseminationMessage> fromFrame(Frame frame) {
         return switch (frame.getBodyCase()) {
             case DOCUMENT_UPDATE ->
@@ -86,7 +86,7 @@
 
     private static DocumentDigest.Builder equal(DisseminationMessage.Equal equal) {
         DocumentDigest.Builder digest = step(DocumentDigest.Step.EQUAL).setNumber(equal.number());
-        // Rounded up, so that a table never looks fresher on the other side than it is.
+        // Rounded up, so that the peer never takes a table for more recent than it is.
         equal.confirmedAge().ifPresent(age -> digest.setConfirmedAgeMilliseconds(age.toMillis() + 1));
         return digest;
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/dissemination/package-info.java
@@ -1,2 +1,2 @@
-/** How the messages of the document exchange travel as frames. */
+/** Encoding of document dissemination messages as link frames. */
 package org.aspenmoor.internal.daemon.dissemination;
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/package-info.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon's start, settings and lifecycle. */
+/** Main program of the daemon: start and graceful shutdown of entries and agents. */
 package org.aspenmoor.internal.daemon;
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/daemon/dissemination/DisseminationFramesTest.java
@@ -62,9 +62,8 @@
         assertTrue(frame.getSerializedSize() < content.length() / 4);
     }
 
-    // A link delivers an update whose length was garbled. Inflating by its word would take any amount of memory; taking
-    // what
-    // comes out would put half a document in force.
+    // A link delivers an update with a corrupted length. Trusting it could allocate any amount of memory, and accepting
+    // the partial output could put an incomplete document in force.
     @Test
     public void should_ignore_an_update_when_its_inflated_length_is_wrong() {
         String content = "{\"engines\": [] }".repeat(200);
