--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/AdministrationApi.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/AdministrationApi.java
@@ -19,14 +19,14 @@
 import ratpack.handling.Chain;
 import ratpack.handling.Context;
 
-/** The administration API as a chain of handlers; every entry mounts it below {@code /admin/v1}. */
+/** Handler chain of the administration API, which every entry serves below {@code /admin/v1}. */
 public final class AdministrationApi implements Action<Chain> {
-    /** The path that the chain belongs under, without slashes around it. */
+    /** Root path of the API, without leading and trailing slash. */
     public static final String ROOT = "admin/v1";
 
     private static final Logger LOG = Logger.getLogger("administration");
     private static final String JSON = "application/json";
-    // A stored document carries its acceptance too and must stay within a value of the store, a megabyte.
+    // Below the store's limit of 1 MiB on a value, as a stored document also contains its acceptance record.
     private static final int MAX_BODY_BYTES = 700 * 1024;
 
     private final OperatorTokens tokens;
@@ -45,7 +45,7 @@
         this.description = readDescription();
     }
 
-    /** Returns every operation, for the check against the published description. */
+    /** Returns all operations, for the comparison with the published description. */
     List<Endpoint> endpoints() {
         return endpoints;
     }
@@ -62,9 +62,9 @@
         chain.all(context -> send(
                 context,
                 ErrorAnswers.of(RequestRefusedException.unknown(
-                        "The administration API has no such path.",
+                        "The administration API does not have this path.",
                         context.getRequest().getPath(),
-                        "Look it up in /admin/v1/openapi.json."))));
+                        "See /admin/v1/openapi.json for the paths."))));
     }
 
     private void handle(Context context, List<Endpoint> endpointsOfPath) {
@@ -124,9 +124,9 @@
 
     private static AspenmoorException internalError(Throwable fault) {
         return new AspenmoorException(
-                "The entry met an error of its own: " + fault.getClass().getSimpleName() + ".",
+                "Internal error of the entry: " + fault.getClass().getSimpleName() + ".",
                 "administration API",
-                "Look into this entry's log, and read the document again before repeating a change.",
+                "Check the log of this entry, and read the document again before repeating a change.",
                 fault);
     }
 
@@ -141,7 +141,7 @@
         try (InputStream stream = AdministrationApi.class.getResourceAsStream("openapi.json")) {
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException unreadable) {
-            throw new IllegalStateException("the build holds openapi.json", unreadable);
+            throw new IllegalStateException("openapi.json cannot be read from the class path", unreadable);
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ApiRequest.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ApiRequest.java
@@ -5,13 +5,13 @@
 import org.aspenmoor.internal.document.ServiceName;
 
 /**
- * One call of the administration API.
+ * A call of the administration API.
  *
- * @param operator who calls
- * @param pathTokens the named parts of the path
- * @param query the query's parameters
- * @param ifMatch the {@code If-Match} header
- * @param body the body's text
+ * @param operator the authenticated operator
+ * @param pathTokens values of the path parameters by name
+ * @param query query parameters by name
+ * @param ifMatch value of the {@code If-Match} header
+ * @param body body as text
  */
 record ApiRequest(
         Operator operator,
@@ -21,12 +21,12 @@
         String body) {
     private static final String SURROUNDING_QUOTES = "^\"|\"$";
 
-    /** Returns a named part of the path. */
+    /** Returns the value of a path parameter. */
     String pathToken(String name) {
         return pathTokens.get(name);
     }
 
-    /** Returns the service that the path names, if the operator's scope covers it. */
+    /** Returns the service named in the path; throws an exception if the operator's scope does not cover it. */
     ServiceName service() throws RequestRefusedException {
         ServiceName name = new ServiceName(pathToken("team"), pathToken("service"));
         if (!operator.scope().covers(name)) {
@@ -35,12 +35,12 @@
         return name;
     }
 
-    /** Returns the revision in the path. */
+    /** Returns the revision named in the path. */
     long revision() throws RequestRefusedException {
         return parseNumber("revision", pathToken("revision"));
     }
 
-    /** Returns the revision that the operator read. */
+    /** Returns the revision from {@code If-Match}, which the operator read and expects to be the current one. */
     long expectedRevision() throws RequestRefusedException {
         if (ifMatch.isEmpty()) {
             throw RequestRefusedException.expectedRevisionMissing();
@@ -48,7 +48,7 @@
         return parseNumber("If-Match", ifMatch.get().replaceAll(SURROUNDING_QUOTES, ""));
     }
 
-    /** Returns a number of the query within bounds. */
+    /** Returns a numeric query parameter, limited to the range from 1 to {@code max}. */
     int queryNumber(String name, int defaultValue, int max) throws RequestRefusedException {
         String text = query.get(name);
         if (text == null) {
@@ -57,7 +57,7 @@
         return (int) Math.clamp(parseNumber(name, text), 1, max);
     }
 
-    /** Says whether a filter of the query lets a value pass. */
+    /** Returns whether a value equals the query parameter {@code name}, or that parameter is absent. */
     boolean matchesFilter(String name, String value) {
         String filter = query.get(name);
         return filter == null || filter.equals(value);
@@ -70,8 +70,8 @@
                 return number;
             }
         } catch (NumberFormatException reportedBelow) {
-            // The same refusal as for a negative number follows.
+            // Refused below in the same way as a negative number.
         }
-        throw RequestRefusedException.malformed(name, "\"" + text + "\" is no whole number from 0 on.");
+        throw RequestRefusedException.malformed(name, "\"" + text + "\" is not a non-negative integer.");
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/BackendState.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/BackendState.java
@@ -1,13 +1,13 @@
 package org.aspenmoor.internal.administration;
 
-/** Whether a backend server takes new work, as this entry sees it. */
+/** Whether a backend server accepts new work, as known to this entry. */
 public enum BackendState {
-    /** Takes requests. */
+    /** Accepts requests. */
     READY,
-    /** Answers, and takes nothing now: it loads or changes role. */
+    /** Connected, but currently accepts no requests: it loads a model or changes its role. */
     AWAY,
-    /** Ends what it runs and takes nothing new. */
+    /** Finishes its running requests and accepts no new ones. */
     LEAVING,
-    /** No connection to its agent. */
+    /** This entry has no connection to its agent. */
     UNREACHABLE
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/BackendStatus.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/BackendStatus.java
@@ -7,17 +7,17 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * A backend server at one moment.
+ * Status of a backend server at one moment.
  *
- * @param name its name
- * @param service the service it works for
- * @param dataCentre where it stands
- * @param state whether it takes new work
- * @param detail why it does not, where it does not
- * @param role the role of an engine; empty for a plain service
- * @param load the load it last reported
+ * @param name name of the backend server
+ * @param service service it belongs to
+ * @param dataCentre data centre in which it runs
+ * @param state whether it accepts new work
+ * @param detail reason why it accepts no new work; empty if it accepts work or no reason is known
+ * @param role role of an engine; empty for a plain service
+ * @param load last reported load; empty for a plain service and before the first report
  * @param loaded models and adapters in its memory
- * @param outstanding requests that this entry has sent and that have not ended
+ * @param outstanding number of requests sent to it by this entry that have not ended
  */
 public record BackendStatus(
         String name,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentEndpoints.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.document.StoredDocument;
 
-/** Reading and changing documents. */
+/** Endpoints that read and change documents. */
 final class DocumentEndpoints {
     private static final String DOCUMENT_PATH = "documents/:team/:service";
     private static final int DEFAULT_REVISIONS = 20;
@@ -41,7 +41,7 @@
                 new Endpoint("POST", DOCUMENT_PATH + "/revert/:revision", this::revert));
     }
 
-    /** Lists what this process serves by; the store would send thousands of whole documents for the same answer. */
+    /** Lists the documents in force in this process; from the store it would have to read thousands of documents. */
     private ApiAnswer list(ApiRequest request) {
         ArrayNode documents = JsonNodeFactory.instance.arrayNode();
         for (DocumentInForce inForce : registry.all()) {
@@ -62,7 +62,7 @@
                 .orElseThrow(() -> RequestRefusedException.unknown(
                         "The service has no document.",
                         name.toString(),
-                        "Check the names, or accept a first document."));
+                        "Check the names, or submit a first document."));
         return ApiAnswer.ofRevision(stored.document().revision(), DocumentJson.complete(stored));
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentJson.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DocumentJson.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 import org.aspenmoor.internal.document.StoredDocument;
 
-/** Writes documents, their acceptance and their differences as JSON. */
+/** Converts documents, their acceptance records and their differences to JSON. */
 final class DocumentJson {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -55,7 +55,7 @@
         try {
             return MAPPER.readTree(DocumentWriter.write(document));
         } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException("a written document is JSON", impossible);
+            throw new IllegalStateException("DocumentWriter wrote invalid JSON", impossible);
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DutyStatus.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/DutyStatus.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Who holds a duty.
+ * Status of a duty, which is a coordination task that one process performs for others.
  *
- * @param duty what the duty is, such as {@code planner} or {@code document relay}
- * @param team the team it is for; empty for the platform's duties
- * @param service the service it is for, if it is for one
- * @param dataCentre where it is carried
- * @param holder the process that holds it; empty where nobody does
- * @param term the fencing number of its lease; 0 for duties without a lease
- * @param detail one sentence, such as how long the lease still runs
+ * @param duty name of the task, such as {@code planner} or {@code document relay}
+ * @param team team that it concerns; empty if it concerns the whole platform
+ * @param service service that it concerns; empty if it concerns no single service
+ * @param dataCentre data centre in which it is performed
+ * @param holder process that performs it; empty if none does
+ * @param term fencing number of its lease; 0 if it has no lease
+ * @param detail explanation in one sentence, such as the remaining time of the lease
  */
 public record DutyStatus(
         String duty,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/Endpoint.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/Endpoint.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.administration;
 
 /**
- * One operation of the administration API.
+ * An operation of the administration API.
  *
  * @param method the HTTP method
- * @param path the path below the API's root, named parts with a leading colon
- * @param handler what answers it
+ * @param path the path below the root of the API; path parameters start with a colon
+ * @param handler the handler of its calls
  */
 record Endpoint(String method, String path, EndpointHandler handler) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EndpointHandler.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EndpointHandler.java
@@ -2,8 +2,8 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** Answers the calls of one endpoint; runs on a thread that may block. */
+/** Handles the calls of one endpoint, on a thread that may block. */
 interface EndpointHandler {
-    /** Answers one call. */
+    /** Handles a call and returns its answer. */
     ApiAnswer handle(ApiRequest request) throws AspenmoorException;
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryAdministration.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryAdministration.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.store.ObjectStore;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** Puts the administration API of an entry together. */
+/** Assembles the administration API of an entry. */
 public final class EntryAdministration {
     private final EntrySettings settings;
     private final ObjectStore store;
@@ -32,7 +32,7 @@
         this.metrics = metrics;
     }
 
-    /** Returns the API before a running entry. */
+    /** Returns the API for a running entry. */
     public AdministrationApi api(EntryProcess entry) {
         DocumentRegistry documents = entry.registry();
         EntryStatusSource source = new EntryStatusSource(
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/EntryStatusSource.java
@@ -22,7 +22,7 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.jboss.logging.Logger;
 
-/** Status of an entry, from the dump of its eventLoop, its metrics and its documents. */
+/** Provides the status of an entry from the state dump of its event loop, its metrics and its documents. */
 public final class EntryStatusSource implements ProcessStatusSource {
     private static final Logger LOG = Logger.getLogger("administration");
     private static final Duration EVENT_LOOP_TIMEOUT = Duration.ofSeconds(5);
@@ -89,7 +89,7 @@
         return duties.get();
     }
 
-    /** Speaks of this entry only; an operator who asks several entries sees them all. */
+    /** Returns the revisions of this entry only; to see those of several entries, each has to be queried. */
     @Override
     public List<ProcessRevision> revisions() {
         return registry.all().stream().map(this::revision).toList();
@@ -125,7 +125,7 @@
         return node.path("takesWork").asBoolean() ? BackendState.READY : BackendState.AWAY;
     }
 
-    /** Empty for a plain service, and until an engine has reported. */
+    /** Returns the load; empty for a plain service and before an engine's first report. */
     private static Optional<EngineLoad> load(JsonNode node) {
         if (!node.has("running")) {
             return Optional.empty();
@@ -158,7 +158,10 @@
         return await(dumpSupplier.get(), JsonNodeFactory.instance.objectNode());
     }
 
-    /** A eventLoop that is stuck must not hold the threads that answer operators; its part of the status is left out. */
+    /**
+     * Waits with a time limit, so that a blocked event loop does not block the threads that answer operators; its part
+     * of the status is then omitted.
+     */
     private static <T> T await(CompletableFuture<T> answer, T defaultValue) {
         try {
             return answer.get(EVENT_LOOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
@@ -166,7 +169,7 @@
             Thread.currentThread().interrupt();
             return defaultValue;
         } catch (ExecutionException | TimeoutException failure) {
-            LOG.warnf("administration: the event loop gave no answer, %s", failure);
+            LOG.warnf("administration: the event loop did not answer, its part of the status is omitted: %s", failure);
             return defaultValue;
         }
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ErrorAnswers.java
@@ -15,7 +15,7 @@
 import org.aspenmoor.internal.store.StoreOutcomeUnknownException;
 import org.aspenmoor.internal.store.StoreUnavailableException;
 
-/** Writes errors: what happened, where, what to do next, and whether anything was changed. */
+/** Converts errors to answers: the problem, its place, the remedy, and whether anything was changed. */
 final class ErrorAnswers {
     private static final int NOT_FOUND = 404;
     private static final int PRECONDITION_FAILED = 412;
@@ -36,7 +36,7 @@
             case RequestRefusedException refused -> answer(refused.status(), refused);
             case StoreUnavailableException unavailable -> retryLater(unavailable);
             case StoreBudgetException overBudget -> retryLater(overBudget);
-            // Only the record of the revision before the change was being written.
+            // This write only records the previous revision; the change itself has not been attempted.
             case StoreOutcomeUnknownException beforeChange -> retryLater(beforeChange);
             default -> answer(INTERNAL, error);
         };
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/KindCounts.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/KindCounts.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** How many requests of each kind ended in what, read from the metrics that count them. */
+/** Reads the number of requests by kind and outcome from the metrics. */
 public final class KindCounts {
     private static final String METRIC = "aspenmoor_requests";
 
@@ -20,7 +20,7 @@
         this.metrics = metrics;
     }
 
-    /** Returns the counts of a service's kinds, sorted by name. */
+    /** Returns the counts for each kind of a service, sorted by the name of the kind. */
     List<KindStatus> of(ServiceName name) {
         Map<String, Map<String, Long>> byKind = new TreeMap<>();
         for (MetricSnapshot snapshot : metrics.scrape(METRIC::equals)) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/KindStatus.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/KindStatus.java
@@ -1,12 +1,12 @@
 package org.aspenmoor.internal.administration;
 
 /**
- * The requests of one kind that have ended since the process started.
+ * Number of requests of one kind that have ended since the process started, by outcome.
  *
- * @param kind the kind's name
- * @param answered how many were answered whole
- * @param notRun how many were refused without having run
- * @param unknown how many ended with nobody knowing
- * @param cancelled how many were given up by their callers
+ * @param kind name of the kind
+ * @param answered requests that were answered completely
+ * @param notRun requests that were refused without having run
+ * @param unknown requests of which it is unknown whether they ran
+ * @param cancelled requests that were cancelled by their callers
  */
 public record KindStatus(String kind, long answered, long notRun, long unknown, long cancelled) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/Operator.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/Operator.java
@@ -1,10 +1,10 @@
 package org.aspenmoor.internal.administration;
 
 /**
- * Somebody who may use the administration API.
+ * An operator who may use the administration API.
  *
- * @param name who it is, as the record of changes shows it
- * @param tokenHash SHA-256 of the token, in hexadecimal; the token itself is kept nowhere
- * @param scope what may be seen and changed
+ * @param name name recorded with the operator's changes
+ * @param tokenHash SHA-256 hash of the token, in hexadecimal; the token itself is not stored
+ * @param scope services that the operator may see and change
  */
 public record Operator(String name, String tokenHash, OperatorScope scope) {}
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorScope.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorScope.java
@@ -2,27 +2,27 @@
 
 import org.aspenmoor.internal.document.ServiceName;
 
-/** What an operator may see and change. */
+/** The services that an operator may see and change. */
 public sealed interface OperatorScope {
-    /** How settings write the scope of the whole platform. */
+    /** Value in the settings for the scope of the whole platform. */
     String PLATFORM = "platform";
 
-    /** Everything. */
+    /** The services of all teams. */
     record WholePlatform() implements OperatorScope {}
 
     /**
-     * One team's services.
+     * The services of one team.
      *
      * @param team the team
      */
     record OneTeam(String team) implements OperatorScope {}
 
-    /** Reads a scope as settings write it: a team's name, or {@value #PLATFORM}. */
+    /** Parses a scope from the settings: the name of a team, or {@value #PLATFORM}. */
     static OperatorScope of(String text) {
         return text.equals(PLATFORM) ? new WholePlatform() : new OneTeam(text);
     }
 
-    /** Says whether a team's services are within the scope. */
+    /** Returns whether the services of a team are within the scope. */
     default boolean covers(String team) {
         return switch (this) {
             case WholePlatform whole -> true;
@@ -30,7 +30,7 @@
         };
     }
 
-    /** Says whether a service is within the scope. */
+    /** Returns whether a service is within the scope. */
     default boolean covers(ServiceName name) {
         return covers(name.team());
     }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorTokens.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/OperatorTokens.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** Finds the operator who holds a token. */
+/** Finds operators by their tokens. */
 public final class OperatorTokens {
     private static final String BEARER_PREFIX = "Bearer ";
 
@@ -16,7 +16,7 @@
         this.operators = List.copyOf(operators);
     }
 
-    /** Returns the operator of an {@code Authorization} header; empty where the token is missing or unknown. */
+    /** Returns the operator of an {@code Authorization} header; empty if the token is missing or unknown. */
     public Optional<Operator> find(Optional<String> authorization) {
         if (authorization.isEmpty() || !authorization.get().startsWith(BEARER_PREFIX)) {
             return Optional.empty();
@@ -24,7 +24,7 @@
         byte[] hash = bytes(TokenHash.of(
                 authorization.get().substring(BEARER_PREFIX.length()).strip()));
         Optional<Operator> found = Optional.empty();
-        // Every hash is compared in constant time, so that the time taken tells nothing about them.
+        // All hashes are compared, each in constant time, so that the duration reveals nothing about them.
         for (Operator operator : operators) {
             if (MessageDigest.isEqual(hash, bytes(operator.tokenHash().toLowerCase(Locale.ROOT)))) {
                 found = Optional.of(operator);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ProcessStatusSource.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ProcessStatusSource.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.RequestId;
 
-/** What the entry knows about itself and the processes around it. Calls may block. */
+/** Provides the status of an entry and of the processes known to it. Calls may block. */
 public interface ProcessStatusSource {
     /** Returns the name of this process. */
     String process();
@@ -14,18 +14,18 @@
     /** Returns the services that this entry serves. */
     List<ServiceStatus> services();
 
-    /** Returns the backend servers that this entry knows of. */
+    /** Returns the backend servers known to this entry. */
     List<BackendStatus> backends();
 
-    /** Returns who holds which duty. */
+    /** Returns the duties and their holders. */
     List<DutyStatus> duties() throws AspenmoorException;
 
-    /** Returns which revision of each document is in force in each process that this entry hears of. */
+    /** Returns the revision of each document in force, for each process of which this entry knows it. */
     List<ProcessRevision> revisions();
 
-    /** Dumps the state of a process, this one or one that it is linked to; empty where it knows no such process. */
+    /** Dumps the state of this process or of one it is linked to; empty if the process is not known. */
     Optional<JsonNode> dump(String process) throws AspenmoorException;
 
-    /** Returns what happened to a request, in sentences; empty where this entry does not remember it. */
+    /** Returns how a request was handled, in sentences; empty if this entry has no record of it. */
     Optional<RequestExplanation> explain(RequestId id);
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RegistryFleetView.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RegistryFleetView.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.internal.document.FleetView;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** The fleet as an entry knows it from documents in force and from the agents that it hears of. */
+/** View of the fleet from the documents in force and the backend servers known to an entry. */
 public final class RegistryFleetView implements FleetView {
     private final DocumentRegistry registry;
     private final ProcessStatusSource source;
@@ -17,7 +17,7 @@
         this.source = source;
     }
 
-    /** A data centre may be new and have no process yet, so nothing is known of one that this entry never heard of. */
+    /** Returns empty, as a data centre that is unknown to this entry may be a new one without processes. */
     @Override
     public Optional<Boolean> hasDataCentre(String name) {
         return Optional.empty();
@@ -59,7 +59,7 @@
                 .anyMatch(document -> document.callerTokenHashes().contains(tokenHash)));
     }
 
-    /** Entries do not ask the weight store; its rate belongs to the engines. */
+    /** Returns empty, as entries do not query the weight store: its rate limit is reserved for the engines. */
     @Override
     public Optional<Boolean> hasModelVersion(String model, String version) {
         return Optional.empty();
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestExplanation.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestExplanation.java
@@ -7,8 +7,8 @@
 /**
  * Why a request was routed, queued, refused or resumed.
  *
- * @param service the service it was for, where it was found; without it only the platform's operators see the trace
- * @param sentences what happened, in order
+ * @param service service of the request; if empty, only operators of the whole platform may see the explanation
+ * @param sentences how the request was handled, in chronological order
  */
 public record RequestExplanation(Optional<ServiceName> service, List<String> sentences) {
     public RequestExplanation {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestRefusedException.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/RequestRefusedException.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** A call of the administration API that is refused before anything is done. */
+/** Thrown when a call of the administration API is refused before it has any effect. */
 public final class RequestRefusedException extends AspenmoorException {
     private static final long serialVersionUID = 1L;
     private static final int BAD_REQUEST = 400;
@@ -31,13 +31,13 @@
     static RequestRefusedException outOfScope(String place) {
         return new RequestRefusedException(
                 FORBIDDEN,
-                "The operator's token does not cover this.",
+                "The operator's token does not give access to this.",
                 place,
-                "Use a token of the team that owns it, or one of the platform.");
+                "Use a token of the owning team or of the whole platform.");
     }
 
     static RequestRefusedException malformed(String place, String problem) {
-        return new RequestRefusedException(BAD_REQUEST, problem, place, "Mend the value and call again.");
+        return new RequestRefusedException(BAD_REQUEST, problem, place, "Correct the value and call again.");
     }
 
     static RequestRefusedException unknown(String problem, String place, String remedy) {
@@ -47,17 +47,17 @@
     static RequestRefusedException methodNotAllowed(String method) {
         return new RequestRefusedException(
                 METHOD_NOT_ALLOWED,
-                "The path takes no " + method + ".",
+                "The path does not support the method " + method + ".",
                 method,
-                "Look the path up in /admin/v1/openapi.json.");
+                "See /admin/v1/openapi.json for the methods of the path.");
     }
 
     static RequestRefusedException expectedRevisionMissing() {
         return new RequestRefusedException(
                 PRECONDITION_REQUIRED,
-                "The change does not say which revision was read.",
+                "The change does not state the revision it is based on.",
                 "If-Match",
-                "Send the header If-Match with the revision that you read and changed, or 0 for a first document.");
+                "Send the header If-Match with the revision that you read, or 0 for a first document.");
     }
 
     static RequestRefusedException tooLarge(int maxBytes) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ServiceStatus.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/ServiceStatus.java
@@ -4,10 +4,10 @@
 import org.aspenmoor.internal.document.ServiceName;
 
 /**
- * A service at one moment, as this process sees it.
+ * Status of a service at one moment, as known to this process.
  *
- * @param name the service
- * @param kinds its requests by kind
+ * @param name name of the service
+ * @param kinds numbers of its requests by kind
  */
 public record ServiceStatus(ServiceName name, List<KindStatus> kinds) {
     public ServiceStatus {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusEndpoints.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusEndpoints.java
@@ -9,7 +9,7 @@
 import org.aspenmoor.internal.document.DocumentRegistry;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Looking at what runs. A team's operator sees that team only. */
+/** Endpoints for the status of the running system. An operator of a team sees only that team's services. */
 final class StatusEndpoints {
     private final ProcessStatusSource source;
     private final DocumentRegistry registry;
@@ -81,7 +81,7 @@
         return ApiAnswer.ok(body);
     }
 
-    /** A dump shows every team's work in the process, so it takes a token of the platform. */
+    /** A dump contains the requests of all teams and therefore requires a token for the whole platform. */
     private ApiAnswer dump(ApiRequest request) throws AspenmoorException {
         String process = request.pathToken("process");
         if (request.operator().scope() instanceof OperatorScope.OneTeam) {
@@ -89,24 +89,24 @@
         }
         return ApiAnswer.ok(source.dump(process)
                 .orElseThrow(() -> RequestRefusedException.unknown(
-                        "This entry knows no process \"" + process + "\".",
+                        "This entry does not know the process \"" + process + "\".",
                         process,
-                        "Ask for one that in-force names, or ask an entry in its data centre.")));
+                        "Name a process that in-force lists, or query an entry in its data centre.")));
     }
 
     private ApiAnswer explain(ApiRequest request) throws AspenmoorException {
         String text = request.pathToken("request");
         RequestId id = RequestId.parse(text)
                 .orElseThrow(() -> RequestRefusedException.malformed(
-                        "request", "\"" + text + "\" is no request identity of 32 hexadecimal digits."));
+                        "request", "\"" + text + "\" is not a request id of 32 hexadecimal digits."));
         Optional<RequestExplanation> explanation =
                 source.explain(id).filter(found -> isShown(request.operator().scope(), found));
         ObjectNode body = StatusJson.object().put("request", id.toString());
         explanation
                 .orElseThrow(() -> RequestRefusedException.unknown(
-                        "This entry does not remember the request.",
+                        "This entry has no record of the request.",
                         id.toString(),
-                        "Ask the entry that answered it; each remembers its latest requests only."))
+                        "Query the entry that answered it; each entry keeps only its latest requests."))
                 .sentences()
                 .forEach(body.putArray("sentences")::add);
         return ApiAnswer.ok(body);
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusJson.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/StatusJson.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Writes status as JSON. */
+/** Converts status records to JSON. */
 final class StatusJson {
     private StatusJson() {}
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/TokenHash.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/administration/TokenHash.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hashes tokens the way settings and documents hold them. */
+/** Computes hashes of tokens as stored in settings and documents. */
 public final class TokenHash {
     private TokenHash() {}
 
@@ -15,7 +15,7 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(token.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException missing) {
-            throw new IllegalStateException("every Java platform has SHA-256", missing);
+            throw new IllegalStateException("the Java platform does not provide SHA-256", missing);
         }
     }
 }
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationApiTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationApiTest.java
@@ -124,8 +124,8 @@
 
     @Test
     public void should_report_the_first_change_when_a_second_operator_submits_an_outdated_revision() throws Exception {
-        // Both read revision 1; the first one's change is accepted. Without the condition the second would undo it
-        // unseen.
+        // Both operators read revision 1, and the change of the first is accepted.
+        // Without the condition the second would overwrite it unknowingly.
         server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "0", FIRST_DOCUMENT);
         server.call("PUT", DOCUMENT_PATH, STUDIO_TOKEN, "1", CHANGED_DOCUMENT);
 
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationServer.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/AdministrationServer.java
@@ -17,7 +17,7 @@
 import ratpack.server.RatpackServer;
 import ratpack.server.ServerConfig;
 
-/** The administration API on a free port of the loopback address, and a client of it. */
+/** Serves the administration API on a free port of the loopback address and calls it. */
 final class AdministrationServer implements AutoCloseable {
     static final String PLATFORM_TOKEN = "platform-token";
     static final String STUDIO_TOKEN = "studio-token";
@@ -51,7 +51,7 @@
         return registry;
     }
 
-    /** Calls a path below the root; the read revision goes into If-Match unless it is empty. */
+    /** Calls a path below the root; a non-empty {@code readRevision} is sent as {@code If-Match}. */
     HttpResponse<String> call(String method, String path, String token, String readRevision, String body)
             throws IOException, InterruptedException {
         URI uri = URI.create("http://127.0.0.1:" + server.getBindPort() + "/" + AdministrationApi.ROOT + "/" + path);
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/FixedStatusSource.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/FixedStatusSource.java
@@ -10,7 +10,7 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** One service of each of two teams, always in the same state. */
+/** Status source with a fixed state: one service for each of two teams. */
 final class FixedStatusSource implements ProcessStatusSource {
     static final ServiceName OURS = new ServiceName("studio", "drafting");
     static final ServiceName THEIRS = new ServiceName("sheets", "drafting");
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/OpenApiSchemaCheck.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/administration/OpenApiSchemaCheck.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Compares answers with the schemas of the published description; knows as much of JSON schema as that one uses. */
+/** Checks answers against the schemas in openapi.json; supports only the JSON Schema keywords used there. */
 final class OpenApiSchemaCheck {
     private static final String REFERENCE = "$ref";
 
@@ -16,7 +16,7 @@
         this.description = description;
     }
 
-    /** Returns where a value differs from its schema. */
+    /** Returns a message for each difference between a value and its schema. */
     List<String> differences(JsonNode schema, JsonNode value) {
         differences.clear();
         compare("", schema, value);
@@ -38,7 +38,7 @@
             default -> false;
         };
         if (!typeHolds) {
-            differences.add(path + " is no " + schema.path("type").asText());
+            differences.add(path + " is not of type " + schema.path("type").asText());
             return;
         }
         value.forEach(item -> compareItem(path, schema, item));
@@ -46,7 +46,7 @@
             compareFields(path, schema, value);
         }
         if (schema.has("enum") && !schema.get("enum").toString().contains(value.toString())) {
-            differences.add(path + " is none of " + schema.get("enum"));
+            differences.add(path + " is not one of " + schema.get("enum"));
         }
     }
 
