--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/DocumentIndex.java
@@ -13,7 +13,7 @@
 import org.aspenmoor.internal.document.ServiceName;
 import org.jboss.logging.Logger;
 
-/** The documents in force in this entry, found by the caller's token. */
+/** The documents in force in this entry, indexed by the hash of the caller's token. */
 final class DocumentIndex {
     private static final Logger LOG = Logger.getLogger("entry");
 
@@ -24,23 +24,23 @@
         this.registry = registry;
     }
 
-    /** Puts a document in force unless a newer one is; returns whether it was. */
+    /** Puts a document in force unless the current one is the same or newer; returns whether it was put in force. */
     boolean put(ServiceDocument document) {
         OfferResult result = registry.offer(document);
         if (result == OfferResult.CONTRADICTS) {
             LOG.errorf(
-                    "entry: two documents claim to be %s/%s revision %d, the first stays in force",
+                    "entry: received a different document for %s/%s revision %d; keeping the first one in force",
                     document.team(), document.service(), document.revision());
         }
         if (result != OfferResult.APPLIED) {
             return false;
         }
-        rebuildTokens();
+        rebuildTokenIndex();
         return true;
     }
 
-    /** Returns the documents whose service the holder of a token may call. */
-    List<ServiceDocument> forToken(String token) {
+    /** Returns the documents of the services that the token's holder may call. */
+    List<ServiceDocument> findByToken(String token) {
         return byTokenHash.getOrDefault(TokenHash.of(token), List.of()).stream()
                 .map(registry::find)
                 .flatMap(Optional::stream)
@@ -51,7 +51,7 @@
         return registry.all().stream().map(DocumentInForce::document).toList();
     }
 
-    private void rebuildTokens() {
+    private void rebuildTokenIndex() {
         byTokenHash.clear();
         for (ServiceDocument document : all()) {
             for (String hash : document.callerTokenHashes()) {
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryProcess.java
@@ -13,19 +13,19 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.administration.DutyStatus;
 import org.aspenmoor.internal.claim.ClaimCommitter;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimSettings;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.claims.ClaimHandler;
 import org.aspenmoor.internal.claims.ClaimMessage;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
 import org.aspenmoor.internal.duty.Ticker;
-import org.aspenmoor.internal.link.DutyLinkListener;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.link.LinkNetwork;
+import org.aspenmoor.internal.link.WorkerLinkListener;
 import org.aspenmoor.internal.membership.MembershipView;
 import org.aspenmoor.internal.planner.EngineSnapshot;
-import org.aspenmoor.internal.planner.PlanDraft;
-import org.aspenmoor.internal.planner.PlannerDuty;
+import org.aspenmoor.internal.planner.PlanDrafter;
+import org.aspenmoor.internal.planner.PlannerWorker;
 import org.aspenmoor.internal.retry.BreakerSettings;
 import org.aspenmoor.internal.retry.CircuitBreaker;
 import org.aspenmoor.internal.rollout.LoadBudget;
@@ -43,50 +43,50 @@
 import org.aspenmoor.internal.wire.v1.Hello;
 import org.jboss.logging.Logger;
 
-/** A running entry: its eventLoop, its links, and what it follows in the store. */
+/** A running entry: its event loop, its links, and the store collections it watches. */
 public final class EntryProcess implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger("entry");
     private static final int RING_SIZE = 8192;
     private static final int CLAIM_RING_SIZE = 4096;
-    private static final double CLAIM_SHARE = 0.75;
-    private static final double CALLS_OF_COMMIT = 2;
-    private static final long PLANNER_PATIENCE_SECONDS = 2;
-    private static final double LOADS_PER_SECOND = 1;
-    private static final double MOST_LOADS_SAVED = 10;
+    private static final double CLAIM_SHARE_OF_STORE_CALLS = 0.75;
+    private static final double STORE_CALLS_PER_COMMIT = 2;
+    private static final long PLANNER_QUERY_TIMEOUT_SECONDS = 2;
+    private static final double MODEL_LOADS_PER_SECOND = 1;
+    private static final double MAX_SAVED_MODEL_LOADS = 10;
     private static final Duration TICK = Duration.ofMillis(50);
-    private static final List<ObjectKind> FOLLOWED =
+    private static final List<ObjectKind> WATCHED_KINDS =
             List.of(ObjectKind.DOCUMENT, ObjectKind.AGENT_REGISTRATION, ObjectKind.HOST);
 
     private final EntrySettings settings;
-    private final Duty<EntryMessage> eventLoop;
-    private final Duty<ClaimMessage> claimDuty;
+    private final Worker<EntryMessage> eventLoop;
+    private final Worker<ClaimMessage> claimWorker;
     private final DocumentRegistry registry;
-    private final PlannerDuty planner;
+    private final PlannerWorker planner;
     private final LinkNetwork network;
     private final Ticker ticker = new Ticker();
-    private final List<WatchedCollection> followed = new ArrayList<>();
+    private final List<WatchedCollection> watchedCollections = new ArrayList<>();
     private final AtomicInteger synchronisedKinds = new AtomicInteger();
     private volatile boolean stopping;
 
     public EntryProcess(
             EntrySettings settings,
             ObjectStore store,
-            CollectionFactory collections,
+            CollectionFactory collectionFactory,
             TimeSource time,
             RandomGenerator random,
             EntryMetrics metrics) {
         this.settings = settings;
         this.network = new LinkNetwork(
                 hello(settings.process(), random),
-                new DutyLinkListener<>(
-                        this::tellEventLoop,
+                new WorkerLinkListener<>(
+                        this::postToEventLoop,
                         EntryMessage.LinkOpened::new,
                         EntryMessage.FrameArrived::new,
                         EntryMessage.LinkClosed::new));
         this.registry = new DocumentRegistry(time);
         ClaimSettings claimSettings = ClaimSettings.DEFAULT;
         ClaimCommitter claimCommitter = new ClaimCommitter(store, claimSettings, time, random);
-        this.claimDuty = new Duty<>(
+        this.claimWorker = new Worker<>(
                 "entry-claims",
                 CLAIM_RING_SIZE,
                 new ClaimHandler(
@@ -94,56 +94,63 @@
                         claimSettings,
                         new CircuitBreaker(ClaimHandler.STORE_BREAKER, time, random),
                         time,
-                        settings.process().storeCallsPerSecond() * CLAIM_SHARE / CALLS_OF_COMMIT,
-                        this::claimJudged));
+                        settings.process().storeCallsPerSecond() * CLAIM_SHARE_OF_STORE_CALLS / STORE_CALLS_PER_COMMIT,
+                        this::postClaimDecision));
         ServiceQueues serviceQueues = new ServiceQueues(
-                registry, routerSettings(settings), settings.limits().waitingRequests(), random);
-        MembershipView membership = new MembershipView(MembershipBounds.of(settings.leavingBound()), time);
+                registry, routerSettings(settings), settings.limits().maxWaitingRequests(), random);
+        MembershipView membership = new MembershipView(MembershipTimeouts.of(settings.leavingBound()), time);
         AgentDirectory directory = new AgentDirectory(
                 network, membership, () -> new CircuitBreaker(BreakerSettings.DEFAULT, time, random), serviceQueues);
         EntryEventLoop handler = new EntryEventLoop(
-                settings, time, directory, serviceQueues, new Claims(claimDuty), new DocumentIndex(registry), metrics);
-        this.eventLoop = new Duty<>("entry-events", RING_SIZE, handler);
-        LoadBudget loadBudget = new LoadBudget(time, LOADS_PER_SECOND, MOST_LOADS_SAVED);
-        this.planner = new PlannerDuty(
+                settings,
+                time,
+                directory,
+                serviceQueues,
+                new ClaimClient(claimWorker),
+                new DocumentIndex(registry),
+                metrics);
+        this.eventLoop = new Worker<>("entry-events", RING_SIZE, handler);
+        LoadBudget loadBudget = new LoadBudget(time, MODEL_LOADS_PER_SECOND, MAX_SAVED_MODEL_LOADS);
+        this.planner = new PlannerWorker(
                 settings.process().name() + "/" + RequestId.draw(random),
                 settings.process().dataCentre(),
                 store,
                 registry,
-                this::engines,
-                new PlanDraft(loadBudget),
+                this::queryEngines,
+                new PlanDrafter(loadBudget),
                 time,
                 random);
-        FOLLOWED.forEach(kind -> followed.add(collections.follow(store, kind, new EventLoopObjects(kind))));
+        WATCHED_KINDS.forEach(
+                kind -> watchedCollections.add(collectionFactory.create(store, kind, new StoreChangeForwarder(kind))));
     }
 
     /** Starts the threads and returns the link port. */
     public int start() throws AspenmoorException {
         eventLoop.start();
-        claimDuty.start();
+        claimWorker.start();
         int port =
                 network.listen(settings.process().address(), settings.process().linkPort());
-        followed.forEach(WatchedCollection::start);
+        watchedCollections.forEach(WatchedCollection::start);
         planner.start();
-        ticker.every(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
-        ticker.every(TICK, () -> claimDuty.offer(new ClaimMessage.Tick()));
+        ticker.scheduleEvery(TICK, () -> eventLoop.offer(new EntryMessage.Tick()));
+        ticker.scheduleEvery(TICK, () -> claimWorker.offer(new ClaimMessage.Tick()));
         LOG.infof(
-                "entry: %s in %s, link port %d",
+                "entry: %s started in %s, link port %d",
                 settings.process().name(), settings.process().dataCentre(), port);
         return port;
     }
 
-    /** Returns the duty that callers' requests go to. */
-    public Duty<EntryMessage> eventLoop() {
+    /** Returns the worker that processes the requests of callers. */
+    public Worker<EntryMessage> eventLoop() {
         return eventLoop;
     }
 
-    /** Says whether the entry knows its documents and takes requests. */
+    /** Returns whether the entry has loaded its documents and accepts requests. */
     public boolean isReady() {
-        return !stopping && synchronisedKinds.get() >= FOLLOWED.size();
+        return !stopping && synchronisedKinds.get() >= WATCHED_KINDS.size();
     }
 
-    /** Asks for the state. */
+    /** Requests a dump of the state. */
     public CompletableFuture<ObjectNode> dump() {
         CompletableFuture<ObjectNode> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.DumpAsked(answer));
@@ -155,26 +162,28 @@
         });
     }
 
-    /** Returns who holds which duty, as far as this entry knows. */
+    /** Returns the holders of the planner duties, as known to this entry. */
     public List<DutyStatus> duties() {
         return planner.duties();
     }
 
-    private List<EngineSnapshot> engines() {
+    private List<EngineSnapshot> queryEngines() {
         CompletableFuture<List<EngineSnapshot>> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.EnginesAsked(answer));
-        return answer.completeOnTimeout(List.of(), PLANNER_PATIENCE_SECONDS, TimeUnit.SECONDS)
+        return answer.completeOnTimeout(List.of(), PLANNER_QUERY_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
-    /** Asks what became of a request. */
+    /** Requests the trace of a request; empty if it is no longer kept. */
     public CompletableFuture<Optional<RequestTrace>> trace(RequestId id) {
         CompletableFuture<Optional<RequestTrace>> answer = new CompletableFuture<>();
         eventLoop.put(new EntryMessage.TraceAsked(id, answer));
         return answer;
     }
 
-    /** Begins a graceful shutdown; complete once no request is held any more. */
+    /**
+     * Starts a graceful shutdown; the future completes once no request is active and pending claims have been flushed.
+     */
     public CompletableFuture<Void> drain() {
         stopping = true;
         CompletableFuture<Void> drained = new CompletableFuture<>();
@@ -189,37 +198,37 @@
 
     private CompletableFuture<Void> flushClaims() {
         CompletableFuture<Void> flushed = new CompletableFuture<>();
-        claimDuty.put(new ClaimMessage.FlushAsked(flushed));
+        claimWorker.put(new ClaimMessage.FlushAsked(flushed));
         return flushed;
     }
 
-    private void claimJudged(ClaimVerdict verdict) {
-        eventLoop.put(new EntryMessage.ClaimJudged(verdict));
+    private void postClaimDecision(ClaimDecision decision) {
+        eventLoop.put(new EntryMessage.ClaimJudged(decision));
     }
 
     private static RouterSettings routerSettings(EntrySettings settings) {
-        RouterSettings usual = RouterSettings.usual(settings.process().dataCentre());
+        RouterSettings defaults = RouterSettings.defaults(settings.process().dataCentre());
         return new RouterSettings(
                 settings.engineSpeed(),
-                usual.dataCentre(),
-                usual.remoteSeconds(),
-                usual.sampledCandidates(),
-                usual.adapterLoadSeconds(),
-                usual.mostIndexedPieces(),
-                usual.pieceTokens());
+                defaults.dataCentre(),
+                defaults.remoteLatencySeconds(),
+                defaults.sampledCandidates(),
+                defaults.adapterLoadSeconds(),
+                defaults.maxIndexedBlocks(),
+                defaults.blockTokens());
     }
 
     @Override
     public void close() {
         planner.close();
         ticker.close();
-        followed.forEach(WatchedCollection::close);
+        watchedCollections.forEach(WatchedCollection::close);
         network.close();
-        claimDuty.close();
+        claimWorker.close();
         eventLoop.close();
     }
 
-    private void tellEventLoop(EntryMessage message) {
+    private void postToEventLoop(EntryMessage message) {
         eventLoop.put(message);
     }
 
@@ -232,12 +241,12 @@
                 .build();
     }
 
-    /** Puts what changes in the store into the event loop's ring. */
-    private final class EventLoopObjects implements CollectionListener {
+    /** Forwards changes in the store to the event loop's ring buffer. */
+    private final class StoreChangeForwarder implements CollectionListener {
         private final ObjectKind kind;
         private boolean synchronisedOnce;
 
-        private EventLoopObjects(ObjectKind kind) {
+        private StoreChangeForwarder(ObjectKind kind) {
             this.kind = kind;
         }
 
@@ -262,7 +271,7 @@
 
         @Override
         public void interrupted(StoreException cause) {
-            LOG.warnf("entry: a watch was interrupted, serving goes on with what is known: %s", cause.problem());
+            LOG.warnf("entry: a store watch was interrupted; continuing with the known state: %s", cause.problem());
         }
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/ServiceQueue.java
@@ -10,22 +10,22 @@
 import org.aspenmoor.RequestId;
 import org.aspenmoor.internal.admission.AdmissionDecision;
 import org.aspenmoor.internal.admission.AdmissionQueue;
+import org.aspenmoor.internal.admission.DispatchDecision;
 import org.aspenmoor.internal.admission.DispatchPolicy;
-import org.aspenmoor.internal.admission.DispatchVerdict;
-import org.aspenmoor.internal.admission.Displaced;
+import org.aspenmoor.internal.admission.EvictedRequest;
 import org.aspenmoor.internal.admission.LengthEstimate;
 import org.aspenmoor.internal.admission.LengthEstimator;
-import org.aspenmoor.internal.admission.WaitingWork;
+import org.aspenmoor.internal.admission.WaitingRequest;
 import org.aspenmoor.internal.routing.EngineSpeed;
 import org.aspenmoor.internal.routing.RoutingDecision;
 
-/** Generations of one service that wait for their first attempt, in the order that admission gives them. */
+/** Generations of one service that wait for their first attempt, in the order determined by admission. */
 final class ServiceQueue {
-    private static final int USUAL_BATCH = 16;
+    private static final int TYPICAL_BATCH_SIZE = 16;
 
     private final AdmissionQueue queue;
-    private final DispatchPolicy policy = DispatchPolicy.usual();
-    private final LengthEstimator lengths = new LengthEstimator();
+    private final DispatchPolicy policy = DispatchPolicy.defaults();
+    private final LengthEstimator lengthEstimator = new LengthEstimator();
     private final EngineRouter router;
     private final EngineSpeed speed;
     private final Map<RequestId, Waiting> waiting = new HashMap<>();
@@ -44,89 +44,89 @@
         return queue.size();
     }
 
-    /** Takes a request in; returns those that have to be refused, this one or others, with the answer for each. */
+    /** Enqueues a request; returns the requests to be refused, which may include this one, with their outcomes. */
     List<Refusal> offer(ActiveRequest request, long now) {
         List<Refusal> refusals = new ArrayList<>();
-        WaitingWork work = workOf(request);
+        WaitingRequest work = waitingWork(request);
         waiting.put(request.id(), new Waiting(request, work));
         if (queue.offer(work, now) instanceof AdmissionDecision.Refused refused) {
             waiting.remove(request.id());
-            refusals.add(new Refusal(request, outcome(refused)));
+            refusals.add(new Refusal(request, refusalOutcome(refused)));
         }
-        for (Displaced displaced : queue.displaced(now)) {
-            Waiting loser = waiting.remove(displaced.work().id());
-            if (loser != null) {
-                refusals.add(new Refusal(loser.request(), outcome(displaced.refusal())));
+        for (EvictedRequest displaced : queue.evict(now)) {
+            Waiting displacedRequest = waiting.remove(displaced.request().id());
+            if (displacedRequest != null) {
+                refusals.add(new Refusal(displacedRequest.request(), refusalOutcome(displaced.refusal())));
             }
         }
         return refusals;
     }
 
-    /** Decides on the request that is next; the caller repeats it while it gives a step that is not to wait. */
-    QueueStep next(Predicate<String> open, long now) {
-        Optional<WaitingWork> next = queue.next();
+    /** Decides on the next request. The caller repeats the call until it returns {@link QueueStep.Idle}. */
+    QueueStep next(Predicate<String> isAvailable, long now) {
+        Optional<WaitingRequest> next = queue.next();
         if (next.isEmpty()) {
-            return new QueueStep.Rest();
+            return new QueueStep.Idle();
         }
-        WaitingWork work = next.get();
+        WaitingRequest work = next.get();
         ActiveRequest request = waiting.get(work.id()).request();
-        Optional<RoutingDecision> decision = router.decide(request, estimate(request), open, now);
-        return switch (policy.judge(work, decision, now)) {
-            case DispatchVerdict.Send send -> new QueueStep.Send(request, send.decision());
-            case DispatchVerdict.Wait ignored -> new QueueStep.Rest();
-            case DispatchVerdict.GiveUp giveUp -> {
-                queue.giveUp(work, now);
+        Optional<RoutingDecision> decision = router.decide(request, estimate(request), isAvailable, now);
+        return switch (policy.decide(work, decision, now)) {
+            case DispatchDecision.Send send -> new QueueStep.Send(request, send.decision());
+            case DispatchDecision.Wait ignored -> new QueueStep.Idle();
+            case DispatchDecision.Refuse giveUp -> {
+                queue.removeRefused(work, now);
                 waiting.remove(work.id());
-                yield new QueueStep.Refuse(new Refusal(request, outcome(giveUp.refusal())));
+                yield new QueueStep.Refuse(new Refusal(request, refusalOutcome(giveUp.refusal())));
             }
         };
     }
 
-    /** Takes a request out because it is being sent as decided. */
-    void sent(ActiveRequest request, RoutingDecision decision, long now) {
-        queue.take(waiting.remove(request.id()).work(), now);
-        router.sent(request, estimate(request), decision, now);
+    /** Removes a request that is dispatched as decided. */
+    void removeDispatched(ActiveRequest request, RoutingDecision decision, long now) {
+        queue.markDispatched(waiting.remove(request.id()).work(), now);
+        router.recordDispatch(request, estimate(request), decision, now);
     }
 
-    /** Takes a request out because its caller has gone. */
+    /** Removes a request whose caller has disconnected. */
     void cancel(ActiveRequest request) {
         if (waiting.remove(request.id()) != null) {
             queue.cancel(request.id());
         }
     }
 
-    /** Learns the length of a whole answer. */
-    void answered(ActiveRequest request, int promptTokens, int outputTokens) {
-        lengths.seen(request.kind().name(), promptTokens, 0, outputTokens);
+    /** Updates the length estimates with a complete answer. */
+    void recordAnswer(ActiveRequest request, int promptTokens, int outputTokens) {
+        lengthEstimator.observe(request.kind().name(), promptTokens, 0, outputTokens);
     }
 
-    /** Decides where a request goes on that has had an attempt before; it does not wait behind others. */
-    Optional<RoutingDecision> decideAgain(ActiveRequest request, Predicate<String> open, long now) {
-        return router.decide(request, estimate(request), open, now);
+    /** Decides where to send a request that has had an attempt before; it does not queue behind others. */
+    Optional<RoutingDecision> decideForRetry(ActiveRequest request, Predicate<String> isAvailable, long now) {
+        return router.decide(request, estimate(request), isAvailable, now);
     }
 
     LengthEstimate estimate(ActiveRequest request) {
-        return lengths.estimate(request.kind().name(), request.kind().longestOutputTokens());
+        return lengthEstimator.estimate(request.kind().name(), request.kind().longestOutputTokens());
     }
 
-    private WaitingWork workOf(ActiveRequest request) {
+    private WaitingRequest waitingWork(ActiveRequest request) {
         LengthEstimate estimate = estimate(request);
-        double prefill = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedShare()));
-        double decode = estimate.outputTokens() * speed.stepSeconds(USUAL_BATCH);
-        return new WaitingWork(
+        double prefillSeconds = speed.prefillSeconds(request.promptTokens() * (1 - estimate.cachedFraction()));
+        double decodeSeconds = estimate.outputTokens() * speed.stepSeconds(TYPICAL_BATCH_SIZE);
+        return new WaitingRequest(
                 request.id(),
                 request.document().team(),
                 request.kind().name(),
                 request.kind().weight(),
                 request.deadlineAt(),
-                prefill + decode / USUAL_BATCH,
-                prefill + decode);
+                prefillSeconds + decodeSeconds / TYPICAL_BATCH_SIZE,
+                prefillSeconds + decodeSeconds);
     }
 
-    private static Outcome.NotRun outcome(AdmissionDecision.Refused refused) {
-        return new Outcome.NotRun(refused.reason(), refused.comeBackAfter(), refused.detail());
+    private static Outcome.NotRun refusalOutcome(AdmissionDecision.Refused refused) {
+        return new Outcome.NotRun(refused.reason(), refused.retryAfter(), refused.detail());
     }
 
-    /** A request that waits, as it stands in the queue. */
-    private record Waiting(ActiveRequest request, WaitingWork work) {}
+    /** A waiting request and its entry in the admission queue. */
+    private record Waiting(ActiveRequest request, WaitingRequest work) {}
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/CallerRoutes.java
@@ -2,14 +2,14 @@
 
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.document.DocumentRegistry;
-import org.aspenmoor.internal.duty.Duty;
+import org.aspenmoor.internal.duty.Worker;
 import org.aspenmoor.internal.entry.EntryMessage;
 import org.aspenmoor.internal.settings.CallerLimits;
 import org.aspenmoor.internal.time.TimeSource;
 import ratpack.func.Action;
 import ratpack.handling.Chain;
 
-/** The paths that callers use. */
+/** Routes of the HTTP API for callers. */
 public final class CallerRoutes implements Action<Chain> {
     private final RequestSubmitter submitter;
     private final DocumentRegistry registry;
@@ -17,7 +17,7 @@
     private final TimeSource time;
 
     public CallerRoutes(
-            Duty<EntryMessage> eventLoop,
+            Worker<EntryMessage> eventLoop,
             DocumentRegistry registry,
             RandomGenerator random,
             CallerLimits limits,
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/http/HttpServers.java
@@ -12,20 +12,20 @@
 public final class HttpServers {
     private HttpServers() {}
 
-    /** Starts a server and returns it; its bind port is the real one also where 0 was asked for. */
+    /** Starts a server; with port 0 a free port is chosen, and the returned server reports it as its bind port. */
     public static RatpackServer start(String address, int port, int threads, int headerBytes, Action<Chain> routes)
             throws AspenmoorException {
         try {
-            InetAddress listenAt = InetAddress.getByName(address);
+            InetAddress bindAddress = InetAddress.getByName(address);
             return RatpackServer.start(spec -> spec.serverConfig(ServerConfig.embedded()
-                            .address(listenAt)
+                            .address(bindAddress)
                             .port(port)
                             .threads(threads)
                             .maxHeaderSize(headerBytes))
                     .handlers(routes));
-        } catch (UnknownHostException malformed) {
+        } catch (UnknownHostException invalidAddress) {
             throw new AspenmoorException(
-                    "The address is not an IP number.", address, "Write \"address\" as an IP number.", malformed);
+                    "The address cannot be resolved.", address, "Set \"address\" to an IP address.", invalidAddress);
         } catch (Exception failure) {
             throw new AspenmoorException(
                     "The HTTP port cannot be opened: " + failure.getMessage() + ".",
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/DutyLinkListener.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/link/WorkerLinkListener.java
@@ -6,23 +6,23 @@
 import org.aspenmoor.internal.wire.v1.Frame;
 
 /**
- * Turns what happens on links into messages of a duty. Putting a message in waits for room in the duty's ring, which slows
- * the network down where the duty lags.
+ * Converts link events to messages of a worker. Adding a message waits for space in the worker's ring buffer, so that a
+ * worker that falls behind slows the network thread down.
  *
- * @param <M> the duty's messages
+ * @param <M> the type of the worker's messages
  */
-public final class DutyLinkListener<M> implements LinkListener {
-    private final Consumer<M> duty;
+public final class WorkerLinkListener<M> implements LinkListener {
+    private final Consumer<M> worker;
     private final Function<Link, M> opened;
     private final BiFunction<Link, Frame, M> received;
     private final BiFunction<Link, String, M> closed;
 
-    public DutyLinkListener(
-            Consumer<M> duty,
+    public WorkerLinkListener(
+            Consumer<M> worker,
             Function<Link, M> opened,
             BiFunction<Link, Frame, M> received,
             BiFunction<Link, String, M> closed) {
-        this.duty = duty;
+        this.worker = worker;
         this.opened = opened;
         this.received = received;
         this.closed = closed;
@@ -30,16 +30,16 @@
 
     @Override
     public void opened(Link link) {
-        duty.accept(opened.apply(link));
+        worker.accept(opened.apply(link));
     }
 
     @Override
     public void received(Link link, Frame frame) {
-        duty.accept(received.apply(link, frame));
+        worker.accept(received.apply(link, frame));
     }
 
     @Override
     public void closed(Link link, String cause) {
-        duty.accept(closed.apply(link, cause));
+        worker.accept(closed.apply(link, cause));
     }
 }
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/CallerLimits.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/settings/CallerLimits.java
@@ -1,12 +1,13 @@
 package org.aspenmoor.internal.settings;
 
 /**
- * Bounds on what callers may send and how much waits.
+ * Limits on the requests of callers and on what is buffered for them.
  *
- * @param bodyBytes longest request body
- * @param headerBytes longest request head
- * @param answerBytes longest answer of a plain service
- * @param waitingRequests most requests waiting for an engine
- * @param chunkCredit most chunks of one answer held for a slow reader
+ * @param maxBodyBytes maximum size of a request body
+ * @param maxHeaderBytes maximum size of a request head
+ * @param maxAnswerBytes maximum size of an answer of a plain service
+ * @param maxWaitingRequests maximum number of requests waiting for an engine
+ * @param chunkCredit maximum number of chunks of one answer buffered for a slow caller
  */
-public record CallerLimits(int bodyBytes, int headerBytes, int answerBytes, int waitingRequests, int chunkCredit) {}
+public record CallerLimits(
+        int maxBodyBytes, int maxHeaderBytes, int maxAnswerBytes, int maxWaitingRequests, int chunkCredit) {}
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/entry/EntryEventLoopTest.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.aspenmoor.RefusalReason;
+import org.aspenmoor.internal.claim.ClaimDecision;
 import org.aspenmoor.internal.claim.ClaimKey;
 import org.aspenmoor.internal.claim.ClaimRequest;
 import org.aspenmoor.internal.claim.ClaimTicket;
-import org.aspenmoor.internal.claim.ClaimVerdict;
 import org.aspenmoor.internal.link.EmbeddedLink;
 import org.aspenmoor.internal.wire.v1.AttemptId;
 import org.aspenmoor.internal.wire.v1.Dispatch;
@@ -26,17 +26,17 @@
     private EventLoopFixture fixture;
 
     @BeforeMethod
-    public void begin() {
+    public void createFixture() {
         fixture = new EventLoopFixture();
     }
 
     @AfterMethod
-    public void end() {
+    public void closeFixture() {
         fixture.close();
     }
 
     @Test
-    public void should_give_the_caller_the_whole_answer() {
+    public void should_deliver_the_complete_answer_to_the_caller() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
@@ -46,13 +46,13 @@
         fixture.complete(engine, id, 0);
 
         assertEquals(caller.text(), "rain falls");
-        assertEquals(caller.end(), Optional.of("whole"));
+        assertEquals(caller.end(), Optional.of("complete"));
     }
 
-    // The engine's host loses power after two tokens. The caller goes on reading as if nothing had happened; the other
-    // engine is told what was delivered, and what the dead one still sends is dropped.
+    // An engine's host fails after two tokens. The caller's stream continues unchanged: the other engine receives what
+    // was delivered, and late frames of the failed engine are discarded.
     @Test
-    public void should_resume_elsewhere_with_no_token_doubled_or_missing_when_a_link_is_cut() {
+    public void should_resume_at_another_engine_without_duplicate_or_missing_tokens_when_a_link_closes() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId lost = fixture.dispatchTo(first).orElseThrow().getId();
@@ -60,7 +60,7 @@
         fixture.chunk(first, lost, "rain ");
         fixture.chunk(first, lost, "falls ");
 
-        fixture.cut(first);
+        fixture.closeLink(first);
         Dispatch resumed = fixture.dispatchTo(second).orElseThrow();
         fixture.chunk(second, lost, "LATE");
         fixture.chunk(second, resumed.getId(), "softly");
@@ -69,19 +69,19 @@
         assertEquals(resumed.getGeneration().getDeliveredTokens(), 2);
         assertEquals(resumed.getGeneration().getDeliveredText(), "rain falls ");
         assertEquals(caller.text(), "rain falls softly");
-        assertEquals(caller.end(), Optional.of("whole"));
+        assertEquals(caller.end(), Optional.of("complete"));
     }
 
-    // An engine dies in the middle of a rollout. Continued under the new version, the draft would go on in the words of
-    // another model from one sentence to the next.
+    // An engine fails during a rollout. Resumed under the new version, the text would be continued by a different
+    // model.
     @Test
-    public void should_continue_a_stream_only_under_the_version_it_began_with() {
+    public void should_resume_a_stream_only_with_the_model_version_it_started_with() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting", "drafter@1");
         fixture.generate(EventLoopFixture.TOKEN);
         AttemptId lost = fixture.dispatchTo(first).orElseThrow().getId();
         fixture.chunk(first, lost, "rain ");
         EmbeddedLink newVersion = fixture.connect("drafter-2", "drafting", "drafter@2");
-        fixture.cut(first);
+        fixture.closeLink(first);
         assertTrue(fixture.dispatchTo(newVersion).isEmpty());
 
         EmbeddedLink oldVersion = fixture.connect("drafter-3", "drafting", "drafter@1");
@@ -89,11 +89,10 @@
         assertTrue(fixture.dispatchTo(oldVersion).isPresent());
     }
 
-    // A chunk is lost or damaged between two processes. The last frame's checksum shows it before the caller is told
-    // that
-    // the answer is whole.
+    // A chunk is lost or corrupted between two processes. The checksum in the last frame reveals it before the answer
+    // is reported as complete.
     @Test
-    public void should_not_call_an_answer_whole_when_its_checksum_does_not_hold() {
+    public void should_not_report_an_answer_as_complete_when_its_checksum_differs() {
         EmbeddedLink first = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(first).orElseThrow().getId();
@@ -105,27 +104,27 @@
         assertEquals(fixture.dispatchTo(first).orElseThrow().getId().getAttempt(), 2);
     }
 
-    // The link breaks after a booking was sent. It may have been made; sending it again could pay a narrator twice.
+    // The link closes after a booking was sent. The booking may have been made, and a retry could make it twice.
     @Test
-    public void should_never_send_a_non_idempotent_call_again_when_its_answer_was_lost() {
+    public void should_not_retry_a_non_idempotent_call_when_its_answer_was_lost() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
         EmbeddedLink second = fixture.connect("desk-2", "desk");
-        RecordingSink caller = fixture.book(Optional.empty());
-        EmbeddedLink used = first.sent().stream().anyMatch(Frame::hasDispatch) ? first : second;
-        second.sent();
+        RecordingSink caller = fixture.requestBooking(Optional.empty());
+        EmbeddedLink used = first.takeSent().stream().anyMatch(Frame::hasDispatch) ? first : second;
+        second.takeSent();
 
-        fixture.cut(used);
+        fixture.closeLink(used);
 
         assertEquals(caller.end(), Optional.of("unknown"));
         assertTrue(fixture.dispatchTo(first).isEmpty());
         assertTrue(fixture.dispatchTo(second).isEmpty());
     }
 
-    // The agent states that it never started the call, because its service takes no connection.
+    // The agent reports that it never started the call, because its service refuses connections.
     @Test
-    public void should_send_a_non_idempotent_call_elsewhere_when_it_never_started() {
+    public void should_retry_a_non_idempotent_call_at_another_server_when_it_never_started() {
         EmbeddedLink first = fixture.connect("desk-1", "desk");
-        RecordingSink caller = fixture.book(Optional.empty());
+        RecordingSink caller = fixture.requestBooking(Optional.empty());
         AttemptId refused = fixture.dispatchTo(first).orElseThrow().getId();
         EmbeddedLink second = fixture.connect("desk-2", "desk");
 
@@ -137,36 +136,38 @@
         assertEquals(caller.end(), Optional.of("status 201"));
     }
 
-    // Two entries are asked to make the same booking. Before the store has granted the key, nothing may be sent.
+    // Two entries receive the same booking. Nothing may be dispatched before the store has granted the claim for the
+    // key.
     @Test
-    public void should_send_a_keyed_call_only_after_its_claim_was_granted() {
+    public void should_dispatch_a_call_with_a_key_only_after_its_claim_was_granted() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
-        fixture.book(Optional.of("key-1"));
+        fixture.requestBooking(Optional.of("key-1"));
         assertTrue(fixture.dispatchTo(studioDesk).isEmpty());
 
-        fixture.eventLoop().handle(new EntryMessage.ClaimJudged(new ClaimVerdict.Granted(claim(), ticket())));
+        fixture.eventLoop().handle(new EntryMessage.ClaimJudged(new ClaimDecision.Granted(claim(), ticket())));
 
         assertTrue(fixture.dispatchTo(studioDesk).isPresent());
     }
 
-    // The store is down. Whether the key was used before cannot be known, so the call is refused at once and truly.
+    // While the store is unavailable, it is unknown whether the key was used before, so the call is refused at once as
+    // not run.
     @Test
-    public void should_refuse_a_keyed_call_as_not_run_when_the_store_is_down() {
+    public void should_refuse_a_call_with_a_key_as_not_run_when_the_store_is_unavailable() {
         EmbeddedLink studioDesk = fixture.connect("desk-1", "desk");
-        RecordingSink caller = fixture.book(Optional.of("key-1"));
+        RecordingSink caller = fixture.requestBooking(Optional.of("key-1"));
 
         fixture.eventLoop()
                 .handle(new EntryMessage.ClaimJudged(
-                        new ClaimVerdict.NotClaimed(claim(), Duration.ofSeconds(2), "The store does not answer.")));
+                        new ClaimDecision.NotClaimed(claim(), Duration.ofSeconds(2), "The store does not answer.")));
 
         assertEquals(caller.refusal().orElseThrow().reason(), RefusalReason.STORE_UNAVAILABLE);
         assertEquals(caller.refusal().orElseThrow().comeBackAfter(), Duration.ofSeconds(2));
         assertTrue(fixture.dispatchTo(studioDesk).isEmpty());
     }
 
-    // Another team's token is used, by mistake or not. It must neither reach the engines nor learn that they exist.
+    // A request with another team's token must neither reach the engines nor reveal that they exist.
     @Test
-    public void should_show_nothing_of_a_service_to_a_token_that_does_not_open_it() {
+    public void should_reveal_nothing_about_a_service_when_the_token_is_not_authorised() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
 
         RecordingSink caller = fixture.generate("sheet-house-token");
@@ -176,37 +177,38 @@
         assertTrue(fixture.dispatchTo(engine).isEmpty());
     }
 
-    // The caller's connection is full. Credit goes back only for what it has taken, which holds the engine back.
+    // The caller's connection is full. Credit is returned only for what the caller has consumed, which slows the engine
+    // down.
     @Test
-    public void should_return_credit_only_for_what_the_caller_has_taken() {
+    public void should_return_credit_only_for_what_the_caller_has_consumed() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
         caller.stopReading();
         fixture.chunk(engine, id, "rain ");
         fixture.chunk(engine, id, "falls");
-        assertEquals(creditIn(engine), 0);
+        assertEquals(creditSentOn(engine), 0);
 
-        caller.readAll();
+        caller.resumeReading();
         fixture.eventLoop().handle(new EntryMessage.CallerTook(fixture.lastId()));
 
-        assertEquals(creditIn(engine), 2);
+        assertEquals(creditSentOn(engine), 2);
     }
 
     @Test
-    public void should_cancel_at_the_agent_when_the_caller_goes_away() {
+    public void should_cancel_at_the_agent_when_the_caller_disconnects() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         fixture.generate(EventLoopFixture.TOKEN);
-        engine.sent();
+        engine.takeSent();
 
         fixture.eventLoop().handle(new EntryMessage.CallerGone(fixture.lastId()));
 
-        assertTrue(engine.sent().getLast().hasCancel());
+        assertTrue(engine.takeSent().getLast().hasCancel());
     }
 
-    // A host is to be replaced and its agent says so. New requests must go elsewhere at once.
+    // An agent reports that its host will be replaced. New requests must be sent to other servers at once.
     @Test
-    public void should_send_nothing_new_to_a_backend_server_that_said_it_leaves() {
+    public void should_send_no_new_request_to_a_backend_server_that_reported_leaving() {
         EmbeddedLink leaving = fixture.connect("drafter-1", "drafting");
         EmbeddedLink staying = fixture.connect("drafter-2", "drafting");
         fixture.receive(
@@ -223,10 +225,10 @@
         assertTrue(fixture.dispatchTo(staying).isPresent());
     }
 
-    // An agent is paused by its host. Its connection stays open and silent; without probes the request would wait for
-    // the caller's own time-out.
+    // An agent is paused by its host. Its connection stays open without traffic; without probes the request would wait
+    // until the time-out of the caller.
     @Test
-    public void should_move_a_request_when_its_agent_falls_silent() {
+    public void should_retry_a_request_at_another_server_when_its_agent_stops_responding() {
         EmbeddedLink paused = fixture.connect("drafter-1", "drafting");
         RecordingSink caller = fixture.generate(EventLoopFixture.TOKEN);
         assertTrue(fixture.dispatchTo(paused).isPresent());
@@ -242,7 +244,7 @@
     }
 
     @Test
-    public void should_finish_what_it_holds_and_refuse_the_rest_when_stopping() {
+    public void should_finish_active_requests_and_refuse_new_ones_when_draining() {
         EmbeddedLink engine = fixture.connect("drafter-1", "drafting");
         RecordingSink held = fixture.generate(EventLoopFixture.TOKEN);
         AttemptId id = fixture.dispatchTo(engine).orElseThrow().getId();
@@ -254,12 +256,12 @@
         fixture.complete(engine, id, 0);
 
         assertEquals(late.refusal().orElseThrow().reason(), RefusalReason.STOPPING);
-        assertEquals(held.end(), Optional.of("whole"));
+        assertEquals(held.end(), Optional.of("complete"));
         assertTrue(drained.isDone());
     }
 
-    private int creditIn(EmbeddedLink link) {
-        List<Frame> frames = link.sent();
+    private int creditSentOn(EmbeddedLink link) {
+        List<Frame> frames = link.takeSent();
         return frames.stream()
                 .filter(Frame::hasCredit)
                 .mapToInt(frame -> frame.getCredit().getChunks())
--- a/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
+++ b/aspenmoor-daemon/src/test/java/org/aspenmoor/internal/link/LinkChannelHandlerTest.java
@@ -16,47 +16,45 @@
             Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(7)).build();
 
     @Test
-    public void should_pass_frames_on_once_both_sides_have_greeted() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+    public void should_deliver_frames_when_both_sides_have_sent_hello() {
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
-        link.channel().writeInbound(encoded(PROBE));
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
+        link.channel().writeInbound(encode(PROBE));
 
         assertTrue(link.wasOpened());
         assertEquals(link.received().getFirst(), PROBE);
     }
 
-    // During an upgrade an entry of a later build connects to an older agent. If both went on, fields would be read
-    // with
-    // another meaning and callers would get garbled answers.
+    // During an upgrade an entry with a newer protocol connects to an older agent. Without the check both would read
+    // fields differently, and callers would receive corrupted answers.
     @Test
     public void should_close_when_the_protocol_versions_differ() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION + 1)));
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION + 1)));
 
         assertFalse(link.wasOpened());
         assertFalse(link.channel().isOpen());
     }
 
-    // Something that is no process of the system connects to the port, a scanner for example.
+    // A client that is not a process of the system, such as a port scanner, connects to the port.
     @Test
-    public void should_close_when_the_first_frame_is_no_greeting() {
-        EmbeddedLink link = EmbeddedLink.bytes();
+    public void should_close_when_the_first_frame_is_not_a_hello() {
+        EmbeddedLink link = EmbeddedLink.unopened();
 
-        link.channel().writeInbound(encoded(PROBE));
+        link.channel().writeInbound(encode(PROBE));
 
         assertFalse(link.wasOpened());
         assertFalse(link.channel().isOpen());
     }
 
-    // A broken peer announces a frame of two gigabytes. Without the bound the process would allocate until it is
-    // killed,
-    // and every request it holds would be lost.
+    // A faulty peer announces a frame of two gigabytes. Without the limit the process would allocate memory until it is
+    // killed, and all its requests would be lost.
     @Test
-    public void should_close_and_tell_when_a_frame_is_longer_than_allowed() {
-        EmbeddedLink link = EmbeddedLink.bytes();
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
+    public void should_close_and_notify_the_listener_when_a_frame_exceeds_the_size_limit() {
+        EmbeddedLink link = EmbeddedLink.unopened();
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
 
         link.channel().writeInbound(Unpooled.buffer().writeInt(FramePipeline.MAX_FRAME_BYTES + 1));
 
@@ -64,12 +62,12 @@
         assertTrue(link.closeCauses().getFirst().startsWith("TooLongFrameException"));
     }
 
-    // Bytes are damaged on the way. A frame that cannot be read may have been the end of somebody's answer, so the link
-    // is closed and the listener gives every attempt on it up, instead of one answer being lost without a word.
+    // Bytes are corrupted in transit. An undecodable frame may have been the end of an answer. The link is closed and
+    // the listener abandons every attempt on it; otherwise that answer would be lost without notice.
     @Test
-    public void should_close_and_tell_when_a_frame_is_broken() {
-        EmbeddedLink link = EmbeddedLink.bytes();
-        link.channel().writeInbound(encoded(greeting(FramePipeline.PROTOCOL_VERSION)));
+    public void should_close_and_notify_the_listener_when_a_frame_cannot_be_decoded() {
+        EmbeddedLink link = EmbeddedLink.unopened();
+        link.channel().writeInbound(encode(hello(FramePipeline.PROTOCOL_VERSION)));
 
         link.channel()
                 .writeInbound(Unpooled.buffer()
@@ -82,13 +80,13 @@
         assertEquals(link.closeCauses().size(), 1);
     }
 
-    private static Frame greeting(int version) {
+    private static Frame hello(int version) {
         return Frame.newBuilder()
                 .setHello(Hello.newBuilder().setProtocolVersion(version).setProcess("peer"))
                 .build();
     }
 
-    private static Object encoded(Frame frame) {
+    private static Object encode(Frame frame) {
         byte[] bytes = frame.toByteArray();
         return Unpooled.buffer().writeInt(bytes.length).writeBytes(bytes);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -103,7 +103,7 @@
             // Reported below, in the same way as a port out of range.
         }
         if (!text.isEmpty()) {
-            findings.add(reader.placeOf(name), "The address is not of the form IP:PORT.", "Write it as IP:PORT.");
+            findings.add(reader.locationOf(name), "The address is not of the form IP:PORT.", "Write it as IP:PORT.");
         }
         return new InetSocketAddress(0);
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -75,7 +75,7 @@
         this.configurations = configurations;
         this.servers = servers;
         InetSocketAddress anyFreePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        PlacementSettings placement = new PlacementSettings(LOCAL_DATA_CENTRE, EngineSpeed.usual(), 0.5, 0);
+        PlacementSettings placement = new PlacementSettings(LOCAL_DATA_CENTRE, EngineSpeed.defaults(), 0.5, 0);
         GatewaySettings settings = new GatewaySettings(
                 process,
                 anyFreePort,
