--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -108,8 +108,8 @@
         return expired;
     }
 
-    private void rememberDraining(ServerIncarnation start) {
-        draining.add(start);
+    private void rememberDraining(ServerIncarnation incarnation) {
+        draining.add(incarnation);
         if (draining.size() > MAX_DRAINING) {
             draining.remove(draining.iterator().next());
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
@@ -51,9 +51,9 @@
      * long as the tolerated wait, each entry sends too few prompts to learn in time, and requests would wait at the
      * entry for seconds while engines are idle.
      */
-    static boolean applicable(Duration objective, List<ServerEstimate> usable) {
+    static boolean applicable(Duration objective, List<ServerEstimate> engines) {
         double toleratedSeconds = toleratedWaitSeconds(objective);
-        double typicalPromptSeconds = usable.stream()
+        double typicalPromptSeconds = engines.stream()
                 .filter(each -> each.server().role() != EngineRole.DECODE)
                 .mapToDouble(ServerEstimate::typicalPromptSeconds)
                 .filter(seconds -> seconds > 0)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
@@ -76,7 +76,7 @@
 
     /** Chooses where a request runs. */
     public Placement choose(PlacementRequest request, long now) {
-        List<ServerEstimate> usable = usable(request, now);
+        List<ServerEstimate> usable = usableServers(request, now);
         if (usable.isEmpty()) {
             return new Placement.Refused(
                     "no backend server of service " + request.service() + " is available",
@@ -106,7 +106,7 @@
      */
     public Optional<BackendServer> chooseDecodeEngine(PlacementRequest request, BackendServer prefill, long now) {
         int tokens = request.prompt().map(Prompt::promptTokens).orElse(0);
-        return ranking.leastBusyDecodeEngine(usable(request, now), tokens, prefill.dataCentre(), now)
+        return ranking.leastBusyDecodeEngine(usableServers(request, now), tokens, prefill.dataCentre(), now)
                 .map(ServerEstimate::server);
     }
 
@@ -134,7 +134,7 @@
                     false);
         }
         boolean queuedAtEntry =
-                kind != WorkKind.PLAIN && EntryQueueing.applicable(objective, engines(server.service()));
+                kind != WorkKind.PLAIN && EntryQueueing.applicable(objective, estimatesOf(server.service()));
         double learnedWorkSeconds =
                 workSeconds / EntryQueueing.slowdown(estimate, queuedAtEntry) * estimate.slowdownFromSettings();
         double fixedSeconds = fixedSeconds(estimate, kind, queuedAtEntry);
@@ -260,7 +260,7 @@
      * @param requestsWaiting whether requests wait at this entry for room at an engine
      */
     public void samplePromptLoad(String service, boolean requestsWaiting, long now) {
-        int prefillEngines = (int) engines(service).stream()
+        int prefillEngines = (int) estimatesOf(service).stream()
                 .filter(each -> each.server().role() == EngineRole.PREFILL && !each.changingRole(now))
                 .count();
         promptLoadMeter(service).sample(peerLoads.activePeers() + 1, prefillEngines, requestsWaiting, now);
@@ -268,7 +268,7 @@
 
     /** Returns the state of the engines of a service and the load on them. */
     public ServiceLoad serviceLoad(String service, long now) {
-        List<EngineState> engines = engines(service).stream()
+        List<EngineState> engines = estimatesOf(service).stream()
                 .map(each -> each.state(peerLoads.onServer(each.server().id()), now))
                 .toList();
         return new ServiceLoad(
@@ -387,7 +387,7 @@
         }
     }
 
-    private List<ServerEstimate> usable(PlacementRequest request, long now) {
+    private List<ServerEstimate> usableServers(PlacementRequest request, long now) {
         List<ServerEstimate> usable = new ArrayList<>();
         for (ServerEstimate estimate : estimates.values()) {
             BackendServer server = estimate.server();
@@ -413,7 +413,7 @@
         };
     }
 
-    private List<ServerEstimate> engines(String service) {
+    private List<ServerEstimate> estimatesOf(String service) {
         return estimates.values().stream()
                 .filter(each -> each.server().service().equals(service))
                 .toList();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -17,7 +17,7 @@
      * Penalty in seconds for computing a prompt that no engine has cached on an engine other than its preferred one.
      * Entries that receive the same new prompt at the same moment should not compute it on two engines.
      */
-    private static final double NOT_PREFERRED_SECONDS = 0.02;
+    private static final double NOT_PREFERRED_PENALTY_SECONDS = 0.02;
 
     private static final double PAIRS_PER_MEGAPAIR = 1e6;
 
@@ -48,7 +48,7 @@
      */
     EngineWork workAt(ServerEstimate engine) {
         int cached = engine.cache().cachedTokens(prompt);
-        double penaltySeconds = cached > 0 || engine.equals(preferredEngine) ? 0 : NOT_PREFERRED_SECONDS;
+        double penaltySeconds = cached > 0 || engine.equals(preferredEngine) ? 0 : NOT_PREFERRED_PENALTY_SECONDS;
         int transferred = longestCachedPrefix.map(CachedPrefix::tokens).orElse(0) - cached;
         if (transferred < MIN_TRANSFER_TOKENS) {
             return new EngineWork(computeSeconds(engine, cached) + penaltySeconds, Optional.empty());
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
@@ -58,10 +58,10 @@
      * @param waiting whether requests wait at this entry for room at an engine
      */
     void sample(int entries, int engines, boolean waiting, long now) {
-        double elapsed = (now - sampledAt) / NANOSECONDS_PER_SECOND;
-        if (sampledAt != 0 && elapsed > 0) {
-            double weight = 1 - Math.exp(-elapsed / AVERAGING_SECONDS);
-            double sampledUtilisation = sentSeconds * entries / Math.max(1, engines) / elapsed;
+        double elapsedSeconds = (now - sampledAt) / NANOSECONDS_PER_SECOND;
+        if (sampledAt != 0 && elapsedSeconds > 0) {
+            double weight = 1 - Math.exp(-elapsedSeconds / AVERAGING_SECONDS);
+            double sampledUtilisation = sentSeconds * entries / Math.max(1, engines) / elapsedSeconds;
             utilisation += weight * (sampledUtilisation - utilisation);
             waitingFraction += weight * ((waiting ? 1 : 0) - waitingFraction);
         }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
@@ -88,7 +88,7 @@
             window = Math.max(MIN_WINDOW, window * DECREASE_FACTOR);
             decreasedAt = now;
         }
-        double pause = window >= 1 ? 0 : (now - sentAt) * (1 / window - 1);
-        pausedUntil = now + (long) pause;
+        double pauseNanoseconds = window >= 1 ? 0 : (now - sentAt) * (1 / window - 1);
+        pausedUntil = now + (long) pauseNanoseconds;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
@@ -54,8 +54,8 @@
         if (request.answerStarted() || request.prompt().isEmpty()) {
             return Double.MAX_VALUE;
         }
-        double objective = request.objective().toNanos() / NANOSECONDS_PER_SECOND;
-        return Math.max(0, MAX_QUEUE_OBJECTIVES * objective - OWN_WORK_FRACTION * promptSeconds);
+        double objectiveSeconds = request.objective().toNanos() / NANOSECONDS_PER_SECOND;
+        return Math.max(0, MAX_QUEUE_OBJECTIVES * objectiveSeconds - OWN_WORK_FRACTION * promptSeconds);
     }
 
     private static Placement limit(
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequiredDecodeRate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequiredDecodeRate.java
@@ -86,21 +86,21 @@
     private static final class ServiceAnswers {
         private final RecentMaximum requestedTokensPerSecond = new RecentMaximum();
         private double tokensPerEvent = 1;
-        private int answers;
+        private int answerCount;
 
         boolean known() {
-            return answers >= MIN_ANSWERS;
+            return answerCount >= MIN_ANSWERS;
         }
 
         void adopt(double tokens) {
             tokensPerEvent = tokens;
-            answers = MIN_ANSWERS;
+            answerCount = MIN_ANSWERS;
         }
 
         void learn(double observedTokensPerEvent) {
-            answers++;
-            double weight = Math.max(MIN_LEARNING_WEIGHT, 1.0 / answers);
-            double ratio = answers == 1
+            answerCount++;
+            double weight = Math.max(MIN_LEARNING_WEIGHT, 1.0 / answerCount);
+            double ratio = answerCount == 1
                     ? observedTokensPerEvent
                     : Math.clamp(observedTokensPerEvent / tokensPerEvent, 1 / MAX_RATIO, MAX_RATIO);
             tokensPerEvent *= Math.pow(ratio, weight);
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerHealth.java
@@ -65,7 +65,7 @@
     }
 
     private void pause(long now, int doublings) {
-        long pause = FIRST_PAUSE_NANOSECONDS << Math.min(doublings, MAX_DOUBLINGS);
-        pausedUntil = now + Math.min(pause, MAX_PAUSE_NANOSECONDS);
+        long pauseNanoseconds = FIRST_PAUSE_NANOSECONDS << Math.min(doublings, MAX_DOUBLINGS);
+        pausedUntil = now + Math.min(pauseNanoseconds, MAX_PAUSE_NANOSECONDS);
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
@@ -92,10 +92,10 @@
         ServerEstimate best = null;
         double bestScore = Double.MAX_VALUE;
         for (ServerEstimate candidate : usable) {
-            double queue =
+            double requestsPerSlot =
                     (candidate.requests(peerLoads.onServer(candidate.server().id()), now) + 1)
                             / Math.max(1, candidate.server().slots());
-            double score = Math.max(queue * PLAIN_WORK_SECONDS * candidate.slowdown(), waitSeconds(candidate, now))
+            double score = Math.max(requestsPerSlot * PLAIN_WORK_SECONDS * candidate.slowdown(), waitSeconds(candidate, now))
                     + penaltySeconds(candidate, now)
                     + random.nextDouble() * TIE_BREAK_SECONDS;
             if (score < bestScore) {
@@ -103,9 +103,9 @@
                 bestScore = score;
             }
         }
-        double queue = waitSeconds(best, now);
+        double requestsPerSlot = waitSeconds(best, now);
         return new Placement.SingleServer(
-                best.server(), Optional.empty(), PLAIN_WORK_SECONDS, queue, queue + PLAIN_WORK_SECONDS);
+                best.server(), Optional.empty(), PLAIN_WORK_SECONDS, requestsPerSlot, requestsPerSlot + PLAIN_WORK_SECONDS);
     }
 
     private double handoffSeconds(PlacementRequest request, Prompt prompt, boolean queuedAtEntry) {
@@ -114,7 +114,7 @@
                 : DEFAULT_HANDOFF_SECONDS + settings.engineSpeed().handOverSeconds(prompt.promptTokens());
     }
 
-    private static boolean computesPrompts(ServerEstimate engine, long now) {
+    private static boolean isAvailablePrefillEngine(ServerEstimate engine, long now) {
         return engine.server().role() == EngineRole.PREFILL && !engine.health().paused(now);
     }
 
@@ -126,12 +126,12 @@
                 .orElse(null);
         boolean canDisaggregate = request.mayDisaggregate()
                 && decoder != null
-                && usable.stream().anyMatch(each -> computesPrompts(each, now));
+                && usable.stream().anyMatch(each -> isAvailablePrefillEngine(each, now));
         boolean queuedAtEntry = EntryQueueing.applicable(request.objective(), usable);
         PromptCosts costs = new PromptCosts(settings, prompt, usable, queuedAtEntry, now);
         boolean shortPrompt = decoder != null
                 && !EntryQueueing.isLongPrompt(decoder, costs.workAt(decoder).seconds());
-        boolean spareDecoders =
+        boolean avoidDecodeEngines =
                 queuedAtEntry && canDisaggregate && longAnswerDetector.inProgress(request.service(), now);
         Placement best =
                 new Placement.Refused("no engine that can generate the answer is available", NO_SERVER_RETRY_AFTER);
@@ -143,7 +143,7 @@
             }
             PromptCosts.EngineWork work = costs.workAt(engine);
             boolean longPrompt = EntryQueueing.isLongPrompt(engine, work.seconds());
-            if (shortPrompt ? prefill : spareDecoders && engine.server().role() == EngineRole.DECODE) {
+            if (shortPrompt ? prefill : avoidDecodeEngines && engine.server().role() == EngineRole.DECODE) {
                 continue;
             }
             boolean noRoom = request.othersQueued()
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServingConfiguration.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServingConfiguration.java
@@ -29,7 +29,7 @@
         Comparator<Route> longestFirst = Comparator.comparingInt(
                         (Route route) -> route.pathPrefix().length())
                 .reversed();
-        routesByHost.values().forEach(ofHost -> ofHost.sort(longestFirst));
+        routesByHost.values().forEach(hostRoutes -> hostRoutes.sort(longestFirst));
         for (ServiceTraits service : services) {
             this.services.put(service.name(), service);
         }
@@ -56,11 +56,11 @@
 
     /** Returns the route of the host with the longest prefix that matches the path. */
     public Optional<Route> match(String host, String path) {
-        List<Route> ofHost = routesByHost.get(host.toLowerCase(Locale.ROOT));
-        if (ofHost == null) {
+        List<Route> hostRoutes = routesByHost.get(host.toLowerCase(Locale.ROOT));
+        if (hostRoutes == null) {
             return Optional.empty();
         }
-        for (Route route : ofHost) {
+        for (Route route : hostRoutes) {
             if (path.startsWith(route.pathPrefix())) {
                 return Optional.of(route);
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -103,8 +103,8 @@
     public Optional<QueuedRequest<T>> takeNext(long now) {
         Optional<QueuedRequest<T>> next = queued.stream()
                 .filter(each -> canBeOnTime(each.objectiveDeadline(), now))
-                .min(byTime(WaitQueue::rank))
-                .or(() -> queued.stream().min(byTime(WaitQueue::lateRank)));
+                .min(bySortKey(WaitQueue::rank))
+                .or(() -> queued.stream().min(bySortKey(WaitQueue::lateRank)));
         next.ifPresent(queued::remove);
         return next;
     }
@@ -112,7 +112,7 @@
     /** Removes and returns the requests that cannot be answered before their deadline at the current dispatch rate. */
     public List<T> takeUnservable(long now) {
         List<QueuedRequest<T>> late = lateRequests(now);
-        late.sort(byTime(WaitQueue::lateRank));
+        late.sort(bySortKey(WaitQueue::lateRank));
         // At the start of a burst no late request has been dispatched yet, and most bursts end before the deadlines of
         // late requests. So the estimate uses the overall dispatch rate, or the recent rate of late dispatches if that
         // is higher.
@@ -162,7 +162,7 @@
     private List<QueuedRequest<T>> lateRequests(long now) {
         List<QueuedRequest<T>> late = new ArrayList<>();
         int ahead = 0;
-        queued.sort(byTime(WaitQueue::rank));
+        queued.sort(bySortKey(WaitQueue::rank));
         for (QueuedRequest<T> each : queued) {
             if (canBeOnTime(
                     each.objectiveDeadline(),
@@ -189,8 +189,8 @@
         return (deadline - now) / NANOSECONDS_PER_SECOND >= typicalAnswerSeconds;
     }
 
-    private static <T> Comparator<QueuedRequest<T>> byTime(ToLongFunction<QueuedRequest<T>> time) {
-        return Comparator.comparingLong(time);
+    private static <T> Comparator<QueuedRequest<T>> bySortKey(ToLongFunction<QueuedRequest<T>> sortKey) {
+        return Comparator.comparingLong(sortKey);
     }
 
     /**
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
@@ -71,9 +71,9 @@
         if (mayReassign && service.promptLoad() == PromptLoad.EASY && isOverloaded(decodeEngines, requiredInterval)) {
             return changeFastestToDecode(prefillEngines);
         }
-        boolean revert = decodeEngines.size() > targetDecodeEngines
+        boolean shouldRevert = decodeEngines.size() > targetDecodeEngines
                 && canRevert(service.promptLoad(), decodeEngines, requiredInterval);
-        return revert ? changeSlowestToPrefill(decodeEngines) : Optional.empty();
+        return shouldRevert ? changeSlowestToPrefill(decodeEngines) : Optional.empty();
     }
 
     /** One slow engine is enough: it generates as many of the longest answers as any other. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
@@ -49,17 +49,17 @@
         if (total < 2) {
             return List.of();
         }
-        int missing = targetDecodeEngines(total) - decodeEngines.size();
-        boolean enough = !prefillEngines.isEmpty()
+        int missingDecodeEngines = targetDecodeEngines(total) - decodeEngines.size();
+        boolean enoughEngines = !prefillEngines.isEmpty()
                 && decodeEngines.size() >= Math.min(MIN_DECODE_ENGINES, targetDecodeEngines(total));
-        boolean temporarilyReassigned = missing < 0 && decodeEngines.size() <= prefillEngines.size();
-        boolean tolerated = !idle && enough && (temporarilyReassigned || Math.abs(missing) <= TOLERATED_DEVIATION);
-        if (missing == 0 || tolerated) {
+        boolean temporarilyReassigned = missingDecodeEngines < 0 && decodeEngines.size() <= prefillEngines.size();
+        boolean tolerated = !idle && enoughEngines && (temporarilyReassigned || Math.abs(missingDecodeEngines) <= TOLERATED_DEVIATION);
+        if (missingDecodeEngines == 0 || tolerated) {
             return List.of();
         }
-        List<PlannedRoleChange> changes = missing > 0
-                ? selectChanges(prefillEngines, decodeEngines, missing, EngineRole.DECODE)
-                : selectChanges(decodeEngines, decodeEngines, -missing, EngineRole.PREFILL);
+        List<PlannedRoleChange> changes = missingDecodeEngines > 0
+                ? selectChanges(prefillEngines, decodeEngines, missingDecodeEngines, EngineRole.DECODE)
+                : selectChanges(decodeEngines, decodeEngines, -missingDecodeEngines, EngineRole.PREFILL);
         return idle ? changes : changes.subList(0, 1);
     }
 
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/AttemptTrackerTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/AttemptTrackerTest.java
@@ -133,7 +133,7 @@
             NextStep step = NextStep.REPEAT;
             for (int attempt = 0; attempt < MAX_ATTEMPTS && step == NextStep.REPEAT; attempt++) {
                 tracker.attemptStarted();
-                AttemptEnd end = anyEnd(random);
+                AttemptEnd end = randomEnd(random);
                 boolean mayHaveRun = end instanceof AttemptEnd.Lost || end instanceof AttemptEnd.Failed;
                 possibleRuns += mayHaveRun ? 1 : 0;
                 step = tracker.attemptEnded(end);
@@ -144,7 +144,7 @@
         }
     }
 
-    private static AttemptEnd anyEnd(Random random) {
+    private static AttemptEnd randomEnd(Random random) {
         return switch (random.nextInt(5)) {
             case 0 -> new AttemptEnd.NeverSent();
             case 1 -> new AttemptEnd.NotExecuted();
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PlacementPolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PlacementPolicyTest.java
@@ -81,14 +81,14 @@
         for (int choice = 0; choice < 20; choice++) {
             assertEquals(serverOf(policy.choose(plainRequest(Set.of()), 2 * MILLISECOND)), "live");
         }
-        Set<String> later = new HashSet<>();
+        Set<String> chosenAfterPause = new HashSet<>();
         for (int choice = 0; choice < 200; choice++) {
             AssignedWork unanswered = policy.attemptStarted(
                     TestServers.plain("live"), WorkKind.PLAIN, 0.02, OBJECTIVE, 5000 * MILLISECOND);
-            later.add(serverOf(policy.choose(plainRequest(Set.of()), 5000 * MILLISECOND)));
+            chosenAfterPause.add(serverOf(policy.choose(plainRequest(Set.of()), 5000 * MILLISECOND)));
             assertNotEquals(unanswered, null);
         }
-        assertTrue(later.contains("dead"), "the server must be tried again after its pause");
+        assertTrue(chosenAfterPause.contains("dead"), "the server must be tried again after its pause");
     }
 
     // A network partition between this entry and all servers of a service pauses each of them. The servers may work,
