--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptTracker.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/AttemptTracker.java
@@ -15,7 +15,12 @@
     private final RetryRule rule;
     private final int maxBackends;
     private int attempts;
+    /**
+     * Attempts that have reached a server and repeated computations of the prompt; after the first, every further
+     * attempt counts as a retry.
+     */
     private int arrivals;
+
     private int possibleRuns;
     private boolean promptComputed;
     private boolean attemptOpen;
@@ -50,8 +55,8 @@
     }
 
     /**
-     * Records that an attempt to compute only the prompt ended without a result. It never counts as a run, but it
-     * counts as an arrival unless it was never sent, because it loads an engine as a retry does.
+     * Records that an attempt to compute only the prompt ended without a result. It never counts as a run. Unless it
+     * was never sent, it counts as an arrival, so that the next attempt is a retry, because it has loaded an engine.
      */
     public void promptFailed(AttemptEnd end) {
         if (!(end instanceof AttemptEnd.NeverSent)) {
@@ -59,7 +64,10 @@
         }
     }
 
-    /** Records that an engine has computed the prompt. Every time but the first counts as an arrival. */
+    /**
+     * Records that an engine has computed the prompt. Each computation after the first counts as an arrival, so that
+     * the next attempt is a retry.
+     */
     public void promptComputed() {
         if (promptComputed) {
             arrivals++;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/BackendDirectory.java
@@ -12,7 +12,8 @@
 import org.aspenmoor.internal.serving.quarantine.ServerIncarnation;
 
 /**
- * The registered backend servers, as far as this process knows. Confined to one thread.
+ * The registered backend servers, as far as this process knows. Confined to one thread; {@code now} is the monotonic
+ * clock in nanoseconds.
  *
  * <p>A registration lapses when it cannot be renewed, so after a store outage live servers appear to be removed.
  * Dropping them all when the store returns would leave callers without any server for seconds. Registrations that are
@@ -32,7 +33,10 @@
      */
     static final Duration REREGISTRATION_TIME = Duration.ofSeconds(2);
 
-    /** Far more than the number of servers that drain while an older state may still be received. */
+    /**
+     * Maximum number of remembered draining servers; far more than drain within the time in which an older state may
+     * still be received.
+     */
     private static final int MAX_DRAINING = 512;
 
     private final Map<String, BackendServer> servers = new LinkedHashMap<>();
@@ -77,7 +81,7 @@
         return true;
     }
 
-    /** Records that changes may be missed from now on. */
+    /** Records that the watch of the registrations was interrupted; changes may be missed from now on. */
     public void watchInterrupted(long now) {
         if (!interrupted) {
             interrupted = true;
@@ -85,7 +89,7 @@
         }
     }
 
-    /** Records that all registrations have been received. */
+    /** Records that the watch has been restored and all current registrations have been received. */
     public void watchSynchronised(long now) {
         if (interrupted && now - interruptedAt >= MIN_OUTAGE.toNanos()) {
             graceUntil = now + REREGISTRATION_TIME.toNanos();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineSpeeds.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EngineSpeeds.java
@@ -20,13 +20,18 @@
     /** Weight of a new handoff in the average duration; about the last twenty handoffs count. */
     private static final double LEARNING_WEIGHT = 0.05;
 
-    /** A longer handoff indicates a stalled engine and says nothing about the other engines, in seconds. */
+    /**
+     * Limit of a measured handoff, in seconds: a longer one indicates a stalled engine and says nothing about the other
+     * engines.
+     */
     private static final double MAX_HANDOFF_SECONDS = 1;
 
     private final Map<ServiceRole, SpeedEstimate> estimates = new HashMap<>();
     private final Map<String, Double> handoffSecondsByService = new HashMap<>();
 
-    /** Returns the estimate for the engines of a service with a role. The returned object continues to learn. */
+    /**
+     * Returns the estimate for the engines of a service with a role. The returned object is updated by later answers.
+     */
     SpeedEstimate estimateOf(String service, EngineRole role) {
         return estimates.computeIfAbsent(new ServiceRole(service, role), unseen -> new SpeedEstimate());
     }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
@@ -6,7 +6,10 @@
 
 /** Decides which prompts an entry queues until an engine has room, and how long prompts may wait at engines. */
 final class EntryQueueing {
-    /** With fewer prompts within the tolerated wait, an engine idles whenever one entry reduces its window. */
+    /**
+     * Minimum number of typical prompts that an engine must be able to compute within the tolerated wait; with fewer,
+     * an engine idles whenever one entry reduces its window.
+     */
     private static final double MIN_PROMPTS_WITHIN_WAIT = 2.5;
 
     /**
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswerDetector.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/LongAnswerDetector.java
@@ -8,16 +8,16 @@
  * Detects services whose answers take so long to stream that their engines cannot compute long prompts at the same
  * time.
  *
- * <p>This happens with answers of thousands of tokens that need most of their time even on an otherwise idle engine,
- * next to prompts of thousands of tokens. While chunks of such prompts were computed in between, a token took two to
- * three times as long. Of the longest tenth of the answers only a third was complete at its deadline, and the prompts
- * of a burst were not computed any sooner. Short answers are not affected, so with them decode engines also compute
- * prompts when all other engines are full.
+ * <p>This happens with answers of thousands of tokens that need most of their allowed time even on an otherwise idle
+ * engine, if the engine also computes prompts of thousands of tokens. While chunks of such prompts were computed
+ * between the tokens of an answer, a token took two to three times as long. Of the longest tenth of the answers only a
+ * third was complete at its deadline, and the prompts of a burst were not computed any sooner. Short answers are not
+ * affected, so decode engines of services with short answers also compute prompts when all other engines are full.
  */
 final class LongAnswerDetector {
     /**
-     * An answer that streams for this fraction of its allowed time may miss its deadline at half the decode rate,
-     * including its wait.
+     * An answer that streams for this fraction of its allowed time may miss its deadline if the decode rate halves, as
+     * its wait uses up allowed time too.
      */
     private static final double MIN_TIME_FRACTION = 0.25;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/NextStep.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/NextStep.java
@@ -8,6 +8,6 @@
     REFUSE,
     /** The request may have run. The caller is informed that its outcome is unknown. */
     REPORT_UNKNOWN,
-    /** The failure reported by the backend server is the answer. */
+    /** The failure reported by the backend server is passed on to the caller as the answer. */
     PASS_FAILURE_ON
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PeerLoads.java
@@ -7,7 +7,7 @@
 
 /**
  * The load that the other entries have put on the backend servers, according to their latest reports. Confined to one
- * thread.
+ * thread; {@code now} is the monotonic clock in nanoseconds.
  *
  * <p>An entry that knows only its own requests treats servers as idle that other entries have filled; even on days of
  * low load, half of the long prompts then waited for seconds although other engines had room. Reports may be lost or
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PlacementPolicy.java
@@ -11,18 +11,19 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * Chooses the backend server, or the pair of engines, whose answer is expected to start first. Confined to one thread.
+ * Chooses the backend server, or the pair of engines, whose answer is expected to start first. Confined to one thread;
+ * {@code now} is the monotonic clock in nanoseconds.
  *
  * <p>Prompts with the same shared prefix have the same preferred engine in every entry, by a hash weighted with the
- * engines' prefill rates. So their cache fills on one engine without communication between entries, and an engine that
- * is removed moves only its own prompts. Another engine is chosen if the queue of the preferred engine outweighs
- * computing the prompt again.
+ * engines' prefill rates. Their shared prefix is therefore cached on one engine without communication between entries,
+ * and when an engine is removed, only its own prompts move to other engines. Another engine is chosen if waiting in the
+ * queue of the preferred engine costs more than computing the prompt again.
  */
 public final class PlacementPolicy {
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     /**
-     * A server with fewer requests than this counts as idle, because the decaying load from its last answer never
+     * A server with fewer requests than this counts as idle. The load reported with its last answer decays but never
      * reaches zero.
      */
     private static final double MIN_BUSY_REQUESTS = 0.5;
@@ -30,7 +31,9 @@
     /** Average number of events after which an answer moves away from an engine that changes its role. */
     private static final int MEAN_EVENTS_BEFORE_MOVE = 8;
 
-    /** Limit that keeps a report within one datagram; prompts beyond it are only lost hints. */
+    /**
+     * Limit that keeps a report within one datagram; the other entries only lack a hint about the prompts beyond it.
+     */
     private static final int MAX_UNREPORTED_PROMPTS = 24;
 
     private final RandomGenerator random;
@@ -101,8 +104,9 @@
     }
 
     /**
-     * Chooses the decode engine for a computed prompt. Computing may take seconds, in which an engine that had been
-     * chosen beforehand could start draining; the request would then be interrupted.
+     * Chooses the decode engine for a prompt when it has been computed. Computing may take seconds. A decode engine
+     * that was chosen beforehand could start draining meanwhile, and the request would be interrupted when it
+     * terminates.
      */
     public Optional<BackendServer> chooseDecodeEngine(PlacementRequest request, BackendServer prefill, long now) {
         int tokens = request.prompt().map(Prompt::promptTokens).orElse(0);
@@ -176,7 +180,7 @@
         }
     }
 
-    /** Records the prompt parts that an engine reports as cached. */
+    /** Records the prompt parts that an engine reported as cached. */
     public void cacheReported(String server, List<PromptPart> parts, long now) {
         ServerEstimate estimate = estimates.get(server);
         if (estimate != null) {
@@ -225,7 +229,10 @@
         requiredDecodeRate.learnFromPeer(peerSize);
     }
 
-    /** Records that an engine was ordered to change its role. Nothing new is assigned to it until it has. */
+    /**
+     * Records that an engine was ordered to change its role. Nothing new is assigned to it until it has changed its
+     * role.
+     */
     public void roleChangeOrdered(RoleChange change, long now) {
         ServerEstimate estimate = estimates.get(change.server());
         if (estimate != null) {
@@ -241,8 +248,8 @@
 
     /**
      * Returns whether an answer should move to another engine now because its engine will stop decoding; to be called
-     * at each event. Answers move one by one at random: if all moved at once, the other engines would read them in one
-     * after the other, and their streams would stall for too long.
+     * at each event. Answers move one by one at random: if all moved at once, the other engines would have to prefill
+     * them one after the other, and their streams would stall for too long.
      */
     public boolean shouldMoveAnswer(AssignedWork work, long now) {
         return mustMoveAnswers(work, now) && random.nextInt(MEAN_EVENTS_BEFORE_MOVE) == 0;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/Prompt.java
@@ -30,7 +30,10 @@
         return statedOutputTokens.map(stated -> Math.clamp(stated, 1, Math.max(1, maxOutputTokens)));
     }
 
-    /** Returns an identity that is the same for all requests with the same shared prefix. */
+    /**
+     * Returns an identity that is the same for all requests with the same shared prefix; empty if the prompt has no
+     * parts.
+     */
     public String sharedPrefixIdentity() {
         if (parts.isEmpty()) {
             return "";
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -92,8 +92,9 @@
     }
 
     /**
-     * Weighted rendezvous hashing: each engine gets a pseudo-random number that depends only on the engine and the
-     * prompt.
+     * Returns the preferred engine by weighted rendezvous hashing: each engine gets a pseudo-random number that depends
+     * only on the engine and the prompt's shared prefix, and the highest score after weighting with the prefill rates
+     * wins.
      */
     private ServerEstimate preferredEngine(List<ServerEstimate> engines) {
         String prefix = prompt.sharedPrefixIdentity();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptLoadMeter.java
@@ -16,8 +16,8 @@
     private static final double AVERAGING_SECONDS = 1.5;
 
     /**
-     * Below this utilisation, three of four engines could compute all prompts and still have a third of their time
-     * free.
+     * Utilisation (sent work as a fraction of the engines' time) below which three of four engines could compute all
+     * prompts and still have a third of their time free.
      */
     private static final double EASY_UTILISATION = 0.5;
 
@@ -28,8 +28,8 @@
     private static final double EASY_WAITING_FRACTION = 0.1;
 
     /**
-     * Starts high because an entry that has just started does not know the load; until it does, no engine is taken from
-     * the prompts.
+     * Starts high because an entry that has just started does not know the load; until it does, no prefill engine is
+     * reassigned to decoding.
      */
     private double utilisation = 2;
 
@@ -53,7 +53,7 @@
     /**
      * Adds a sample of the work that was sent since the previous one.
      *
-     * @param entries how many entries send as much as this one
+     * @param entries number of entries; each is assumed to send as much as this one
      * @param engines how many engines compute prompts
      * @param waiting whether requests wait at this entry for room at an engine
      */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
@@ -16,7 +16,7 @@
 final class PromptWindow {
     private static final double INITIAL_WINDOW = 1;
 
-    /** One prompt in sixteen times its duration; sufficient for as many entries as use one engine at the same time. */
+    /** One prompt per sixteen times its duration; sufficient for as many entries as use one engine at the same time. */
     private static final double MIN_WINDOW = 1.0 / 16;
 
     private static final double MAX_WINDOW = 64;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestDeadlines.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RequestDeadlines.java
@@ -10,8 +10,8 @@
  */
 public final class RequestDeadlines {
     /**
-     * A caller that allows less than this percentage of the route's timeout is treated as a retry; the wait limits of
-     * first attempts differ by a sixth.
+     * A caller that allows less than this percentage of the route's timeout is treated as a retry; the wait limits that
+     * callers state for first attempts differ by a sixth.
      */
     private static final int MIN_FIRST_ATTEMPT_PERCENT = 75;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/RetryAllowance.java
@@ -8,9 +8,9 @@
  *
  * <p>If engines fail or are full, retrying every request multiplies the load on the remaining ones, and the service
  * does not recover: arrivals grow while the number of answers falls. All entries share one bound without coordination.
- * Each may use a fraction of the requests that it receives itself, plus an equal part of the fixed slack. If the
- * assumed number of entries is too high, fewer retries are made than allowed; if it is too low, the fixed part is
- * exceeded by at most that factor, for which {@link #SAFETY_FACTOR} leaves a margin.
+ * Each may make a number of retries that is a fraction of the requests it receives itself, plus an equal part of the
+ * fixed slack. If the assumed number of entries is too high, fewer retries are made than allowed; if it is too low, the
+ * fixed part is exceeded by at most that factor, for which {@link #SAFETY_FACTOR} leaves a margin.
  */
 public final class RetryAllowance {
     /**
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
@@ -30,15 +30,17 @@
     /** Weight of a new long prompt in the typical duration; about the last twenty count. */
     private static final double PROMPT_WEIGHT = 0.05;
 
-    /** An engine with less queued work than this, in seconds, is idle by the time a request reaches it. */
+    /**
+     * An engine with less queued work than this, in seconds, counts as idle: it has finished that work by the time a
+     * request reaches it.
+     */
     private static final double MAX_IDLE_WAIT_SECONDS = 0.005;
 
     /** The slowdown is limited so that a server gets enough work to show that it has recovered. */
     private static final double MAX_SLOWDOWN = 6;
 
     /**
-     * Minimum expected time for the slowdown; shorter times are dominated by the network rather than by the server's
-     * speed.
+     * Minimum expected time for the slowdown; shorter times depend on the network rather than on the server's speed.
      */
     private static final double MIN_EXPECTED_SECONDS = 0.02;
 
@@ -64,8 +66,8 @@
     private double unansweredSeconds;
     private SpeedEstimate speed;
     /**
-     * Measured at the speed of the settings, so that a process that has just started does not have to learn it together
-     * with the speed.
+     * Typical duration of a long prompt at the speed of the settings, so that a process that has just started does not
+     * have to learn it together with the speed; zero until one was sent.
      */
     private double typicalPromptSeconds;
 
@@ -212,8 +214,9 @@
     }
 
     /**
-     * Returns how long a handoff to this server takes, given the typical time for its service. A slow link of an engine
-     * shows in nothing else. The measured time decays within seconds, so that the engine is tried again.
+     * Returns how long a handoff to this server takes, given the typical time for its service. No other measurement
+     * shows that the network link of an engine is slow. The measured time decays to the typical time within seconds, so
+     * that the engine is tried again.
      */
     double handoffSeconds(double typicalSeconds, long now) {
         if (handoffMeasuredAt == Long.MIN_VALUE) {
@@ -223,8 +226,9 @@
     }
 
     /**
-     * Returns whether one more prompt of this entry would not wait long. An engine without work from any entry has room
-     * whatever its previous queue was; otherwise requests would wait while it is idle.
+     * Returns whether one more prompt of this entry would not wait long. An engine without work from any entry always
+     * has room, whatever window was learned from its earlier queue; otherwise requests would wait at the entry while
+     * the engine is idle.
      */
     boolean hasRoom(EntryLoad others, long now) {
         boolean idle = promptWindow.isEmpty()
@@ -265,7 +269,10 @@
         removeUnanswered(work);
     }
 
-    /** The time until the answer started, minus its fixed part and its own work, was spent in the engine's queue. */
+    /**
+     * Learns from a computed prompt. The time until its answer started, minus the fixed part and the prompt's own work,
+     * was spent in the engine's queue.
+     */
     private void promptComputed(AssignedWork work, double tookSeconds, long now) {
         double waitedSeconds = tookSeconds - speed.fixedSeconds() - work.learnedWorkSeconds();
         if (work.longPrompt()) {
@@ -327,7 +334,10 @@
                 cache.tokens());
     }
 
-    /** A server that stops answering is first detected by the age of its oldest unanswered request. */
+    /**
+     * Returns by how many seconds the oldest unanswered request is overdue. A server that stops answering is first
+     * detected by this.
+     */
     private double overdueSeconds(long now) {
         AssignedWork oldest = unanswered.peekFirst();
         if (oldest == null) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
@@ -6,11 +6,14 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** Ranks candidate servers by when the answer would start there and by how much that delays other requests. */
+/**
+ * Ranks candidate servers by when the answer would start there and by how much the request delays others. Scores, costs
+ * and penalties are in seconds; the lowest score is best.
+ */
 final class ServerRanking {
     /**
-     * The fixed part of the time to the first token until answers have been measured, in seconds: scheduling, first
-     * step and network.
+     * Fixed part of the time to the first token, in seconds, used until answers have been measured: scheduling, first
+     * decode step and network.
      */
     static final double DEFAULT_FIXED_SECONDS = 0.035;
 
@@ -26,8 +29,8 @@
     private static final double REMOTE_PENALTY_SECONDS = 0.004;
 
     /**
-     * Penalty for a server that is paused after failures, in seconds: more than any acceptable wait. It is still tried
-     * if no other server can do the work, since a failed attempt loses no more than an attempt that is not made.
+     * Penalty for a server that is paused after failures, in seconds: more than any acceptable wait. It is still chosen
+     * if no other server can do the work, because a failed attempt loses no more than making no attempt.
      */
     private static final double PAUSED_PENALTY_SECONDS = 3;
 
@@ -51,8 +54,8 @@
 
     /**
      * Cost of each second of computing for the requests behind it, in seconds. Without this cost an entry would assign
-     * a prompt to any engine that is free slightly earlier; its shared prefix would be computed again there, which
-     * fills the queues of all engines.
+     * a prompt to any engine that is free slightly earlier. The prompt's shared prefix would be computed again there,
+     * and repeated computing would fill the queues of all engines.
      */
     private static final double QUEUE_COST_PER_SECOND = 2;
 
@@ -64,7 +67,8 @@
     private static final double STREAM_COST_PER_SECOND = 0.3;
 
     /**
-     * Delay of the next request by each request at a decode engine, in seconds: a part of a transfer, and slower steps.
+     * Delay that each request at a decode engine adds to the start of the next one, in seconds: a part of its cache
+     * transfer, and slower decode steps.
      */
     private static final double SECONDS_PER_DECODE_REQUEST = 0.002;
 
@@ -95,17 +99,22 @@
             double requestsPerSlot =
                     (candidate.requests(peerLoads.onServer(candidate.server().id()), now) + 1)
                             / Math.max(1, candidate.server().slots());
-            double score = Math.max(requestsPerSlot * PLAIN_WORK_SECONDS * candidate.slowdown(), waitSeconds(candidate, now))
-                    + penaltySeconds(candidate, now)
-                    + random.nextDouble() * TIE_BREAK_SECONDS;
+            double score =
+                    Math.max(requestsPerSlot * PLAIN_WORK_SECONDS * candidate.slowdown(), waitSeconds(candidate, now))
+                            + penaltySeconds(candidate, now)
+                            + random.nextDouble() * TIE_BREAK_SECONDS;
             if (score < bestScore) {
                 best = candidate;
                 bestScore = score;
             }
         }
-        double requestsPerSlot = waitSeconds(best, now);
+        double queueSeconds = waitSeconds(best, now);
         return new Placement.SingleServer(
-                best.server(), Optional.empty(), PLAIN_WORK_SECONDS, requestsPerSlot, requestsPerSlot + PLAIN_WORK_SECONDS);
+                best.server(),
+                Optional.empty(),
+                PLAIN_WORK_SECONDS,
+                queueSeconds,
+                queueSeconds + PLAIN_WORK_SECONDS);
     }
 
     private double handoffSeconds(PlacementRequest request, Prompt prompt, boolean queuedAtEntry) {
@@ -143,6 +152,7 @@
             }
             PromptCosts.EngineWork work = costs.workAt(engine);
             boolean longPrompt = EntryQueueing.isLongPrompt(engine, work.seconds());
+            // Prefill engines are full of long prompts; decode engines must not delay long answers in progress.
             if (shortPrompt ? prefill : avoidDecodeEngines && engine.server().role() == EngineRole.DECODE) {
                 continue;
             }
@@ -204,7 +214,11 @@
     }
 
     /**
-     * Transfers to an engine are sequential, so the requests at the engine approximate the transfers that come first.
+     * Returns the decode engine on which the answer to a computed prompt is expected to start first. Transfers to an
+     * engine are sequential, so the number of requests at the engine approximates the transfers that come first.
+     *
+     * @param tokens the length of the prompt
+     * @param sourceDataCentre the data centre of the engine that computes the prompt
      */
     Optional<ServerEstimate> leastBusyDecodeEngine(
             List<ServerEstimate> usable, int tokens, String sourceDataCentre, long now) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/SpeedEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/SpeedEstimate.java
@@ -8,19 +8,20 @@
  * fast, callers wait past their deadline.
  *
  * <p>The time until an answer starts consists of a fixed part, a wait and the work itself. Waits are not known exactly,
- * because other entries send work too. So only a prompt on an idle engine shows the speed; a prompt in a queue shows
- * only that its own work took no longer than the total time.
+ * because other entries send work too. Only a prompt on an idle engine therefore shows the speed; a prompt in a queue
+ * only shows that its own work took no longer than the total time.
  */
 final class SpeedEstimate {
     /**
-     * Fixed part until answers have been measured, in seconds: scheduling, the first step and the network round trip.
+     * Fixed part assumed until answers have been measured, in seconds: scheduling, the first decode step and the
+     * network round trip.
      */
     private static final double INITIAL_FIXED_SECONDS = 0.035;
 
     /** Minimum weight of an answer that was faster than its expected work; about the last ten count. */
     private static final double MIN_FASTER_WEIGHT = 0.1;
 
-    /** Weight of a slower answer from an engine that seemed idle; work of another entry may have come first. */
+    /** Weight of a slower answer from an engine that seemed idle; work that another entry sent may have come first. */
     private static final double SLOWER_WEIGHT = 0.03;
 
     /** A single answer counts as at most this many times slower or faster than expected. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -14,6 +14,8 @@
  * The requests of one service that wait at this entry because no engine has room. Decides which request is dispatched
  * next and which are refused at once because they cannot be served.
  *
+ * Times are in nanoseconds of the monotonic clock unless the name states seconds.
+ *
  * <p>For some seconds, one and a half to three times as many prompts may arrive as engines can compute. In
  * first-come-first-served order all of them would be slightly late, and so would those of the following seconds.
  * Instead, requests that can be on time are dispatched first and the others when there is room left. Within each group,
@@ -29,8 +31,8 @@
     private static final double ANSWER_TIME_WEIGHT = 0.05;
 
     /**
-     * Answer time until answers have been measured, in seconds: some tens of milliseconds each for the prompt and the
-     * first token.
+     * Typical answer time assumed until answers have been measured, in seconds: some tens of milliseconds each for the
+     * prompt and the first token.
      */
     private static final double INITIAL_ANSWER_SECONDS = 0.1;
 
@@ -48,7 +50,10 @@
      */
     private static final double WORK_WEIGHT = 50;
 
-    /** The same weight for requests that are already late, which are ordered by their deadlines. */
+    /**
+     * Corresponds to {@link #WORK_WEIGHT} for requests that are already late, which are ordered by their deadlines
+     * instead of their arrival.
+     */
     private static final double LATE_WORK_WEIGHT = 100;
 
     private final List<QueuedRequest<T>> queued = new ArrayList<>();
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/Quarantine.java
@@ -15,19 +15,20 @@
  * Decides which requests are withheld from servers because servers that processed them terminated. Confined to one
  * thread.
  *
- * <p>A request that crashes every server that processes it is sent again by its caller, at any entry, and can
- * terminate server after server until no request is served. Terminations are therefore counted across all arrivals
- * and entries. A server that terminates also fails the other requests it was processing. Answers distinguish those
- * from the cause: a request that is answered, elsewhere or shortly before, is cleared.
+ * <p>A request that crashes every server that processes it is sent again by its caller, at any entry, and can terminate
+ * server after server until no request is served. Terminations are therefore counted across all arrivals and entries. A
+ * server that terminates also fails the other requests it was processing. What distinguishes those from the request
+ * that caused the termination is an answer: a request that is answered, on another server or shortly before, is
+ * cleared.
  */
 public final class Quarantine {
     /** Minimum number of terminations without an answer between them that is unlikely to be a coincidence. */
     public static final int MIN_TERMINATIONS = 2;
 
     /**
-     * Quarantine periods by the number of terminations beyond the first. The first periods are short for requests
-     * that were on a terminating server by coincidence; after each period, one more server run shows whether the
-     * request is fatal.
+     * Quarantine periods by the number of terminations beyond the first. The first periods are short, for the sake of
+     * requests that were on a terminating server by coincidence; after each period, one more server run shows whether
+     * the request is fatal.
      */
     static final List<Duration> QUARANTINE_PERIODS = List.of(
             Duration.ofSeconds(10),
@@ -184,8 +185,8 @@
     }
 
     /**
-     * Evicts the suspect with the fewest terminations, so that a caller who keeps sending new requests cannot
-     * displace requests with more terminations.
+     * Evicts the suspect with the fewest terminations if there are too many suspects, so that a caller who keeps
+     * sending new requests cannot displace requests with more terminations.
      */
     private void evictIfFull() {
         if (suspects.size() < MAX_SUSPECTS) {
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/RecentAnswers.java
@@ -6,7 +6,9 @@
 
 /** Requests that were answered recently. Confined to one thread. */
 final class RecentAnswers {
-    /** A request that was answered within this time does not terminate every server that processes it. */
+    /**
+     * A request that was answered within this time is not fatal: it does not terminate every server that processes it.
+     */
     static final Duration RETENTION = Duration.ofMinutes(1);
 
     /** More than an entry answers within {@link #RETENTION}; a few hundred kilobytes. */
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderLease.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/OrderLease.java
@@ -83,7 +83,10 @@
         mayAcquire(versionOf(store.read(key)), time.monotonicNanos());
     }
 
-    /** Tries to acquire the lease; returns the fencing number for orders. */
+    /**
+     * Tries to acquire or renew the lease. Returns the fencing number for orders; empty if another process holds the
+     * lease, or may still hold it.
+     */
     public Optional<Long> acquire() throws StoreException {
         granted = false;
         long requestedAtNanos = time.monotonicNanos();
@@ -142,6 +145,7 @@
         return record.map(StoredObject::version).orElse(MISSING_VERSION_PREFIX + store.generation());
     }
 
+    /** Returns whether the lease may be acquired; remembers when the record was first seen with this version. */
     private boolean mayAcquire(String version, long nowNanos) {
         if (version.equals(ownVersion)) {
             return true;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/RoleRatioPolicy.java
@@ -10,10 +10,10 @@
 /**
  * Decides how many engines of one service run prefill and how many run decode.
  *
- * <p>The load it is made for: prompts of thousands of tokens with answers of tens. Prefill takes nearly all of the
- * engines' time. A decode engine runs prefill at less than half the speed and between the tokens of its streams,
- * which then take seconds instead of tenths of a second. A few engines therefore decode all answers, and the others
- * run prefill.
+ * <p>It is designed for prompts of thousands of tokens with answers of tens of tokens. Prefill takes nearly all of the
+ * engines' time. A decode engine runs prefill at less than half the speed and between the tokens of its streams, which
+ * then take seconds instead of tenths of a second. A few engines therefore decode all answers, and the others run
+ * prefill.
  *
  * <p>A role change makes an engine unavailable for seconds. While there is traffic, a small deviation is therefore
  * tolerated, and only one engine changes at a time.
@@ -41,7 +41,11 @@
      */
     private static final int TOLERATED_DEVIATION = 1;
 
-    /** Returns the changes that are due, in the order in which they should be made. */
+    /**
+     * Returns the changes that are due, in the order in which they should be made.
+     *
+     * @param idle whether there is no traffic, so that several engines may change at once
+     */
     public List<PlannedRoleChange> plannedChanges(List<BackendServer> engines, boolean idle) {
         List<BackendServer> prefillEngines = readyEngines(EngineRole.PREFILL, engines);
         List<BackendServer> decodeEngines = readyEngines(EngineRole.DECODE, engines);
@@ -53,7 +57,9 @@
         boolean enoughEngines = !prefillEngines.isEmpty()
                 && decodeEngines.size() >= Math.min(MIN_DECODE_ENGINES, targetDecodeEngines(total));
         boolean temporarilyReassigned = missingDecodeEngines < 0 && decodeEngines.size() <= prefillEngines.size();
-        boolean tolerated = !idle && enoughEngines && (temporarilyReassigned || Math.abs(missingDecodeEngines) <= TOLERATED_DEVIATION);
+        boolean tolerated = !idle
+                && enoughEngines
+                && (temporarilyReassigned || Math.abs(missingDecodeEngines) <= TOLERATED_DEVIATION);
         if (missingDecodeEngines == 0 || tolerated) {
             return List.of();
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptWindowTest.java
@@ -64,7 +64,7 @@
         void run() {
             for (long now = 0; now < BURST_MILLISECONDS; now++) {
                 computeForOneMillisecond(now);
-                // The entry that sends first changes in turn.
+                // The entries take turns at being the first to send.
                 for (int turn = 0; turn < windows.size(); turn++) {
                     PromptWindow window = windows.get((int) ((now + turn) % windows.size()));
                     if (window.hasRoom(now * MILLISECOND)) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
@@ -69,8 +69,8 @@
         assertTrue(queue.takeNext(0).isEmpty());
     }
 
-    // For three seconds 1.8 times as many prompts arrive as can be computed, then less than half as many. In order
-    // of arrival, all callers in the burst and for two seconds after it would be answered late.
+    // For three seconds 1.8 times as many prompts arrive as can be computed, then less than half of what can be
+    // computed. In order of arrival, all callers in the burst and for two seconds after it would be answered late.
     @Test
     public void should_answer_as_many_requests_on_time_as_engines_can_compute_during_a_burst() {
         Simulation simulation = new Simulation(1.8, 0.4);
