--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/QueueLimit.java
@@ -68,18 +68,18 @@
         if (answerStartSeconds > secondsLeft) {
             String reason = String.format(
                     "the answer would start in %.2f s but only %.2f s are left", answerStartSeconds, secondsLeft);
-            return new Placement.Refused(reason, duration(Math.max(queueSeconds, answerStartSeconds - secondsLeft)));
+            return new Placement.Refused(reason, toDuration(Math.max(queueSeconds, answerStartSeconds - secondsLeft)));
         }
         if (queueSeconds > maxQueueSeconds) {
             String reason = String.format(
                     "%.2f s of work are queued at the chosen server, the limit is %.2f s",
                     queueSeconds, maxQueueSeconds);
-            return new Placement.Refused(reason, duration(queueSeconds));
+            return new Placement.Refused(reason, toDuration(queueSeconds));
         }
         return placement;
     }
 
-    private static Duration duration(double seconds) {
+    private static Duration toDuration(double seconds) {
         return Duration.ofNanos((long) (seconds * NANOSECONDS_PER_SECOND));
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
@@ -110,11 +110,7 @@
         }
         double queueSeconds = waitSeconds(best, now);
         return new Placement.SingleServer(
-                best.server(),
-                Optional.empty(),
-                PLAIN_WORK_SECONDS,
-                queueSeconds,
-                queueSeconds + PLAIN_WORK_SECONDS);
+                best.server(), Optional.empty(), PLAIN_WORK_SECONDS, queueSeconds, queueSeconds + PLAIN_WORK_SECONDS);
     }
 
     private double handoffSeconds(PlacementRequest request, Prompt prompt, boolean queuedAtEntry) {
@@ -152,7 +148,7 @@
             }
             PromptCosts.EngineWork work = costs.workAt(engine);
             boolean longPrompt = EntryQueueing.isLongPrompt(engine, work.seconds());
-            // Prefill engines are full of long prompts; decode engines must not delay long answers in progress.
+            // Short prompts must not wait behind long ones; long prompts must not delay long answers in progress.
             if (shortPrompt ? prefill : avoidDecodeEngines && engine.server().role() == EngineRole.DECODE) {
                 continue;
             }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
@@ -65,14 +65,16 @@
         List<EngineState> decodeEngines = readyEngines(EngineRole.DECODE, service);
         List<EngineState> prefillEngines = readyEngines(EngineRole.PREFILL, service);
         int targetDecodeEngines = RoleRatioPolicy.targetDecodeEngines(decodeEngines.size() + prefillEngines.size());
-        double requiredInterval = service.requiredEventSeconds().get();
+        double requiredEventSeconds = service.requiredEventSeconds().get();
         boolean mayReassign =
                 decodeEngines.size() >= targetDecodeEngines && decodeEngines.size() < prefillEngines.size();
-        if (mayReassign && service.promptLoad() == PromptLoad.EASY && isOverloaded(decodeEngines, requiredInterval)) {
+        if (mayReassign
+                && service.promptLoad() == PromptLoad.EASY
+                && isOverloaded(decodeEngines, requiredEventSeconds)) {
             return changeFastestToDecode(prefillEngines);
         }
         boolean shouldRevert = decodeEngines.size() > targetDecodeEngines
-                && canRevert(service.promptLoad(), decodeEngines, requiredInterval);
+                && canRevert(service.promptLoad(), decodeEngines, requiredEventSeconds);
         return shouldRevert ? changeSlowestToPrefill(decodeEngines) : Optional.empty();
     }
 
@@ -80,18 +82,19 @@
      * Returns whether the slowest decode engine is too slow. One is enough: it generates as many of the longest answers
      * as any other engine.
      */
-    private static boolean isOverloaded(List<EngineState> decodeEngines, double requiredInterval) {
-        return longestEventInterval(decodeEngines) > OVERLOAD_FRACTION * requiredInterval;
+    private static boolean isOverloaded(List<EngineState> decodeEngines, double requiredEventSeconds) {
+        return longestEventInterval(decodeEngines) > OVERLOAD_FRACTION * requiredEventSeconds;
     }
 
     /**
      * Returns whether a decode engine can return to prefill. The remaining engines take over its answers, and their
      * event interval grows by {@link #LOAD_DEPENDENT_FRACTION} of the share that each takes over.
      */
-    private static boolean canRevert(PromptLoad prompts, List<EngineState> decodeEngines, double requiredInterval) {
+    private static boolean canRevert(PromptLoad prompts, List<EngineState> decodeEngines, double requiredEventSeconds) {
         double growthFactor = 1 + LOAD_DEPENDENT_FRACTION / (decodeEngines.size() - 1);
-        double intervalWithoutEngine = eventIntervals(decodeEngines).average().orElse(0) * growthFactor;
-        boolean fastEnough = intervalWithoutEngine < requiredInterval;
+        double eventSecondsWithoutEngine =
+                eventIntervals(decodeEngines).average().orElse(0) * growthFactor;
+        boolean fastEnough = eventSecondsWithoutEngine < requiredEventSeconds;
         return switch (prompts) {
             case PRESSED -> true;
             case USUAL -> fastEnough;
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptLoadMeterTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PromptLoadMeterTest.java
@@ -6,7 +6,7 @@
 import org.testng.annotations.Test;
 
 public final class PromptLoadMeterTest {
-    private static final long SAMPLE_INTERVAL = 100_000_000L;
+    private static final long SAMPLE_INTERVAL_NANOSECONDS = 100_000_000L;
     private static final int ENTRIES = 8;
     private static final int ENGINES = 4;
     private static final int SAMPLES_OF_TEN_SECONDS = 100;
@@ -18,7 +18,7 @@
     @BeforeMethod
     public void createMeter() {
         meter = new PromptLoadMeter();
-        now = SAMPLE_INTERVAL;
+        now = SAMPLE_INTERVAL_NANOSECONDS;
         queuedAtEntry = true;
     }
 
@@ -76,7 +76,7 @@
     private void sample(double utilisation, boolean waiting, int samples) {
         for (int sample = 0; sample < samples; sample++) {
             meter.promptSent(utilisation * ENGINES / ENTRIES / 10, queuedAtEntry);
-            now += SAMPLE_INTERVAL;
+            now += SAMPLE_INTERVAL_NANOSECONDS;
             meter.sample(ENTRIES, ENGINES, waiting, now);
         }
     }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueuePromptLengthTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueuePromptLengthTest.java
@@ -77,9 +77,9 @@
                 SHORT_MILLISECONDS + LONG_FRACTION * (LONG_MILLISECONDS - SHORT_MILLISECONDS);
         private static final long OBJECTIVE_MILLISECONDS = 200;
         private static final long DEADLINE_MILLISECONDS = 2000;
-        private static final long BURST_FROM = 1000;
-        private static final long BURST_TO = 4000;
-        private static final long END = 9000;
+        private static final long BURST_START_MILLISECONDS = 1000;
+        private static final long BURST_END_MILLISECONDS = 4000;
+        private static final long END_MILLISECONDS = 9000;
 
         private final WaitQueue<Integer> queue = new WaitQueue<>();
         private final List<Long> workMilliseconds = new ArrayList<>();
@@ -101,8 +101,8 @@
         }
 
         Burst run() {
-            for (long now = 0; now < END; now++) {
-                double load = now >= BURST_FROM && now < BURST_TO ? 1.9 : 0.5;
+            for (long now = 0; now < END_MILLISECONDS; now++) {
+                double load = now >= BURST_START_MILLISECONDS && now < BURST_END_MILLISECONDS ? 1.9 : 0.5;
                 if (random.nextDouble() < load / MEAN_MILLISECONDS) {
                     arrive(now);
                 }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/WaitQueueTest.java
@@ -18,9 +18,9 @@
     /** From dispatch to the first byte of the answer: the engine's queue, the prompt and the first token. */
     private static final long ANSWER_MILLISECONDS = 100;
 
-    private static final long BURST_FROM = 3_000;
-    private static final long BURST_TO = 6_000;
-    private static final long END = 12_000;
+    private static final long BURST_START_MILLISECONDS = 3_000;
+    private static final long BURST_END_MILLISECONDS = 6_000;
+    private static final long END_MILLISECONDS = 12_000;
 
     private WaitQueue<Integer> queue;
 
@@ -76,7 +76,7 @@
         Simulation simulation = new Simulation(1.8, 0.4);
         simulation.run();
 
-        int capacity = (int) ((BURST_TO - BURST_FROM) / Simulation.SERVICE_MILLISECONDS);
+        int capacity = (int) ((BURST_END_MILLISECONDS - BURST_START_MILLISECONDS) / Simulation.SERVICE_MILLISECONDS);
         assertTrue(
                 simulation.onTimeInBurst > 0.75 * capacity,
                 simulation.onTimeInBurst + " of " + simulation.arrivedInBurst
@@ -144,8 +144,8 @@
         }
 
         void run() {
-            for (long now = 0; now < END; now++) {
-                boolean inBurst = now >= BURST_FROM && now < BURST_TO;
+            for (long now = 0; now < END_MILLISECONDS; now++) {
+                boolean inBurst = now >= BURST_START_MILLISECONDS && now < BURST_END_MILLISECONDS;
                 if (random.nextDouble() < (inBurst ? burstLoad : normalLoad) / SERVICE_MILLISECONDS) {
                     arrive(now, inBurst);
                 }
@@ -164,7 +164,7 @@
             arrivals.add(now);
             queue.add(queued(request, now, now + OBJECTIVE_MILLISECONDS));
             arrivedInBurst += inBurst ? 1 : 0;
-            arrivedAfterBurst += now >= BURST_TO + SERVICE_MILLISECONDS ? 1 : 0;
+            arrivedAfterBurst += now >= BURST_END_MILLISECONDS + SERVICE_MILLISECONDS ? 1 : 0;
         }
 
         private void dispatch(long now) {
@@ -179,9 +179,9 @@
                     took > DEADLINE_MILLISECONDS, "a request was dispatched without enough time left for its answer");
             if (took > OBJECTIVE_MILLISECONDS) {
                 servedLate++;
-            } else if (arrived >= BURST_FROM && arrived < BURST_TO) {
+            } else if (arrived >= BURST_START_MILLISECONDS && arrived < BURST_END_MILLISECONDS) {
                 onTimeInBurst++;
-            } else if (arrived >= BURST_TO + SERVICE_MILLISECONDS) {
+            } else if (arrived >= BURST_END_MILLISECONDS + SERVICE_MILLISECONDS) {
                 onTimeAfterBurst++;
             }
         }
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/TerminationReportQueueTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/quarantine/TerminationReportQueueTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    public void should_stop_reporting_a_request_when_it_has_one_termination() {
+    public void should_stop_reporting_a_request_after_several_reports_when_it_has_one_termination() {
         terminate(SINGLE_TERMINATION, "server");
         reportQueue.add(SINGLE_TERMINATION);
         for (int report = 0; report < ENOUGH_REPORTS; report++) {
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 public final class LoadBasedRolePolicyTest {
-    private static final double REQUIRED_INTERVAL = 0.07;
+    private static final double REQUIRED_EVENT_SECONDS = 0.07;
 
     private LoadBasedRolePolicy policy;
 
@@ -208,23 +208,24 @@
      * Returns three decode engines with the same event interval, where the target is two, and three prefill
      * engines.
      */
-    private static ServiceLoad loadWithReassignedEngine(PromptLoad prompts, double eventInterval) {
+    private static ServiceLoad loadWithReassignedEngine(PromptLoad prompts, double eventSeconds) {
         return load(
                 prompts,
-                decodeEngine("a", eventInterval),
-                decodeEngine("b", eventInterval),
-                decodeEngine("c", eventInterval),
+                decodeEngine("a", eventSeconds),
+                decodeEngine("b", eventSeconds),
+                decodeEngine("c", eventSeconds),
                 fastPrefillEngine("d"),
                 fastPrefillEngine("e"),
                 fastPrefillEngine("f"));
     }
 
     private static ServiceLoad load(PromptLoad prompts, EngineState... engines) {
-        return new ServiceLoad("drafting", new ArrayList<>(List.of(engines)), Optional.of(REQUIRED_INTERVAL), prompts);
+        return new ServiceLoad(
+                "drafting", new ArrayList<>(List.of(engines)), Optional.of(REQUIRED_EVENT_SECONDS), prompts);
     }
 
-    private static EngineState decodeEngine(String id, double eventInterval) {
-        return new EngineState(server(id, EngineRole.DECODE), new EngineLoad(30, Optional.of(eventInterval)), 1, false);
+    private static EngineState decodeEngine(String id, double eventSeconds) {
+        return new EngineState(server(id, EngineRole.DECODE), new EngineLoad(30, Optional.of(eventSeconds)), 1, false);
     }
 
     private static EngineState fastPrefillEngine(String id) {
