--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -12,9 +12,8 @@
 
 /**
  * The requests of one service that wait at this entry because no engine has room. Decides which request is dispatched
- * next and which are refused at once because they cannot be served.
- *
- * Times are in nanoseconds of the monotonic clock unless the name states seconds.
+ * next and which are refused at once because they cannot be served. Times are in nanoseconds of the monotonic clock
+ * unless the name states seconds.
  *
  * <p>For some seconds, one and a half to three times as many prompts may arrive as engines can compute. In
  * first-come-first-served order all of them would be slightly late, and so would those of the following seconds.
@@ -43,10 +42,10 @@
     private static final double DISPATCH_INTERVAL_WEIGHT = 0.1;
 
     /**
-     * A request yields to shorter ones that arrived later, by up to this many times the difference in computing time.
-     * Without this, the longest tenth of the prompts, which takes a third of the engines' time, makes several callers
-     * late for each one that it serves; with a far higher weight, the longest prompts would never be dispatched during
-     * a burst.
+     * Seconds by which a request is ranked as if it had arrived later, per second that an engine computes its prompt.
+     * Without this weight, the longest tenth of the prompts, which takes a third of the engines' time, makes several
+     * callers late for each one that it serves; with a far higher weight, the longest prompts would never be dispatched
+     * during a burst.
      */
     private static final double WORK_WEIGHT = 50;
 
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/TerminationReportQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/quarantine/TerminationReportQueue.java
@@ -7,12 +7,11 @@
 import java.util.Map;
 
 /**
- * Selects the server terminations that are included in the next reports to the other entries. Confined to one
- * thread.
+ * Selects the server terminations that are included in the next reports to the other entries. Confined to one thread.
  *
  * <p>Reports are datagrams and can be lost, so each termination is included in several of them. Requests with
- * terminations on more than one server are repeated indefinitely, a few with each report, for entries that have
- * received no reports for a while.
+ * terminations on more than one server are included again and again without end, a few in each report, for entries that
+ * have received no reports for a while.
  */
 final class TerminationReportQueue {
     /** Number of reports that include the terminations of a newly added request. */
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PeerLoadsTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/PeerLoadsTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    public void should_remove_an_entry_when_it_stops_reporting_or_is_leaving() {
+    public void should_remove_an_entry_when_its_report_times_out_or_it_is_stopping() {
         peers.receive(report("one", 1, 1, 0.5), 0);
         peers.receive(report("two", 1, 1, 0.5), PeerLoads.REPORT_TIMEOUT.toNanos());
         peers.expire(PeerLoads.REPORT_TIMEOUT.toNanos() + 1);
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
@@ -86,7 +86,7 @@
     // Guards against a slow engine that keeps decoding: the reassigned engine is fast, so the slow one returns to
     // prefill.
     @Test
-    public void should_return_the_slowest_engine_when_prompts_need_it() {
+    public void should_change_the_slowest_engine_back_to_prefill_when_prompts_need_it() {
         ServiceLoad load = load(
                 PromptLoad.PRESSED,
                 decodeEngine("a", 0.05),
@@ -103,7 +103,7 @@
 
     // Guards against prompts that have to wait because an engine returns to prefill only after they queue.
     @Test
-    public void should_return_an_engine_before_prompts_wait_when_the_others_can_serve_the_answers() {
+    public void should_change_an_engine_back_to_prefill_before_prompts_wait_when_the_others_can_serve_the_answers() {
         assertEquals(
                 policy.nextChange(loadWithReassignedEngine(PromptLoad.USUAL, 0.05)),
                 Optional.of(new PlannedRoleChange(server("a", EngineRole.DECODE), EngineRole.PREFILL)));
