--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerRanking.java
@@ -127,16 +127,15 @@
     Placement chooseEngines(PlacementRequest request, Prompt prompt, List<ServerEstimate> usable, long now) {
         boolean engineFull = false;
         double minPromptSeconds = Double.MAX_VALUE;
-        ServerEstimate decodeEngine = leastBusyDecodeEngine(usable, prompt.promptTokens(), settings.dataCentre(), now)
+        ServerEstimate decoder = leastBusyDecodeEngine(usable, prompt.promptTokens(), settings.dataCentre(), now)
                 .orElse(null);
         boolean canDisaggregate = request.mayDisaggregate()
-                && decodeEngine != null
+                && decoder != null
                 && usable.stream().anyMatch(each -> isAvailablePrefillEngine(each, now));
         boolean queuedAtEntry = EntryQueueing.applicable(request.objective(), usable);
         PromptCosts costs = new PromptCosts(settings, prompt, usable, queuedAtEntry, now);
-        boolean shortPrompt = decodeEngine != null
-                && !EntryQueueing.isLongPrompt(
-                        decodeEngine, costs.workAt(decodeEngine).seconds());
+        boolean shortPrompt = decoder != null
+                && !EntryQueueing.isLongPrompt(decoder, costs.workAt(decoder).seconds());
         boolean avoidDecodeEngines =
                 queuedAtEntry && canDisaggregate && longAnswerDetector.inProgress(request.service(), now);
         Placement best =
@@ -144,7 +143,7 @@
         double bestScore = Double.MAX_VALUE;
         for (ServerEstimate engine : usable) {
             boolean prefill = engine.server().role() == EngineRole.PREFILL;
-            if (prefill && (decodeEngine == null || !request.mayDisaggregate())) {
+            if (prefill && (decoder == null || !request.mayDisaggregate())) {
                 continue;
             }
             PromptCosts.EngineWork work = costs.workAt(engine);
@@ -165,9 +164,7 @@
             double queueSeconds = waitSeconds(engine, now);
             double firstTokenSeconds = queueSeconds + work.seconds() + fixedSeconds;
             double startSeconds = prefill
-                    ? firstTokenSeconds
-                            + handoffSeconds(request, prompt, queuedAtEntry)
-                            + waitSeconds(decodeEngine, now)
+                    ? firstTokenSeconds + handoffSeconds(request, prompt, queuedAtEntry) + waitSeconds(decoder, now)
                     : firstTokenSeconds;
             double score = startSeconds + penaltySeconds(engine, now) + costPerSecond(engine, now) * work.seconds();
             if (score < bestScore) {
