--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptCosts.java
@@ -115,7 +115,7 @@
     /**
      * The work of an engine for a prompt.
      *
-     * @param seconds how long the work takes
+     * @param seconds how long the work takes, plus {@link #NOT_PREFERRED_PENALTY_SECONDS} where it applies
      * @param cacheHolder the engine to transfer a part of the prompt's cache from; empty if nothing is transferred
      */
     record EngineWork(double seconds, Optional<BackendServer> cacheHolder) {}
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/ServerEstimate.java
@@ -61,7 +61,9 @@
     private int cacheTokens;
     private ReportedLoad reportedLoad = new ReportedLoad(0, 0, 1);
     private long reportedAt;
+    /** Requests of this entry at the server when it reported {@link #reportedLoad}; that load includes them. */
     private int outstandingAtReport;
+
     private int outstanding;
     private double unansweredSeconds;
     private SpeedEstimate speed;
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicy.java
@@ -75,7 +75,7 @@
         }
         boolean shouldRevert = decodeEngines.size() > targetDecodeEngines
                 && canRevert(service.promptLoad(), decodeEngines, requiredEventSeconds);
-        return shouldRevert ? changeSlowestToPrefill(decodeEngines) : Optional.empty();
+        return shouldRevert ? changeOneToPrefill(decodeEngines) : Optional.empty();
     }
 
     /**
@@ -88,7 +88,8 @@
 
     /**
      * Returns whether a decode engine can return to prefill. The remaining engines take over its answers, and their
-     * event interval grows by {@link #LOAD_DEPENDENT_FRACTION} of the share that each takes over.
+     * event interval grows by {@link #LOAD_DEPENDENT_FRACTION} of the share that each takes over. While the prompt load
+     * is easy, an engine returns only to exchange a slow one.
      */
     private static boolean canRevert(PromptLoad prompts, List<EngineState> decodeEngines, double requiredEventSeconds) {
         double growthFactor = 1 + LOAD_DEPENDENT_FRACTION / (decodeEngines.size() - 1);
@@ -127,7 +128,10 @@
                 .map(engine -> new PlannedRoleChange(engine.server(), EngineRole.DECODE));
     }
 
-    private static Optional<PlannedRoleChange> changeSlowestToPrefill(List<EngineState> engines) {
+    /**
+     * Changes the slowest decode engine to prefill, or the one with the fewest requests if all are about equally fast.
+     */
+    private static Optional<PlannedRoleChange> changeOneToPrefill(List<EngineState> engines) {
         List<EngineState> byInterval = new ArrayList<>(engines);
         byInterval.sort(
                 Comparator.comparingDouble(LoadBasedRolePolicy::eventInterval).thenComparing(LoadBasedRolePolicy::id));
