--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -313,8 +313,7 @@
 
             assertEquals(caller.readAnswer().line(), "HTTP/1.1 504 Gateway Timeout");
         }
-        assertTrue(Long.parseLong(backend.received()
-                        .getFirst()
+        assertTrue(Long.parseLong(backend.awaitRequest()
                         .header(TestProtocols.REMAINING_TIME)
                         .orElse(""))
                 <= 150);
