--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -76,7 +76,7 @@
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final ServingState state;
     private final BackendConnections connections;
-    private final WaitQueues waitingRequests;
+    private final WaitQueues waitQueues;
     private final FatalRequestTracker fatalRequests;
     private final RequestDispatcher dispatcher;
     private final CallerServer callers;
@@ -101,20 +101,20 @@
         this.random = random;
         this.log = log;
         this.backendProtocol = backendProtocol;
-        this.state = new ServingState(time, random, settings.repeats(), log, settings.placement());
-        this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::connectionShare);
-        this.waitingRequests = new WaitQueues(time, eventLoop);
+        this.state = new ServingState(time, random, settings.retries(), log, settings.placement());
+        this.connections = new BackendConnections(backendProtocol, eventLoop, time, state::maxConnectionsPerServer);
+        this.waitQueues = new WaitQueues(time, eventLoop);
         this.fatalRequests = new FatalRequestTracker(time, log);
-        ServingContext tools = new ServingContext(
+        ServingContext context = new ServingContext(
                 state,
                 connections,
                 backendProtocol,
                 eventLoop,
                 new GatewayMetrics(
                         registry, connections::openedTotal, state::serverSummaries, fatalRequests::quarantinedCount),
-                waitingRequests,
+                waitQueues,
                 fatalRequests);
-        this.dispatcher = new RequestDispatcher(tools, callerProtocol, settings.maxBodyBytes());
+        this.dispatcher = new RequestDispatcher(context, callerProtocol, settings.maxBodyBytes());
         this.callers = new CallerServer(dispatcher, time);
         this.peers = new PeerExchange(settings.process(), time, eventLoop, log, this::receivePeerReport);
         this.gracefulStop = new GracefulStop(callers, dispatcher, settings.gracePeriod(), stopped::countDown);
@@ -134,10 +134,10 @@
                 storeSettings,
                 ObjectKind.BACKEND_SERVER,
                 new ServerRegistrationListener(decoder, state, connections, eventLoop, time, log, store::generation));
-        FatalRequestSynchroniser fatalRequestManager = new FatalRequestSynchroniser(
+        FatalRequestSynchroniser fatalRequestSynchroniser = new FatalRequestSynchroniser(
                 store, fatalRequests, state::fatalRequestsLoaded, eventLoop, time, random, log);
-        watch(store, storeSettings, ObjectKind.FATAL_REQUEST, fatalRequestManager);
-        fatalRequestManager.start();
+        watch(store, storeSettings, ObjectKind.FATAL_REQUEST, fatalRequestSynchroniser);
+        fatalRequestSynchroniser.start();
         GaugeWithCallback.builder()
                 .name("aspenmoor_store_generation")
                 .help("Generation of the store's history; increases when the store is restored from an older copy.")
@@ -184,7 +184,7 @@
     /** Applies changed settings; changed addresses are ignored. */
     public void reload(GatewaySettings newSettings) {
         eventLoop.execute(() -> {
-            state.reload(newSettings.repeats(), newSettings.placement());
+            state.reload(newSettings.retries(), newSettings.placement());
             gracefulStop.setGracePeriod(newSettings.gracePeriod());
         });
     }
@@ -237,10 +237,10 @@
 
     private void reportToPeers() {
         peers.sendReport(
-                state.ownLoadShares(),
+                state.ownLoads(),
                 state.takeUnreportedPrompts(),
-                state.learntSpeeds(),
-                state.eventLengths(),
+                state.learnedSpeeds(),
+                state.eventSizes(),
                 state.pendingRoleChanges(),
                 fatalRequests.takeNextReport(),
                 gracefulStop.begun());
@@ -251,7 +251,7 @@
         long nowNanos = time.monotonicNanos();
         state.expirePeers(nowNanos);
         fatalRequests.expire();
-        state.samplePressure(waitingRequests::anyWaiting);
+        state.samplePromptLoads(waitQueues::anyWaiting);
         state.takeEnginesToList().forEach(this::queryCacheList);
         state.expireServers(nowNanos).forEach(connections::remove);
         connections.closeStale();
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/DecisionLog.java
@@ -16,7 +16,9 @@
  * limit, so that many routine lines do not displace them.
  */
 public final class DecisionLog {
-    /** Maximum rate of routine lines: enough to follow single requests, at little cost compared with the requests. */
+    /**
+     * Maximum rate of routine lines: enough to follow single requests, at little cost compared with serving them.
+     */
     private static final double ROUTINE_LINES_PER_SECOND = 40;
 
     /** Maximum rate of lines about refusals, failures and changes of known state. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/StoreGenerationLog.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/log/StoreGenerationLog.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.internal.store.client.StoreGeneration;
 
-/** Logs changes of the store's history generation as reported in its answers. */
+/** Logs changes of the generation of the store's history that the store reports in its responses. */
 public final class StoreGenerationLog implements StoreGeneration.Listener {
     private final DecisionLog log;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/membership/ConfigurationListener.java
@@ -30,7 +30,7 @@
     public void changed(StoredObject object) {
         try {
             ServingConfiguration configuration = decoder.readConfiguration(object);
-            eventLoop.execute(() -> state.configure(configuration));
+            eventLoop.execute(() -> state.applyConfiguration(configuration));
         } catch (StoreMalformedException malformed) {
             // The current configuration stays in force: an unreadable one must not remove the routes.
             log.notable("configuration-unreadable")
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerExchange.java
@@ -90,16 +90,25 @@
 
     /** Sends a report to all other entries. */
     public void sendReport(
-            Map<String, EntryLoad> shares,
+            Map<String, EntryLoad> loads,
             List<AssignedPrompt> prompts,
             List<LearnedSpeed> speeds,
-            List<EventSize> lengths,
-            List<RoleChange> changes,
+            List<EventSize> eventSizes,
+            List<RoleChange> roleChanges,
             List<ServerTermination> terminations,
             boolean leaving) {
         sequence++;
         byte[] datagram = PeerReportCodec.serialise(new PeerReport(
-                entry, startedAtMillis, sequence, shares, prompts, speeds, lengths, changes, terminations, leaving));
+                entry,
+                startedAtMillis,
+                sequence,
+                loads,
+                prompts,
+                speeds,
+                eventSizes,
+                roleChanges,
+                terminations,
+                leaving));
         for (InetSocketAddress peer : peers.values()) {
             channel.write(new DatagramPacket(Unpooled.wrappedBuffer(datagram), peer));
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerReportCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/peers/PeerReportCodec.java
@@ -35,15 +35,15 @@
                 .setSequence(report.sequence())
                 .setLeaving(report.stopping());
         report.loads()
-                .forEach((server, share) -> message.addShares(PeerLoad.Share.newBuilder()
+                .forEach((server, load) -> message.addShares(PeerLoad.Share.newBuilder()
                         .setServer(server)
-                        .setUnansweredMicroseconds((int) (share.unansweredSeconds() * MICROS_PER_SECOND))
-                        .setRequests(share.requests())
-                        .setPaceEvents((float) share.eventIntervals().events())
-                        .setPaceSeconds((float) share.eventIntervals().seconds())));
-        for (AssignedPrompt placedPrompt : report.prompts()) {
-            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(placedPrompt.server());
-            for (PromptPart part : placedPrompt.parts()) {
+                        .setUnansweredMicroseconds((int) (load.unansweredSeconds() * MICROS_PER_SECOND))
+                        .setRequests(load.requests())
+                        .setPaceEvents((float) load.eventIntervals().events())
+                        .setPaceSeconds((float) load.eventIntervals().seconds())));
+        for (AssignedPrompt assignedPrompt : report.prompts()) {
+            PeerLoad.Prompt.Builder prompt = PeerLoad.Prompt.newBuilder().setServer(assignedPrompt.server());
+            for (PromptPart part : assignedPrompt.parts()) {
                 prompt.addParts(part.identity()).addTokens(part.tokens());
             }
             message.addPrompts(prompt);
@@ -55,9 +55,9 @@
                         .setFactor((float) speed.factor())
                         .setFixedSeconds((float) speed.fixedSeconds())));
         report.eventSizes()
-                .forEach(length -> message.addLengths(PeerLoad.EventLength.newBuilder()
-                        .setService(length.service())
-                        .setTokens((float) length.tokensPerEvent())));
+                .forEach(eventSize -> message.addLengths(PeerLoad.EventLength.newBuilder()
+                        .setService(eventSize.service())
+                        .setTokens((float) eventSize.tokensPerEvent())));
         report.roleChanges()
                 .forEach(change -> message.addChanges(PeerLoad.Change.newBuilder()
                         .setServer(change.server())
@@ -89,7 +89,7 @@
         return terminations;
     }
 
-    private static EventIntervals parseEventInterval(PeerLoad.Share share) {
+    private static EventIntervals parseEventIntervals(PeerLoad.Share share) {
         boolean usable = Float.isFinite(share.getPaceEvents())
                 && Float.isFinite(share.getPaceSeconds())
                 && share.getPaceEvents() >= 0
@@ -113,14 +113,14 @@
         return speeds;
     }
 
-    private static List<EventSize> parseLengths(PeerLoad message) {
+    private static List<EventSize> parseEventSizes(PeerLoad message) {
         return message.getLengthsList().stream()
                 .filter(length -> Float.isFinite(length.getTokens()) && length.getTokens() > 0)
                 .map(length -> new EventSize(length.getService(), length.getTokens()))
                 .toList();
     }
 
-    private static List<RoleChange> parseChanges(PeerLoad message) {
+    private static List<RoleChange> parseRoleChanges(PeerLoad message) {
         List<RoleChange> changes = new ArrayList<>();
         EngineRole[] roles = EngineRole.values();
         for (PeerLoad.Change change : message.getChangesList()) {
@@ -151,20 +151,20 @@
             if (message.getEntry().isEmpty()) {
                 return Optional.empty();
             }
-            Map<String, EntryLoad> shares = new HashMap<>();
+            Map<String, EntryLoad> loads = new HashMap<>();
             for (PeerLoad.Share share : message.getSharesList()) {
                 double seconds = Integer.toUnsignedLong(share.getUnansweredMicroseconds()) / MICROS_PER_SECOND;
-                shares.put(share.getServer(), new EntryLoad(seconds, share.getRequests(), parseEventInterval(share)));
+                loads.put(share.getServer(), new EntryLoad(seconds, share.getRequests(), parseEventIntervals(share)));
             }
             return Optional.of(new PeerReport(
                     message.getEntry(),
                     message.getStart(),
                     message.getSequence(),
-                    shares,
+                    loads,
                     parsePrompts(message),
                     parseSpeeds(message),
-                    parseLengths(message),
-                    parseChanges(message),
+                    parseEventSizes(message),
+                    parseRoleChanges(message),
                     parseTerminations(message),
                     message.getLeaving()));
         } catch (InvalidProtocolBufferException malformed) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestCodec.java
@@ -18,11 +18,11 @@
 /** Converts the server terminations of one request to a stored object, named by the request's digest, and back. */
 final class FatalRequestCodec {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String ENDS = "ends";
+    private static final String TERMINATIONS = "ends";
     private static final String SERVER = "server";
     private static final String STARTED_AT = "startedAt";
-    private static final String ENDED_AT = "endedAt";
-    private static final String EXCUSED = "excused";
+    private static final String TERMINATED_AT = "endedAt";
+    private static final String CLEARED = "excused";
 
     private FatalRequestCodec() {}
 
@@ -33,13 +33,13 @@
     /** Serialises terminations; times are in milliseconds since 1970. */
     static String serialise(List<ServerTermination> terminations, long timeOfDayMillis) {
         ObjectNode root = MAPPER.createObjectNode();
-        ArrayNode array = root.putArray(ENDS);
+        ArrayNode array = root.putArray(TERMINATIONS);
         for (ServerTermination termination : terminations) {
             array.addObject()
                     .put(SERVER, termination.incarnation().serverId())
                     .put(STARTED_AT, termination.incarnation().startedAt())
-                    .put(ENDED_AT, timeOfDayMillis - termination.age().toMillis())
-                    .put(EXCUSED, termination.cleared());
+                    .put(TERMINATED_AT, timeOfDayMillis - termination.age().toMillis())
+                    .put(CLEARED, termination.cleared());
         }
         return root.toString();
     }
@@ -52,12 +52,12 @@
                         object.key().toString(),
                         "Delete the object."));
         List<ServerTermination> terminations = new ArrayList<>();
-        for (StoredFields fields : StoredFields.of(object).objects(ENDS)) {
+        for (StoredFields fields : StoredFields.of(object).objects(TERMINATIONS)) {
             ServerIncarnation incarnation =
                     new ServerIncarnation(fields.text(SERVER), fields.nonNegativeLong(STARTED_AT));
             // Clocks differ by seconds; a termination in the future counts as just now.
-            Duration age = Duration.ofMillis(Math.max(0, timeOfDayMillis - fields.nonNegativeLong(ENDED_AT)));
-            terminations.add(new ServerTermination(request, incarnation, age, fields.bool(EXCUSED)));
+            Duration age = Duration.ofMillis(Math.max(0, timeOfDayMillis - fields.nonNegativeLong(TERMINATED_AT)));
+            terminations.add(new ServerTermination(request, incarnation, age, fields.bool(CLEARED)));
         }
         return terminations;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestTracker.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/quarantine/FatalRequestTracker.java
@@ -140,7 +140,7 @@
     }
 
     /**
-     * Notified of changes that have to be stored; the argument says whether this entry observed a termination
+     * Called after changes that have to be stored; the argument states whether this entry observed a termination
      * itself.
      */
     @FunctionalInterface
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerAttempt.java
@@ -30,7 +30,7 @@
     private final ByteBuf buffered = Unpooled.buffer();
     private final EventSplitter events = new EventSplitter();
     private HttpResponse head;
-    private AnswerMetadata facts;
+    private AnswerMetadata metadata;
     private boolean begun;
     private long begunAt;
     private long lastEventAt;
@@ -44,11 +44,11 @@
     }
 
     @Override
-    public void headReceived(HttpResponse answerHead, AnswerMetadata answerFacts) {
+    public void headReceived(HttpResponse answerHead, AnswerMetadata answerMetadata) {
         head = answerHead;
-        facts = answerFacts;
-        request.loadReported(work, answerFacts);
-        if (!isStream() && !answerFacts.notExecuted()) {
+        metadata = answerMetadata;
+        request.loadReported(work, answerMetadata);
+        if (!isStream() && !answerMetadata.notExecuted()) {
             markBegun();
         }
     }
@@ -123,7 +123,7 @@
     }
 
     private boolean isStream() {
-        return streamed && succeeded() && facts.signed();
+        return streamed && succeeded() && metadata.signed();
     }
 
     private boolean succeeded() {
@@ -155,19 +155,19 @@
     }
 
     private void completeBuffered() {
-        if (facts.notExecuted()) {
+        if (metadata.notExecuted()) {
             endAttempt(
                     rejection(head.status()),
                     "the server did not run the request: status "
                             + head.status().code());
             return;
         }
-        if (succeeded() && !(facts.signed() && facts.requestId().isPresent())) {
+        if (succeeded() && !(metadata.signed() && metadata.requestId().isPresent())) {
             endAttempt(new AttemptEnd.Lost(), "the answer has no signature or no request id");
             return;
         }
         if (head.status().codeClass() == HttpStatusClass.SERVER_ERROR || impliesNoRun(head.status())) {
-            request.failureReceived(work, head, buffered.copy(), facts);
+            request.failureReceived(work, head, buffered.copy(), metadata);
             release();
             return;
         }
@@ -175,7 +175,7 @@
         release();
     }
 
-    /** Returns how an attempt ended whose answer states that the request was not run. */
+    /** Returns the end of an attempt whose answer states that the server has not run the request. */
     static AttemptEnd rejection(HttpResponseStatus status) {
         return status.code() == HttpResponseStatus.MISDIRECTED_REQUEST.code()
                 ? new AttemptEnd.Misdirected()
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Returns whether callers take this status to mean that the request was not run. It is trusted only if the server
-     * also states so explicitly.
+     * Returns whether callers conclude from this status that the request was not run. An entry trusts the status only
+     * if the server also states explicitly that it has not run the request.
      */
     static boolean impliesNoRun(HttpResponseStatus status) {
         return status.code() == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AnswerProgress.java
@@ -28,7 +28,7 @@
     /**
      * Records an event of the answer.
      *
-     * @param work the attempt that it belongs to
+     * @param work the attempt that the event belongs to
      * @param allowed the time limit of the request
      */
     void eventReceived(AssignedWork work, Duration allowed, long now) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/AttemptMessages.java
@@ -26,37 +26,43 @@
         this.deadline = deadline;
     }
 
-    /** Returns the message that asks an engine for prefill only. */
-    FullHttpRequest prefillRequest(Placement.Disaggregated staged, Optional<String> lastEventId, long now) {
+    /** Returns the message that requests only the prefill from an engine. */
+    FullHttpRequest prefillRequest(Placement.Disaggregated placement, Optional<String> lastEventId, long now) {
         return buildMessage(new DispatchParameters(
-                staged.prefill().id(),
+                placement.prefill().id(),
                 remaining(now),
-                staged.promptPriority(route.priority()),
+                placement.promptPriority(route.priority()),
                 RequestedWork.PROMPT_ONLY,
                 Optional.empty(),
-                staged.cacheHolder(),
+                placement.cacheHolder(),
                 lastEventId));
     }
 
     /**
-     * Returns the message that asks a server for the answer.
+     * Returns the message that requests the answer from a server.
      *
-     * @param source the prompt cache to transfer, if another engine has done the prefill
-     * @param holder an engine that probably caches the shared beginning of the prompt
+     * @param cacheSource the prompt cache to transfer, if another engine has done the prefill
+     * @param cacheHolder an engine that probably caches the shared beginning of the prompt
      * @param lastEventId the last event that the caller has received, after which a resumed answer continues
      */
     FullHttpRequest answerRequest(
             BackendServer server,
-            Optional<CacheSource> source,
-            Optional<BackendServer> holder,
+            Optional<CacheSource> cacheSource,
+            Optional<BackendServer> cacheHolder,
             Optional<String> lastEventId,
             long now) {
         return buildMessage(new DispatchParameters(
-                server.id(), remaining(now), route.priority(), RequestedWork.ANSWER, source, holder, lastEventId));
+                server.id(),
+                remaining(now),
+                route.priority(),
+                RequestedWork.ANSWER,
+                cacheSource,
+                cacheHolder,
+                lastEventId));
     }
 
-    private FullHttpRequest buildMessage(DispatchParameters delivery) {
-        return OutgoingMessage.request(incoming, protocol, delivery);
+    private FullHttpRequest buildMessage(DispatchParameters parameters) {
+        return OutgoingMessage.request(incoming, protocol, parameters);
     }
 
     private Duration remaining(long now) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CallerStream.java
@@ -8,18 +8,18 @@
 import org.aspenmoor.internal.gateway.caller.AnswerWriter;
 
 /**
- * The event stream sent to one caller, which several servers may contribute to. Confined to the event loop.
+ * The event stream sent to one caller; its events may come from several servers. Confined to the event loop.
  *
  * <p>The head is that of the first server. Only complete events are sent, so that another server can continue after the
  * last one.
  */
 final class CallerStream {
-    private final AnswerWriter link;
+    private final AnswerWriter writer;
     private Optional<String> lastEventId = Optional.empty();
     private boolean begun;
 
-    CallerStream(AnswerWriter link) {
-        this.link = link;
+    CallerStream(AnswerWriter writer) {
+        this.writer = writer;
     }
 
     void forward(HttpResponse head, ByteBuf event) {
@@ -28,12 +28,12 @@
             begun = true;
             HttpResponse callerHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, head.status());
             callerHead.headers().set(ForwardedHeaders.copy(head.headers()));
-            link.beginAnswer(callerHead);
+            writer.beginAnswer(callerHead);
         }
         if (eventId.isPresent()) {
             lastEventId = eventId;
         }
-        link.sendPart(event);
+        writer.sendPart(event);
     }
 
     /** Returns whether any event has been sent to the caller. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/CurrentAttempt.java
@@ -30,8 +30,8 @@
     /**
      * Sets the exchange of an attempt, unless the attempt is no longer the current one. An attempt can end while it
      * is being sent, and the next one can begin. If the exchange of the ended attempt were stored as the current one,
-     * a later cancellation would cancel it instead of the open exchange, whose answer would then reach a request that
-     * has moved on.
+     * a later cancellation would cancel it instead of the open exchange, whose answer would then arrive while
+     * another attempt is already in progress.
      */
     void setExchange(AssignedWork sentWork, Exchange newExchange) {
         if (sentWork.equals(work)) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/DeferredRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/DeferredRequest.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 import org.aspenmoor.internal.gateway.caller.ActiveRequest;
 
-/** A request that arrived before this process was ready; it is served when the process is, or refused after a limit. */
+/** A request that arrived before this process was ready; served once it is ready, refused if the wait limit passes. */
 final class DeferredRequest implements ActiveRequest {
     private final long waitsUntil;
     private final Supplier<ActiveRequest> serve;
@@ -28,8 +28,11 @@
         this.release = release;
     }
 
-    /** Serves or refuses the request if it is time to; returns whether it has stopped waiting. */
-    boolean settle(boolean ready, long now) {
+    /**
+     * Serves the request if this process is ready, or refuses it if the wait limit has passed; returns whether the
+     * request no longer waits.
+     */
+    boolean serveOrRefuseIfDue(boolean ready, long now) {
         if (callerHasLeft) {
             return true;
         }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/FatalRequestCheck.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/FatalRequestCheck.java
@@ -38,7 +38,7 @@
         this.trace = trace;
     }
 
-    /** Returns the remaining quarantine time of the request and records the refusal; empty if the request may run. */
+    /** Returns the remaining quarantine period of the request and records the refusal; empty if the request may run. */
     Optional<Duration> checkQuarantine() {
         return switch (decision()) {
             case QuarantineDecision.Clear clear -> Optional.empty();
@@ -53,7 +53,7 @@
     }
 
     /** Returns whether the request may be sent to another server, counting terminations that are not yet confirmed. */
-    boolean mayRepeat() {
+    boolean mayRetry() {
         return switch (decision()) {
             case QuarantineDecision.Clear clear -> unconfirmedTerminations < Quarantine.MIN_TERMINATIONS;
             case QuarantineDecision.Suspected suspected ->
@@ -62,7 +62,7 @@
         };
     }
 
-    /** Records that the request was answered, which clears it. */
+    /** Records that the request was answered, which clears it of the suspicion that it terminates servers. */
     void answered() {
         fatalRequests.requestAnswered(digest());
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/GatewayMetrics.java
@@ -15,7 +15,7 @@
 public final class GatewayMetrics {
     private final Counter requests;
     private final Counter attempts;
-    private final Counter repeats;
+    private final Counter retries;
     private final Counter serverTerminations;
     private final Counter quarantinedArrivals;
     private final Histogram firstByteSeconds;
@@ -42,7 +42,7 @@
                 .help("Attempts at backend servers, by service and how they ended.")
                 .labelNames("service", "end")
                 .register(registry);
-        this.repeats = Counter.builder()
+        this.retries = Counter.builder()
                 .name("aspenmoor_repeats_total")
                 .help("Repeated arrivals asked of the shared budget, by service and whether it granted them.")
                 .labelNames("service", "granted")
@@ -108,8 +108,8 @@
         attempts.labelValues(service, end).inc();
     }
 
-    void repeatRequested(String service, boolean granted) {
-        repeats.labelValues(service, Boolean.toString(granted)).inc();
+    void retryRequested(String service, boolean granted) {
+        retries.labelValues(service, Boolean.toString(granted)).inc();
     }
 
     void serverTerminated(String service, boolean planned) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoringExchangeListener.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/IgnoringExchangeListener.java
@@ -8,7 +8,7 @@
 /** Ignores the outcome of a release call: a cache handle that is not released expires by itself some seconds later. */
 final class IgnoringExchangeListener implements ExchangeListener {
     @Override
-    public void headReceived(HttpResponse head, AnswerMetadata facts) {
+    public void headReceived(HttpResponse head, AnswerMetadata metadata) {
         // Nothing depends on it.
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/InterruptedAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/InterruptedAttempt.java
@@ -8,7 +8,7 @@
  * An attempt whose connection broke before the answer was complete.
  *
  * @param requestId the request's id
- * @param digest identifies the request among its repeated arrivals
+ * @param digest the digest of the request, which is the same each time that its caller sends it
  * @param server the server that the request was sent to
  * @param sinceSent time from sending the request to the break
  * @param sinceAnswerBegan time from the beginning of the answer to the break; zero if it had not begun
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/OutgoingMessage.java
@@ -18,7 +18,7 @@
     private OutgoingMessage() {}
 
     /** Returns the request for a backend server; it shares the body with the incoming request. */
-    static FullHttpRequest request(IncomingRequest incoming, BackendProtocol protocol, DispatchParameters delivery) {
+    static FullHttpRequest request(IncomingRequest incoming, BackendProtocol protocol, DispatchParameters parameters) {
         HttpRequest head = incoming.head();
         ByteBuf body = incoming.body().retainedDuplicate();
         FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, head.method(), head.uri(), body);
@@ -26,7 +26,7 @@
         if (body.isReadable() || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
             message.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
         }
-        protocol.writeHeaders(message.headers(), delivery);
+        protocol.writeHeaders(message.headers(), parameters);
         return message;
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PendingHandoff.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PendingHandoff.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The prefill cache of a request that no decode engine has transferred yet, if there is one. */
+/** Holds the prefilled prompt of a request until a decode engine has transferred its cache. */
 final class PendingHandoff {
     private final ServingContext context;
     private final String requestId;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequestFactory.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PlacementRequestFactory.java
@@ -11,7 +11,7 @@
     private final String service;
     private final CallerHeaders caller;
     private final Route route;
-    private final RequestDeadlines times;
+    private final RequestDeadlines deadlines;
     private final RequestTrace trace;
     private final CallerStream stream;
     private final TriedServers triedServers;
@@ -20,21 +20,21 @@
             String service,
             CallerHeaders caller,
             Route route,
-            RequestDeadlines times,
+            RequestDeadlines deadlines,
             RequestTrace trace,
             CallerStream stream,
             TriedServers triedServers) {
         this.service = service;
         this.caller = caller;
         this.route = route;
-        this.times = times;
+        this.deadlines = deadlines;
         this.trace = trace;
         this.stream = stream;
         this.triedServers = triedServers;
     }
 
-    PlacementRequest create(boolean othersWait, long now) {
-        Duration remaining = Duration.ofNanos(times.callerWaitsUntil(trace.lastEventTime()) - now);
+    PlacementRequest create(boolean othersQueued, long now) {
+        Duration remaining = Duration.ofNanos(deadlines.callerWaitsUntil(trace.lastEventTime()) - now);
         return new PlacementRequest(
                 service,
                 caller.prompt(),
@@ -44,6 +44,6 @@
                 triedServers.ids(),
                 triedServers.mayPrefill(),
                 caller.prompt().isPresent(),
-                othersWait);
+                othersQueued);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefillAttempt.java
@@ -36,10 +36,10 @@
     }
 
     @Override
-    public void headReceived(HttpResponse head, AnswerMetadata facts) {
-        request.loadReported(work, facts);
+    public void headReceived(HttpResponse head, AnswerMetadata metadata) {
+        request.loadReported(work, metadata);
         status = head.status();
-        rejected = facts.notExecuted();
+        rejected = metadata.notExecuted();
     }
 
     @Override
@@ -55,7 +55,8 @@
         Optional<String> handle = accepted ? protocol.readCacheHandle(body.toString()) : Optional.empty();
         if (handle.isEmpty()) {
             AttemptEnd end = rejected ? AnswerAttempt.rejection(status) : new AttemptEnd.Failed();
-            request.prefillFailed(placement, work, end, "status " + status.code() + ", no handle");
+            request.prefillFailed(
+                    placement, work, end, "the answer has status " + status.code() + " and no cache handle");
             return;
         }
         CacheSource source =
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefilledPrompt.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/PrefilledPrompt.java
@@ -10,7 +10,7 @@
  * @param source the address and handle of the cache
  */
 record PrefilledPrompt(BackendServer engine, CacheSource source) {
-    /** Tells the engine that the cache will not be transferred, so that it can free the memory. */
+    /** Notifies the engine that the cache will not be transferred, so that the engine can free its memory. */
     void release(ServingContext context, String requestId) {
         context.state()
                 .log()
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/QueueTracker.java
@@ -8,34 +8,39 @@
 final class QueueTracker {
     private final ServingContext context;
     private final ServedRequest request;
-    private final RequestDeadlines times;
+    private final RequestDeadlines deadlines;
     private final RequestTrace trace;
     private long dispatchedAt;
 
-    QueueTracker(ServingContext context, ServedRequest request, RequestDeadlines times, RequestTrace trace) {
+    QueueTracker(ServingContext context, ServedRequest request, RequestDeadlines deadlines, RequestTrace trace) {
         this.context = context;
         this.request = request;
-        this.times = times;
+        this.deadlines = deadlines;
         this.trace = trace;
     }
 
     /**
      * Adds the request to the queue until an engine has capacity.
      *
-     * @param wantedBy when the answer has to begin at the latest to be of use, in nanoseconds of the monotonic clock
+     * @param latestUsefulStart when the answer has to begin at the latest to be of use, in nanoseconds of the monotonic
+     *     clock
      */
-    void enqueue(Placement.Queued held, long wantedBy) {
+    void enqueue(Placement.Queued placement, long latestUsefulStart) {
         trace.queued(now());
         context.waitQueues()
                 .add(new WaitQueue.QueuedRequest<>(
-                        request, held.promptSeconds(), times.arrivedAt(), times.objectiveDeadline(), wantedBy));
+                        request,
+                        placement.promptSeconds(),
+                        deadlines.arrivedAt(),
+                        deadlines.objectiveDeadline(),
+                        latestUsefulStart));
     }
 
     /** Records that the request is sent to an engine. */
     void dispatched() {
         dispatchedAt = now();
         trace.dispatched(dispatchedAt);
-        context.waitQueues().dispatched(request.service(), times.objectiveDeadline(), dispatchedAt);
+        context.waitQueues().dispatched(request.service(), deadlines.objectiveDeadline(), dispatchedAt);
     }
 
     /** Records the first byte of the answer. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDigests.java
@@ -15,7 +15,7 @@
  * credentials and the body.
  *
  * <p>The caller's address is left out because no server sees it. The query is left out because a page or a random
- * number in it can differ between repeats of one request.
+ * number in it can differ each time that the caller sends the request.
  */
 final class RequestDigests {
     private RequestDigests() {}
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestDispatcher.java
@@ -60,26 +60,26 @@
     }
 
     @Override
-    public ActiveRequest serve(IncomingRequest incoming, AnswerWriter link) {
+    public ActiveRequest serve(IncomingRequest incoming, AnswerWriter writer) {
         CallerHeaders caller = callerProtocol.readHead(incoming.head());
-        return ready() ? serveNow(incoming, caller, link) : deferUntilReady(incoming, caller, link);
+        return ready() ? serveNow(incoming, caller, writer) : deferUntilReady(incoming, caller, writer);
     }
 
     private boolean ready() {
         return context.state().ready() && context.state().configuration().isPresent();
     }
 
-    private ActiveRequest deferUntilReady(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
+    private ActiveRequest deferUntilReady(IncomingRequest incoming, CallerHeaders caller, AnswerWriter writer) {
         Duration maxWait = caller.maxWait()
                 .filter(callerLimit -> callerLimit.compareTo(MAX_START_WAIT) < 0)
                 .orElse(MAX_START_WAIT);
         DeferredRequest deferred = new DeferredRequest(
                 incoming.receivedAtNanos() + maxWait.toNanos(),
-                () -> serveNow(incoming, caller, link),
+                () -> serveNow(incoming, caller, writer),
                 () -> refuse(
                         incoming,
                         caller,
-                        link,
+                        writer,
                         RequestOutcome.NOT_RUN,
                         LocalAnswers.notRun(
                                 "this entry has just started and has not read its configuration yet",
@@ -100,21 +100,21 @@
     private void pollDeferred() {
         long now = context.state().time().monotonicNanos();
         boolean ready = ready();
-        deferredRequests.removeIf(each -> each.settle(ready, now));
+        deferredRequests.removeIf(each -> each.serveOrRefuseIfDue(ready, now));
         if (deferredRequests.isEmpty()) {
             startPoll.cancel(false);
             startPoll = null;
         }
     }
 
-    private ActiveRequest serveNow(IncomingRequest incoming, CallerHeaders caller, AnswerWriter link) {
+    private ActiveRequest serveNow(IncomingRequest incoming, CallerHeaders caller, AnswerWriter writer) {
         Optional<ServingConfiguration> configuration = context.state().configuration();
         Optional<Route> route = configuration.get().match(incoming.host(), incoming.path());
         if (route.isEmpty()) {
             return refuse(
                     incoming,
                     caller,
-                    link,
+                    writer,
                     RequestOutcome.NO_ROUTE,
                     LocalAnswers.of(HttpResponseStatus.NOT_FOUND, "No route matches this host and path."));
         }
@@ -123,7 +123,7 @@
                 context,
                 incoming,
                 caller,
-                link,
+                writer,
                 route.get(),
                 service,
                 configuration.get().version());
@@ -163,11 +163,11 @@
     private ActiveRequest refuse(
             IncomingRequest incoming,
             CallerHeaders caller,
-            AnswerWriter link,
+            AnswerWriter writer,
             RequestOutcome outcome,
             FullHttpResponse answer) {
         endUnserved(incoming, caller, outcome);
-        link.sendAnswer(answer);
+        writer.sendAnswer(answer);
         return new LocallyAnsweredRequest();
     }
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RequestTrace.java
@@ -82,7 +82,7 @@
         return events == 0 ? OptionalLong.empty() : OptionalLong.of(lastEventAt);
     }
 
-    /** Records that a server is asked for the answer, and its load at that time. */
+    /** Records that the answer is requested from a server, and the server's load at that time. */
     void answerRequested(EngineLoad load, long now) {
         loadAtRequest = load;
         eventsOfAttempt = 0;
@@ -137,7 +137,7 @@
                 .write();
     }
 
-    /** Logs how an attempt ended and the next step. */
+    /** Logs how an attempt ended and which step follows. */
     void logAttemptEnded(DecisionLog log, AttemptEnd end, NextStep next) {
         log.notable("attempt-ended")
                 .with("request", caller.requestId())
@@ -149,8 +149,8 @@
     }
 
     /** Logs the complete trace, with the current load of the last server. */
-    void write(LogLine line, RequestOutcome outcome, int attempts, EngineLoad currentLoad, long now) {
-        line.with("request", caller.requestId())
+    void write(LogLine logLine, RequestOutcome outcome, int attempts, EngineLoad currentLoad, long now) {
+        logLine.with("request", caller.requestId())
                 .with("outcome", outcome.name())
                 .with("route", route.name())
                 .with("configuration", configurationVersion)
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RepeatPermit.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/RetryPermit.java
@@ -2,14 +2,14 @@
 
 import org.aspenmoor.internal.serving.AttemptTracker;
 
-/** Takes repeated attempts of one request out of the repeat budget, which all entries share. */
-final class RepeatPermit {
+/** Takes the retries of one request from the retry budget of its service, which all entries share. */
+final class RetryPermit {
     private final ServingContext context;
     private final String service;
     private final AttemptTracker attempts;
     private final RequestTrace trace;
 
-    RepeatPermit(ServingContext context, String service, AttemptTracker attempts, RequestTrace trace) {
+    RetryPermit(ServingContext context, String service, AttemptTracker attempts, RequestTrace trace) {
         this.context = context;
         this.service = service;
         this.attempts = attempts;
@@ -21,10 +21,10 @@
         if (!attempts.nextIsRetry()) {
             return true;
         }
-        boolean granted = context.state().tryTakeRepeat(service);
-        context.metrics().repeatRequested(service, granted);
+        boolean granted = context.state().tryTakeRetry(service);
+        context.metrics().retryRequested(service, granted);
         if (!granted) {
-            trace.setReason("the repeat budget of the service is used up; " + trace.reason());
+            trace.setReason("the retry budget of the service is used up; " + trace.reason());
         }
         return granted;
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServedRequest.java
@@ -27,26 +27,26 @@
 import org.aspenmoor.internal.serving.Route;
 import org.aspenmoor.internal.serving.WorkKind;
 
-/** Serves one caller's request: placement, attempts, repeats, exactly one answer. Confined to the event loop. */
+/** Serves one caller's request with one or more attempts and exactly one answer. Confined to the event loop. */
 final class ServedRequest implements ActiveRequest {
-    /** Minimum retry delay of a refused caller; after a shorter delay the cause of the refusal usually still exists. */
+    /** Minimum retry delay of a refused caller; a lack of time or of servers usually outlasts a shorter delay. */
     private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(200);
 
     private final ServingContext context;
     private final IncomingRequest incoming;
     private final CallerHeaders caller;
-    private final AnswerWriter link;
+    private final AnswerWriter writer;
     private final CallerStream stream;
     private final Route route;
     private final String service;
-    private final RequestDeadlines times;
+    private final RequestDeadlines deadlines;
     private final RequestTrace trace;
     private final AttemptMessages messages;
     private final AnswerProgress answerProgress;
     private final QueueTracker queue;
     private final AttemptTracker attempts;
     private final CurrentAttempt currentAttempt;
-    private final RepeatPermit permit;
+    private final RetryPermit permit;
     private final StallDetector stallDetector;
     private final FatalRequestCheck fatalCheck;
     private final PendingHandoff pendingHandoff;
@@ -60,28 +60,28 @@
             ServingContext context,
             IncomingRequest incoming,
             CallerHeaders caller,
-            AnswerWriter link,
+            AnswerWriter writer,
             Route route,
             String service,
             long configurationVersion) {
         this.context = context;
         this.incoming = incoming;
         this.caller = caller;
-        this.link = link;
-        this.stream = new CallerStream(link);
+        this.writer = writer;
+        this.stream = new CallerStream(writer);
         this.route = route;
         this.service = service;
         this.attempts = new AttemptTracker(route.retryRule(), route.maxBackends());
         this.currentAttempt = new CurrentAttempt(context, service, route.objective());
-        this.stallDetector = new StallDetector(context, route, link::writable, this::stalled);
-        this.times = new RequestDeadlines(incoming.receivedAtNanos(), caller.maxWait(), route);
+        this.stallDetector = new StallDetector(context, route, writer::writable, this::stalled);
+        this.deadlines = new RequestDeadlines(incoming.receivedAtNanos(), caller.maxWait(), route);
         this.trace = new RequestTrace(
-                caller, route, service, configurationVersion, incoming.receivedAtNanos(), times.deadline());
-        this.messages = new AttemptMessages(incoming, context.protocol(), route, times.deadline());
+                caller, route, service, configurationVersion, incoming.receivedAtNanos(), deadlines.deadline());
+        this.messages = new AttemptMessages(incoming, context.protocol(), route, deadlines.deadline());
         this.answerProgress = new AnswerProgress(context.state().placement(), service, caller.prompt(), trace);
-        this.queue = new QueueTracker(context, this, times, trace);
-        this.placements = new PlacementRequestFactory(service, caller, route, times, trace, stream, triedServers);
-        this.permit = new RepeatPermit(context, service, attempts, trace);
+        this.queue = new QueueTracker(context, this, deadlines, trace);
+        this.placements = new PlacementRequestFactory(service, caller, route, deadlines, trace, stream, triedServers);
+        this.permit = new RetryPermit(context, service, attempts, trace);
         this.pendingHandoff = new PendingHandoff(context, caller.requestId());
         this.fatalCheck = new FatalRequestCheck(context, caller.requestId(), service, incoming, trace);
     }
@@ -89,7 +89,7 @@
     void start() {
         context.state().requestArrived(service);
         answerProgress.expectWithin(route.timeout(), now());
-        long remaining = Math.max(0, times.deadline() - now());
+        long remaining = Math.max(0, deadlines.deadline() - now());
         deadlineTimer = context.eventLoop().schedule(this::deadlineReached, remaining, TimeUnit.NANOSECONDS);
         assignServer();
     }
@@ -99,7 +99,7 @@
         assignServer(placements.create(false, now()));
     }
 
-    /** Ends the request without having run it: it cannot leave the wait queue before its deadline. */
+    /** Refuses the request, which has not run, because it cannot leave the wait queue before its deadline. */
     void refuseFromQueue(Duration retryDelay) {
         trace.setReason("no engine has capacity before the deadline");
         conclude(attempts.stepWithoutRetry(), retryDelay);
@@ -119,7 +119,7 @@
 
     @Override
     public void writabilityChanged() {
-        currentAttempt.setReading(link.writable());
+        currentAttempt.setReading(writer.writable());
     }
 
     private void assignServer() {
@@ -131,19 +131,19 @@
             return;
         }
         switch (context.state().placement().choose(placementRequest, now())) {
-            case Placement.SingleServer whole -> {
-                trace.placementChosen("whole", whole.answerStartSeconds());
+            case Placement.SingleServer single -> {
+                trace.placementChosen("whole", single.answerStartSeconds());
                 WorkKind kind = caller.prompt().isPresent() ? WorkKind.WHOLE : WorkKind.PLAIN;
                 if (kind == WorkKind.WHOLE) {
                     queue.dispatched();
                 }
-                send(whole.server(), kind, whole.promptSeconds(), Optional.empty(), whole.cacheHolder());
+                send(single.server(), kind, single.promptSeconds(), Optional.empty(), single.cacheHolder());
             }
-            case Placement.Disaggregated staged -> {
-                trace.placementChosen("staged", staged.answerStartSeconds());
-                prefill(staged);
+            case Placement.Disaggregated disaggregated -> {
+                trace.placementChosen("staged", disaggregated.answerStartSeconds());
+                prefill(disaggregated);
             }
-            case Placement.Queued held -> queue.enqueue(held, times.callerWaitsUntil(trace.lastEventTime()));
+            case Placement.Queued queued -> queue.enqueue(queued, deadlines.callerWaitsUntil(trace.lastEventTime()));
             case Placement.Refused refused -> {
                 trace.setReason(refused.reason());
                 conclude(attempts.stepWithoutRetry(), refused.retryAfter());
@@ -158,25 +158,25 @@
         return remaining.isPresent();
     }
 
-    private void prefill(Placement.Disaggregated staged) {
+    private void prefill(Placement.Disaggregated placement) {
         queue.dispatched();
-        trace.sentTo(staged.prefill());
-        AssignedWork work = currentAttempt.begin(staged.prefill(), WorkKind.PROMPT_ONLY, staged.promptSeconds());
+        trace.sentTo(placement.prefill());
+        AssignedWork work = currentAttempt.begin(placement.prefill(), WorkKind.PROMPT_ONLY, placement.promptSeconds());
         caller.prompt()
-                .ifPresent(prompt -> context.state().placement().promptAssigned(staged.prefill(), prompt, now()));
-        FullHttpRequest message = messages.prefillRequest(staged, stream.lastEventId(), now());
-        PrefillAttempt prefill = new PrefillAttempt(this, context.protocol(), staged, work);
-        stallDetector.watch(prefill);
+                .ifPresent(prompt -> context.state().placement().promptAssigned(placement.prefill(), prompt, now()));
+        FullHttpRequest message = messages.prefillRequest(placement, stream.lastEventId(), now());
+        PrefillAttempt attempt = new PrefillAttempt(this, context.protocol(), placement, work);
+        stallDetector.watch(attempt);
         currentAttempt.setExchange(
-                work, context.connections().send(staged.prefill(), caller.requestId(), message, prefill));
+                work, context.connections().send(placement.prefill(), caller.requestId(), message, attempt));
     }
 
     private void send(
             BackendServer server,
             WorkKind kind,
             double promptSeconds,
-            Optional<CacheSource> source,
-            Optional<BackendServer> holder) {
+            Optional<CacheSource> cacheSource,
+            Optional<BackendServer> cacheHolder) {
         attempts.attemptStarted();
         trace.answerRequested(context.state().placement().load(server.id(), now()), now());
         triedServers.add(server);
@@ -184,7 +184,7 @@
         AssignedWork work = currentAttempt.begin(server, kind, promptSeconds);
         caller.prompt().ifPresent(prompt -> context.state().placement().promptAssigned(server, prompt, now()));
         answerAttempt = new AnswerAttempt(this, server, work, route.streamed());
-        FullHttpRequest message = messages.answerRequest(server, source, holder, stream.lastEventId(), now());
+        FullHttpRequest message = messages.answerRequest(server, cacheSource, cacheHolder, stream.lastEventId(), now());
         if (route.retryRule() == RetryRule.AT_MOST_ONCE || route.maxBackends() == 1) {
             stallDetector.cancel();
         } else {
@@ -218,8 +218,8 @@
         }
     }
 
-    void loadReported(AssignedWork work, AnswerMetadata facts) {
-        facts.load().ifPresent(load -> context.state().placement().loadReported(work, load, now()));
+    void loadReported(AssignedWork work, AnswerMetadata metadata) {
+        metadata.load().ifPresent(load -> context.state().placement().loadReported(work, load, now()));
     }
 
     void prefilled(Placement.Disaggregated placement, AssignedWork work, CacheSource source) {
@@ -244,15 +244,15 @@
         if (refusedByQuarantine()) {
             return;
         }
-        Optional<BackendServer> decoder = context.state()
+        Optional<BackendServer> decodeEngine = context.state()
                 .placement()
                 .chooseDecodeEngine(placements.create(false, now()), prefilled.engine(), now());
-        if (decoder.isEmpty()) {
+        if (decodeEngine.isEmpty()) {
             trace.setReason("no engine is available to generate the answer");
             conclude(attempts.stepWithoutRetry(), MIN_RETRY_DELAY);
             return;
         }
-        send(decoder.get(), WorkKind.HANDOFF, 0, Optional.of(prefilled.source()), Optional.empty());
+        send(decodeEngine.get(), WorkKind.HANDOFF, 0, Optional.of(prefilled.source()), Optional.empty());
     }
 
     /** Handles a failed prefill, which is optional: without it, a single engine does both prefill and decode. */
@@ -287,8 +287,8 @@
 
     void eventReceived(HttpResponse head, ByteBuf event) {
         stream.forward(head, event);
-        answerProgress.eventReceived(answerAttempt.work(), times.allowed(), now());
-        if (!link.writable()) {
+        answerProgress.eventReceived(answerAttempt.work(), deadlines.allowed(), now());
+        if (!writer.writable()) {
             currentAttempt.setReading(false);
         }
         if (context.state().placement().shouldMoveAnswer(answerAttempt.work(), now())) {
@@ -296,9 +296,9 @@
         }
     }
 
-    /** Continues after the last event at another engine if that is allowed; otherwise the current engine goes on. */
+    /** Continues the answer after its last event at another engine if allowed; otherwise the current one goes on. */
     private void continueElsewhere() {
-        if (!attempts.mayResumeElsewhere() || !context.state().tryTakeRepeat(service)) {
+        if (!attempts.mayResumeElsewhere() || !context.state().tryTakeRetry(service)) {
             return;
         }
         AssignedWork interrupted = answerAttempt.work();
@@ -319,42 +319,42 @@
         }
         answerProgress.completed();
         finish(RequestOutcome.ANSWERED);
-        link.endAnswer();
+        writer.endAnswer();
     }
 
     void answerComplete(AssignedWork work, HttpResponse head, ByteBuf body) {
         currentAttempt.end(work);
         if (stream.begun()) {
-            // The answer to the continuation is not a stream; if forwarded, it would corrupt the caller's stream.
+            // The server that was to continue the stream sent another answer, which would corrupt the caller's stream.
             body.release();
-            trace.setReason("the continuation got status " + head.status().code());
+            trace.setReason("the resume request got status " + head.status().code());
             conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.ANSWERED);
-        link.sendAnswer(OutgoingMessage.answer(head, body));
+        writer.sendAnswer(OutgoingMessage.answer(head, body));
     }
 
-    /** Handles an error answer of a server: retries elsewhere if the request may be repeated, otherwise forwards it. */
-    void failureReceived(AssignedWork work, HttpResponse head, ByteBuf body, AnswerMetadata facts) {
+    /** Handles an error answer: retries at another server if that is allowed, otherwise forwards the error answer. */
+    void failureReceived(AssignedWork work, HttpResponse head, ByteBuf body, AnswerMetadata metadata) {
         AttemptEnd end = new AttemptEnd.Failed();
         context.state().attemptEnded(work, end);
         currentAttempt.end(work);
         NextStep next = attempts.attemptEnded(end);
         trace.setReason("the server failed with status " + head.status().code());
         context.metrics().attemptEnded(service, "failed");
-        if (next == NextStep.REPEAT && !stream.begun() && times.deadline() > now() && permit.tryAcquire()) {
+        if (next == NextStep.REPEAT && !stream.begun() && deadlines.deadline() > now() && permit.tryAcquire()) {
             body.release();
             assignServer();
             return;
         }
-        if (stream.begun() || !facts.signed() || AnswerAttempt.impliesNoRun(head.status())) {
+        if (stream.begun() || !metadata.signed() || AnswerAttempt.impliesNoRun(head.status())) {
             body.release();
             conclude(NextStep.REPORT_UNKNOWN, MIN_RETRY_DELAY);
             return;
         }
         finish(RequestOutcome.FAILURE_PASSED_ON);
-        link.sendAnswer(OutgoingMessage.answer(head, body));
+        writer.sendAnswer(OutgoingMessage.answer(head, body));
     }
 
     void attemptEnded(AssignedWork work, AttemptEnd end, String reason) {
@@ -371,20 +371,18 @@
         context.metrics().attemptEnded(service, end.getClass().getSimpleName());
         NextStep next = attempts.attemptEnded(end);
         trace.logAttemptEnded(context.state().log(), end, next);
-        if (next == NextStep.REPEAT && times.deadline() > now() && fatalCheck.mayRepeat() && permit.tryAcquire()) {
+        if (next == NextStep.REPEAT && deadlines.deadline() > now() && fatalCheck.mayRetry() && permit.tryAcquire()) {
             retryElsewhere(end);
         } else {
             conclude(next == NextStep.REPEAT ? attempts.stepWithoutRetry() : next, MIN_RETRY_DELAY);
         }
     }
 
-    /**
-     * Retries elsewhere. If the decode engine was not reached, another one can transfer the prefill cache. If it
-     * rejected the request, the cache may have expired, so the prefill is repeated at another engine.
-     */
     private void retryElsewhere(AttemptEnd end) {
-        boolean untouched = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
-        if (untouched && pendingHandoff.prompt().isPresent()) {
+        // If the decode engine was not reached, another one can transfer the prefill cache. If it rejected the request,
+        // the cache may have expired, so another engine does the prefill again.
+        boolean decodeEngineNotReached = end instanceof AttemptEnd.Misdirected || end instanceof AttemptEnd.NeverSent;
+        if (decodeEngineNotReached && pendingHandoff.prompt().isPresent()) {
             handOff(pendingHandoff.prompt().get());
             return;
         }
@@ -409,17 +407,18 @@
         }
         if (stream.begun()) {
             finish(RequestOutcome.CUT);
-            link.abortAnswer();
+            writer.abortAnswer();
             return;
         }
         if (step == NextStep.REFUSE) {
             finish(RequestOutcome.NOT_RUN);
-            Duration effectiveDelay = retryDelay.compareTo(MIN_RETRY_DELAY) < 0 ? MIN_RETRY_DELAY : retryDelay;
-            link.sendAnswer(LocalAnswers.notRun(trace.reason(), context.state().withJitter(effectiveDelay)));
+            Duration delay = retryDelay.compareTo(MIN_RETRY_DELAY) < 0 ? MIN_RETRY_DELAY : retryDelay;
+            writer.sendAnswer(
+                    LocalAnswers.notRun(trace.reason(), context.state().withJitter(delay)));
             return;
         }
         finish(RequestOutcome.UNKNOWN);
-        link.sendAnswer(LocalAnswers.outcomeUnknown(trace.reason(), times.deadline() <= now()));
+        writer.sendAnswer(LocalAnswers.outcomeUnknown(trace.reason(), deadlines.deadline() <= now()));
     }
 
     /** Releases all resources of the request and logs its outcome; the answer, if any, is to be sent afterwards. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/ServingState.java
@@ -13,7 +13,7 @@
 import java.util.random.RandomGenerator;
 import org.aspenmoor.internal.gateway.log.DecisionLog;
 import org.aspenmoor.internal.gateway.roles.FleetSnapshot;
-import org.aspenmoor.internal.gateway.settings.RepeatSettings;
+import org.aspenmoor.internal.gateway.settings.RetrySettings;
 import org.aspenmoor.internal.serving.AssignedPrompt;
 import org.aspenmoor.internal.serving.AssignedWork;
 import org.aspenmoor.internal.serving.AttemptEnd;
@@ -37,7 +37,7 @@
 import org.aspenmoor.internal.serving.ServingConfiguration;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** The state of one entry process: configuration, servers, peers and repeat budgets. Confined to the event loop. */
+/** The state of one entry process: configuration, servers, peers and retry budgets. Confined to the event loop. */
 public final class ServingState {
     /**
      * Traffic normally pauses for fractions of a second; after some seconds without any, a role change affects no
@@ -51,11 +51,11 @@
     private final BackendDirectory directory = new BackendDirectory();
     private final PlacementPolicy placementPolicy;
     private final PeerLoads peers;
-    private final Set<String> listedStarts = new HashSet<>();
+    private final Set<String> listedIncarnations = new HashSet<>();
     private final Map<String, RoleChange> orderedRoleChanges = new HashMap<>();
-    private final Map<String, RetryAllowance> repeatAllowances = new HashMap<>();
+    private final Map<String, RetryAllowance> retryAllowances = new HashMap<>();
     private Optional<ServingConfiguration> configuration = Optional.empty();
-    private RepeatSettings repeatSettings;
+    private RetrySettings retrySettings;
     private boolean serverListKnown;
     private boolean fatalRequestsLoaded;
     private long lastRequestAt;
@@ -63,12 +63,12 @@
     public ServingState(
             TimeSource time,
             RandomGenerator random,
-            RepeatSettings repeatSettings,
+            RetrySettings retrySettings,
             DecisionLog log,
             PlacementSettings placementSettings) {
         this.time = time;
         this.random = random;
-        this.repeatSettings = repeatSettings;
+        this.retrySettings = retrySettings;
         this.lastRequestAt = time.monotonicNanos() - IDLE_AFTER.toNanos();
         this.log = log;
         this.peers = new PeerLoads();
@@ -76,16 +76,16 @@
     }
 
     /** Applies changed settings. */
-    public void reload(RepeatSettings newRepeatSettings, PlacementSettings placementSettings) {
-        if (!newRepeatSettings.equals(repeatSettings)) {
-            repeatSettings = newRepeatSettings;
-            repeatAllowances.clear();
+    public void reload(RetrySettings newRetrySettings, PlacementSettings placementSettings) {
+        if (!newRetrySettings.equals(retrySettings)) {
+            retrySettings = newRetrySettings;
+            retryAllowances.clear();
         }
         placementPolicy.reload(placementSettings);
     }
 
     /** Applies a configuration and returns whether it was newer than the one in force; others are ignored. */
-    public boolean configure(ServingConfiguration newer) {
+    public boolean applyConfiguration(ServingConfiguration newer) {
         if (configuration.isPresent() && newer.version() <= configuration.get().version()) {
             return false;
         }
@@ -197,22 +197,22 @@
     }
 
     /**
-     * Samples the prompt pressure of all model services.
+     * Samples the prompt load of all model services.
      *
      * @param waiting returns whether requests of a service wait at this entry
      */
-    public void samplePressure(Predicate<String> waiting) {
+    public void samplePromptLoads(Predicate<String> waiting) {
         long now = time.monotonicNanos();
         modelServices().forEach(service -> placementPolicy.samplePromptLoad(service, waiting.test(service), now));
     }
 
     /** Returns the engine speeds estimated by this entry, to be reported to the other entries. */
-    public List<LearnedSpeed> learntSpeeds() {
+    public List<LearnedSpeed> learnedSpeeds() {
         return placementPolicy.learnedSpeeds();
     }
 
-    /** Returns the event lengths estimated by this entry, to be reported to the other entries. */
-    public List<EventSize> eventLengths() {
+    /** Returns the event sizes estimated by this entry, to be reported to the other entries. */
+    public List<EventSize> eventSizes() {
         return placementPolicy.eventSizes();
     }
 
@@ -221,27 +221,27 @@
         peers.expire(now);
     }
 
-    /** Returns this entry's share of the load of each server, by server id. */
-    public Map<String, EntryLoad> ownLoadShares() {
+    /** Returns the load that this entry's own requests put on each server, by server id. */
+    public Map<String, EntryLoad> ownLoads() {
         return placementPolicy.ownLoads(time.monotonicNanos());
     }
 
-    /** Returns and clears the prompts that this entry has placed since the last call. */
+    /** Returns and clears the prompts that this entry has assigned to servers since the last call. */
     public List<AssignedPrompt> takeUnreportedPrompts() {
         return placementPolicy.takeUnreportedPrompts();
     }
 
     /**
      * Returns how many entries share the budgets: this one and those whose reports are received. Until a report is
-     * received, the number in the settings is used, because a process that has just started may be one of many.
+     * received, the assumed number of the settings is used, because a process that has just started may be one of many.
      */
     public int entryCount() {
         int peerCount = peers.activePeers();
-        return peerCount == 0 ? repeatSettings.assumedEntries() : peerCount + 1;
+        return peerCount == 0 ? retrySettings.assumedEntries() : peerCount + 1;
     }
 
     /** Returns the maximum number of connections that this entry may have open to one server of a service. */
-    public int connectionShare(String service) {
+    public int maxConnectionsPerServer(String service) {
         return configuration
                 .flatMap(known -> known.service(service))
                 .map(traits -> Math.max(1, traits.maxConnections() / entryCount()))
@@ -273,14 +273,14 @@
     }
 
     /**
-     * Returns the engines whose cache contents have to be listed, each start of an engine once. A process that has just
-     * started does not know what engines have cached; without the listing, after a restart of all entries every shared
-     * prompt part would be computed again while the callers wait.
+     * Returns the engines whose cache contents have to be listed, each incarnation of an engine once. A process that
+     * has just started does not know what engines have cached; without the listing, after a restart of all entries
+     * every shared prompt part would be prefilled again while the callers wait.
      */
     public List<BackendServer> takeEnginesToList() {
         List<BackendServer> engines = new ArrayList<>();
         for (BackendServer server : directory.servers()) {
-            if (cacheTokens(server) > 0 && listedStarts.add(server.id() + "@" + server.startedAt())) {
+            if (cacheTokens(server) > 0 && listedIncarnations.add(server.id() + "@" + server.startedAt())) {
                 engines.add(server);
             }
         }
@@ -316,15 +316,15 @@
         return services;
     }
 
-    /** Records a request for a service; it adds a fraction of a repeat to the service's budget. */
+    /** Records a request for a service, which adds a fraction of a retry to the service's retry budget. */
     void requestArrived(String service) {
         lastRequestAt = time.monotonicNanos();
-        repeatAllowance(service).recordRequest();
+        retryAllowance(service).recordRequest();
     }
 
-    /** Takes a repeat out of the service's budget; returns whether the budget allowed it. */
-    boolean tryTakeRepeat(String service) {
-        return repeatAllowance(service).tryTakeRetry(entryCount());
+    /** Takes a retry from the service's retry budget; returns whether the budget allowed it. */
+    boolean tryTakeRetry(String service) {
+        return retryAllowance(service).tryTakeRetry(entryCount());
     }
 
     /** Updates the estimate of a server from the end of an attempt. */
@@ -339,7 +339,7 @@
         }
     }
 
-    /** Returns whether this start of the server is registered as ready. */
+    /** Returns whether this incarnation of the server is registered as ready. */
     boolean acceptsWork(BackendServer server) {
         return directory
                 .find(server.id())
@@ -364,11 +364,10 @@
         return delay.plusNanos((long) (delay.toNanos() * random.nextDouble() / 2));
     }
 
-    private RetryAllowance repeatAllowance(String service) {
-        return repeatAllowances.computeIfAbsent(
+    private RetryAllowance retryAllowance(String service) {
+        return retryAllowances.computeIfAbsent(
                 service,
-                name -> new RetryAllowance(
-                        time, repeatSettings.ratio(), repeatSettings.slack(), repeatSettings.window()));
+                name -> new RetryAllowance(time, retrySettings.ratio(), retrySettings.slack(), retrySettings.window()));
     }
 
     private int cacheTokens(BackendServer server) {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/StallDetector.java
@@ -20,12 +20,12 @@
      */
     private static final int STALL_OBJECTIVES = 2;
 
-    /** Factor by which a queue may be longer than expected. */
+    /** Factor by which the queue time may exceed the expected one before an attempt is checked. */
     private static final double QUEUE_MARGIN = 2;
 
     /**
      * Maximum gap in a stream if the server sends nothing for other requests either, in percent of the gap after which
-     * callers leave; the rest of the time is left for another engine to continue.
+     * callers disconnect; the remaining time is for another engine to continue.
      */
     private static final int MAX_GAP_PERCENT = 40;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitQueues.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/WaitQueues.java
@@ -46,8 +46,8 @@
         queue(request.service()).remove(request);
     }
 
-    void dispatched(String service, long aimAt, long now) {
-        queue(service).dispatched(aimAt, now);
+    void dispatched(String service, long objectiveDeadline, long now) {
+        queue(service).dispatched(objectiveDeadline, now);
     }
 
     /** Records the first byte of an answer. */
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/package-info.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/request/package-info.java
@@ -1,2 +1,2 @@
-/** Serves callers' requests: placement, attempts at backend servers, repeats, streams and traces. */
+/** Serves callers' requests: placement, attempts at backend servers, retries, streams and traces. */
 package org.aspenmoor.internal.gateway.request;
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/FleetSnapshot.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/FleetSnapshot.java
@@ -9,7 +9,7 @@
  * @param services the load on the engines of each service that runs a model
  * @param idle whether neither this entry nor any entry it receives reports from has had a request for a while
  * @param responsibleForOrders whether this entry's name sorts first among the entries in contact, which makes it
- * responsible for orders
+ *     responsible for orders
  */
 public record FleetSnapshot(List<ServiceLoad> services, boolean idle, boolean responsibleForOrders) {
     public FleetSnapshot {
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleCoordinator.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/roles/RoleCoordinator.java
@@ -33,20 +33,20 @@
     private static final Duration CHECK_INTERVAL = Duration.ofSeconds(2);
 
     /**
-     * Number of consecutive checks that must find a deviation before this entry acts: engines that start register
-     * one after the other.
+     * Number of consecutive checks that must find roles other than the needed ones before this entry orders changes.
+     * A single check is not enough, because engines that start together register one after the other.
      */
     private static final int MIN_DEVIATIONS = 2;
 
     /**
-     * Number of consecutive checks with a deviation after which an entry acts in place of the responsible one,
+     * Number of consecutive checks with such a deviation after which an entry acts in place of the responsible one,
      * which may be disconnected from the store.
      */
     private static final int MIN_DEVIATIONS_IF_NOT_RESPONSIBLE = 4;
 
     /**
-     * Number of checks between two reads of the order lease: about the time for which its record must stay
-     * unchanged.
+     * Number of checks between two reads of the order lease. They take about as long as the lease's record has to stay
+     * unchanged before another entry may acquire the lease.
      */
     private static final int CHECKS_BETWEEN_LEASE_READS = 6;
 
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettings.java
@@ -20,7 +20,7 @@
  * @param gracePeriod how long after SIGTERM the process may run before it is killed
  * @param maxBodyBytes the maximum total size of the request bodies held in memory, in bytes
  * @param placement the settings for the placement of requests
- * @param repeats the limits on repeated attempts
+ * @param retries the limits on retries of requests
  */
 public record GatewaySettings(
         String process,
@@ -35,7 +35,7 @@
         Duration gracePeriod,
         int maxBodyBytes,
         PlacementSettings placement,
-        RepeatSettings repeats) {
+        RetrySettings retries) {
     /**
      * Returns whether the other settings have the same process name and addresses, which only change with a restart.
      */
@@ -64,6 +64,6 @@
                 gracePeriod,
                 maxBodyBytes,
                 placement,
-                repeats);
+                retries);
     }
 }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReader.java
@@ -20,7 +20,7 @@
     private static final int DEFAULT_BODY_MEBIBYTES = 48;
 
     /** Time within which an unresponsive connection to the store must be detected. */
-    private static final int DEFAULT_SILENCE_MILLISECONDS = 2000;
+    private static final int DEFAULT_STORE_TIMEOUT_MILLISECONDS = 2000;
 
     /** Fraction of that time for which a long poll waits; the rest is for its timeout and the next attempt. */
     private static final double WATCH_POLL_FRACTION = 0.6;
@@ -37,9 +37,9 @@
     private static final int MAX_MILLISECONDS = 3_600_000;
 
     private static final Duration DEFAULT_GRACE_PERIOD = Duration.ofSeconds(8);
-    private static final Duration DEFAULT_REPEAT_WINDOW = Duration.ofSeconds(10);
-    private static final double DEFAULT_REPEAT_RATIO = 0.1;
-    private static final double MAX_REPEAT_SLACK = 1_000_000;
+    private static final Duration DEFAULT_RETRY_WINDOW = Duration.ofSeconds(10);
+    private static final double DEFAULT_RETRY_RATIO = 0.1;
+    private static final double MAX_RETRY_SLACK = 1_000_000;
     private static final int DEFAULT_ASSUMED_ENTRIES = 16;
     private static final int MAX_ASSUMED_ENTRIES = 10_000;
     private static final double MAX_SECONDS = 3600;
@@ -71,7 +71,7 @@
                 readAddress(reader, "administration"),
                 readAddress(reader, "peers"),
                 reader.requiredHttpUrl("store"),
-                fractionOf(reader, "silenceMilliseconds", DEFAULT_SILENCE_MILLISECONDS, WATCH_POLL_FRACTION),
+                fractionOf(reader, "silenceMilliseconds", DEFAULT_STORE_TIMEOUT_MILLISECONDS, WATCH_POLL_FRACTION),
                 fractionOf(reader, "leavingMilliseconds", DEFAULT_LEAVING_MILLISECONDS, SERVER_CHANGE_PAUSE_FRACTION),
                 reader.seconds("graceSeconds", 1, MAX_SECONDS, DEFAULT_GRACE_PERIOD),
                 reader.integer("mostBodyMebibytes", 1, MAX_BODY_MEBIBYTES, DEFAULT_BODY_MEBIBYTES) * MEBIBYTE,
@@ -80,10 +80,10 @@
                         EngineSpeedReader.read(reader),
                         reader.decimal("ownPromptShare", MIN_OWN_PROMPT_FRACTION, 1, DEFAULT_OWN_PROMPT_FRACTION),
                         reader.decimal("secondsPerMegapair", 0, 1, 0)),
-                new RepeatSettings(
-                        reader.decimal("repeatRatio", 0, 1, DEFAULT_REPEAT_RATIO),
-                        reader.decimal("repeatSlack", 0, MAX_REPEAT_SLACK, 0),
-                        reader.seconds("repeatWindowSeconds", 1, MAX_SECONDS, DEFAULT_REPEAT_WINDOW),
+                new RetrySettings(
+                        reader.decimal("repeatRatio", 0, 1, DEFAULT_RETRY_RATIO),
+                        reader.decimal("repeatSlack", 0, MAX_RETRY_SLACK, 0),
+                        reader.seconds("repeatWindowSeconds", 1, MAX_SECONDS, DEFAULT_RETRY_WINDOW),
                         reader.integer("assumedEntries", 1, MAX_ASSUMED_ENTRIES, DEFAULT_ASSUMED_ENTRIES)));
     }
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/peers/ReportSender.java
@@ -14,7 +14,7 @@
 public final class ReportSender {
     private ReportSender() {}
 
-    /** Reports a role change that was ordered of an engine to the entry with the given registration. */
+    /** Sends a report that an engine has been ordered to change its role to the entry with the given registration. */
     public static void sendRoleChange(StoredObject registration, RoleChange change) throws IOException {
         InetSocketAddress address = PeerAddressCodec.parse(registration).orElseThrow();
         byte[] report = PeerReportCodec.serialise(new PeerReport(
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/DeferredRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/request/DeferredRequestTest.java
@@ -31,8 +31,8 @@
     // second later.
     @Test
     public void should_serve_request_when_process_becomes_ready() {
-        assertFalse(request.settle(false, 500));
-        assertTrue(request.settle(true, 600));
+        assertFalse(request.serveOrRefuseIfDue(false, 500));
+        assertTrue(request.serveOrRefuseIfDue(true, 600));
 
         assertEquals(calls, List.of("served"));
     }
@@ -41,8 +41,8 @@
     // another entry.
     @Test
     public void should_refuse_request_when_start_takes_too_long() {
-        assertFalse(request.settle(false, WAITS_UNTIL - 1));
-        assertTrue(request.settle(false, WAITS_UNTIL));
+        assertFalse(request.serveOrRefuseIfDue(false, WAITS_UNTIL - 1));
+        assertTrue(request.serveOrRefuseIfDue(false, WAITS_UNTIL));
 
         assertEquals(calls, List.of("refused"));
     }
@@ -52,13 +52,13 @@
     public void should_only_release_request_when_caller_left_before_start() {
         request.callerDisconnected();
 
-        assertTrue(request.settle(true, 100));
+        assertTrue(request.serveOrRefuseIfDue(true, 100));
         assertEquals(calls, List.of("released"));
     }
 
     @Test
     public void should_forward_caller_events_when_request_was_started() {
-        request.settle(true, 100);
+        request.serveOrRefuseIfDue(true, 100);
         request.callerDisconnected();
         request.writabilityChanged();
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/settings/GatewaySettingsReaderTest.java
@@ -34,7 +34,7 @@
         assertEquals(settings.process(), "entry-1");
         assertEquals(settings.callers().getPort(), 8000);
         assertEquals(settings.gracePeriod(), Duration.ofSeconds(8));
-        assertEquals(settings.repeats().window(), Duration.ofSeconds(10));
+        assertEquals(settings.retries().window(), Duration.ofSeconds(10));
     }
 
     @Test
@@ -47,8 +47,8 @@
         AspenmoorException thrown =
                 expectThrows(AspenmoorException.class, () -> new GatewaySettingsReader().read("entry.json", invalid));
 
-        for (String place : List.of("callers", "store", "process", "graceSecond")) {
-            assertTrue(thrown.getMessage().contains(place), place + " in " + thrown.getMessage());
+        for (String location : List.of("callers", "store", "process", "graceSecond")) {
+            assertTrue(thrown.getMessage().contains(location), location + " in " + thrown.getMessage());
         }
     }
 
--- a/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoor/internal/gateway/standin/TestGateway.java
@@ -21,7 +21,7 @@
 import org.aspenmoor.internal.gateway.membership.RegistrationDecoder;
 import org.aspenmoor.internal.gateway.peers.ReportSender;
 import org.aspenmoor.internal.gateway.settings.GatewaySettings;
-import org.aspenmoor.internal.gateway.settings.RepeatSettings;
+import org.aspenmoor.internal.gateway.settings.RetrySettings;
 import org.aspenmoor.internal.routing.EngineSpeed;
 import org.aspenmoor.internal.serving.BackendServer;
 import org.aspenmoor.internal.serving.BackendState;
@@ -89,7 +89,7 @@
                 Duration.ofSeconds(8),
                 8 * 1024 * 1024,
                 placement,
-                new RepeatSettings(1, 100, Duration.ofSeconds(10), 1));
+                new RetrySettings(1, 100, Duration.ofSeconds(10), 1));
         SystemTimeSource time = new SystemTimeSource();
         DecisionLog log = new DecisionLog(time, process, new PrintStream(logged, true, StandardCharsets.UTF_8));
         log.start();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -72,7 +72,7 @@
     // Guards against one arrival that is sent to one server after another although earlier attempts terminated
     // servers.
     @Test
-    public void should_count_terminations_when_one_arrival_is_repeated() throws Exception {
+    public void should_count_terminations_when_one_arrival_is_retried() throws Exception {
         startPlainServers();
 
         sendFatalRequestRepeatedly("/read/a");
@@ -145,8 +145,8 @@
         assertTrue(prefills <= MAX_TERMINATIONS, "prefills: " + prefills);
     }
 
-    // Guards against callers who are told to retry at once although they will be refused again, or that it may have
-    // run.
+    // Guards against an answer that makes callers retry at once although they would be refused again, and against one
+    // that states that the request may have run.
     @Test
     public void should_answer_not_run_with_retry_after_when_request_is_quarantined() throws Exception {
         startPlainServers();
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/PlainRequestTest.java
@@ -78,10 +78,11 @@
         }
     }
 
-    // A server accepts a booking and its connection breaks before the answer. A caller that is told that the
-    // booking has not run would book a second time.
+    // A server accepts a booking and its connection breaks before the answer. If the caller received the answer that
+    // the
+    // booking has not run, it would book a second time.
     @Test
-    public void should_report_unknown_outcome_without_repeat_when_booking_is_lost() throws Exception {
+    public void should_report_unknown_outcome_without_retry_when_booking_is_lost() throws Exception {
         ScriptedBackend first = backend("one", request -> Reply.thenClose(""));
         ScriptedBackend second = backend("two", request -> Reply.thenClose(""));
         gateway.publish();
@@ -95,7 +96,7 @@
     }
 
     @Test
-    public void should_repeat_idempotent_request_when_its_answer_is_lost() throws Exception {
+    public void should_retry_idempotent_request_when_its_answer_is_lost() throws Exception {
         boolean[] lost = {false};
         Script losesTheFirst = request -> {
             synchronized (lost) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -247,10 +247,10 @@
     }
 
     // A decode engine rejects a request because it is out of memory. The prefill is repeated, which loads an engine
-    // a second time. Both repeats have to count against the repeat budget; otherwise a fleet that is short of
-    // memory gets twice the load.
+    // a second time. Both the new prefill and the new attempt at decoding have to count against the retry budget;
+    // otherwise a fleet that is short of memory gets twice the load.
     @Test
-    public void should_count_repeat_when_prefill_is_repeated() throws Exception {
+    public void should_count_retry_when_prefill_is_repeated() throws Exception {
         backend("prefill", EngineRole.PREFILL, StreamTest::prefillAnswer);
         backend("prefill-too", EngineRole.PREFILL, StreamTest::prefillAnswer);
         boolean[] refused = {false};
@@ -297,7 +297,8 @@
     }
 
     // All entries have been restarted and have lost their state, while the engines still have prompts cached.
-    // Prompts placed at other engines would all be computed again within the seconds in which the callers retry.
+    // If the prompts were assigned to other engines, all of them would be prefilled again within the seconds in which
+    // the callers retry.
     @Test
     public void should_use_cached_prompts_of_engines_when_entry_starts() throws Exception {
         for (int engine = 0; engine < 5; engine++) {
