--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -24,7 +24,7 @@
     private static final String PLAIN = "registry";
     private static final String MODEL = "model";
     private static final String FATAL_BODY = "fatal";
-    private static final String SERVER_ENDED_EVENT = "\"event\":\"server-ended\"";
+    private static final String SERVER_TERMINATED_EVENT = "\"event\":\"server-ended\"";
 
     private static final int SERVERS = 10;
     private static final int ARRIVALS = 10;
@@ -117,17 +117,17 @@
     @Test
     public void should_not_prefill_when_request_is_quarantined() throws Exception {
         List<ScriptedBackend> prefillEngines = new ArrayList<>();
-        for (int number = 0; number < 2; number++) {
+        for (int index = 0; index < 2; index++) {
             prefillEngines.add(gateway.backend(
-                    "prompts-" + number,
+                    "prompts-" + index,
                     MODEL,
                     EngineRole.PREFILL,
                     TestGateway.LOCAL_DATA_CENTRE,
                     FatalRequestTest::prefillAnswer));
         }
-        for (int number = 0; number < SERVERS; number++) {
+        for (int index = 0; index < SERVERS; index++) {
             servers.add(gateway.backend(
-                    "answers-" + number,
+                    "answers-" + index,
                     MODEL,
                     EngineRole.DECODE,
                     TestGateway.LOCAL_DATA_CENTRE,
@@ -188,13 +188,13 @@
     private void sendFatalRequestRepeatedly(String path) throws IOException {
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             call(gateway, path, FATAL_BODY, arrival);
-            gateway.awaitLogged(SERVER_ENDED_EVENT, terminatedServers());
+            gateway.awaitLogged(SERVER_TERMINATED_EVENT, terminatedServers());
         }
     }
 
     private void startPlainServers() throws AspenmoorException, IOException {
-        for (int number = 0; number < SERVERS; number++) {
-            servers.add(gateway.backend("server-" + number, PLAIN, FatalRequestTest::crashIfFatal));
+        for (int index = 0; index < SERVERS; index++) {
+            servers.add(gateway.backend("server-" + index, PLAIN, FatalRequestTest::crashIfFatal));
         }
         gateway.publish();
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -97,10 +97,10 @@
 
             assertEquals(caller.readAnswer().body(), eventText(1) + eventText(2) + eventText(3));
         }
-        List<ReceivedRequest> all = new ArrayList<>(callerRequests(first));
-        all.addAll(callerRequests(second));
-        assertEquals(all.size(), 2);
-        assertTrue(all.stream()
+        List<ReceivedRequest> requests = new ArrayList<>(callerRequests(first));
+        requests.addAll(callerRequests(second));
+        assertEquals(requests.size(), 2);
+        assertTrue(requests.stream()
                 .anyMatch(request ->
                         request.header(TestProtocols.LAST_EVENT).orElse("").equals("1")));
     }
@@ -279,7 +279,7 @@
                 gateway.metrics());
     }
 
-    // The prefill engine accepts no request. The other engine can do both stages, only slower.
+    // The prefill engine breaks each connection. The other engine can do both stages, but more slowly.
     @Test
     public void should_answer_without_separate_prefill_when_prefill_fails() throws Exception {
         backend("prefill", EngineRole.PREFILL, request -> Reply.thenClose(""));
@@ -368,8 +368,8 @@
         return "POST " + path + "a HTTP/1.1\r\nHost: house.example\r\nTest-Id: r1\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String eventText(int number) {
-        return "id: " + number + "\ndata: token " + number + "\n\n";
+    private static String eventText(int eventId) {
+        return "id: " + eventId + "\ndata: token " + eventId + "\n\n";
     }
 
     private static String eventsFrom(int first) {
@@ -378,7 +378,7 @@
                 .collect(Collectors.joining());
     }
 
-    private static String eventChunk(int number) {
-        return HttpText.chunk(eventText(number));
+    private static String eventChunk(int eventId) {
+        return HttpText.chunk(eventText(eventId));
     }
 }
