--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/AdministrationClient.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/AdministrationClient.java
@@ -14,81 +14,81 @@
 import java.util.OptionalLong;
 import org.aspenmoor.AspenmoorException;
 
-/** Calls the administration API of one entry. */
+/** HTTP client for the administration API of one entry. */
 final class AdministrationClient {
     private static final String ROOT = "/admin/v1/";
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(30);
-    private static final int LEAST_ERROR = 400;
+    private static final int MIN_ERROR_STATUS = 400;
 
     private final ObjectMapper mapper = new ObjectMapper();
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
-    private final URI entry;
+    private final URI entryAddress;
     private final String token;
 
-    AdministrationClient(URI entry, String token) {
-        this.entry = entry;
+    AdministrationClient(URI entryAddress, String token) {
+        this.entryAddress = entryAddress;
         this.token = token;
     }
 
-    /** Reads something. */
+    /** Sends a GET request and returns the JSON body of the answer. */
     JsonNode get(String path) throws AspenmoorException {
         return send(path, request(path).GET(), false);
     }
 
-    /** Asks for something that changes nothing, with a body; on the revision that was read, if any is given. */
-    JsonNode ask(String path, OptionalLong readRevision, String body) throws AspenmoorException {
+    /** Sends a POST request that changes nothing; if a base revision is given, the entry requires it to be current. */
+    JsonNode postQuery(String path, OptionalLong baseRevision, String body) throws AspenmoorException {
         HttpRequest.Builder request = request(path).POST(HttpRequest.BodyPublishers.ofString(body));
-        readRevision.ifPresent(revision -> onRevision(request, revision));
+        baseRevision.ifPresent(revision -> expectRevision(request, revision));
         return send(path, request, false);
     }
 
-    /** Accepts a document on the revision that was read. */
-    JsonNode put(String path, long readRevision, String body) throws AspenmoorException {
+    /** Accepts a document, provided that the base revision is still the current one. */
+    JsonNode put(String path, long baseRevision, String body) throws AspenmoorException {
         HttpRequest.Builder request = request(path).PUT(HttpRequest.BodyPublishers.ofString(body));
-        return send(path, onRevision(request, readRevision), true);
+        return send(path, expectRevision(request, baseRevision), true);
     }
 
-    /** Carries out a change without a body on the revision that was read. */
-    JsonNode change(String path, long readRevision) throws AspenmoorException {
+    /** Sends a change without a body, provided that the base revision is still the current one. */
+    JsonNode postChange(String path, long baseRevision) throws AspenmoorException {
         HttpRequest.Builder request = request(path).POST(HttpRequest.BodyPublishers.noBody());
-        return send(path, onRevision(request, readRevision), true);
+        return send(path, expectRevision(request, baseRevision), true);
     }
 
-    private static HttpRequest.Builder onRevision(HttpRequest.Builder request, long revision) {
+    private static HttpRequest.Builder expectRevision(HttpRequest.Builder request, long revision) {
         return request.header("If-Match", "\"" + revision + "\"");
     }
 
     private HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(entry.resolve(ROOT + path))
+        return HttpRequest.newBuilder(entryAddress.resolve(ROOT + path))
                 .timeout(ANSWER_TIMEOUT)
                 .header("Authorization", "Bearer " + token);
     }
 
-    private JsonNode send(String path, HttpRequest.Builder request, boolean changes) throws AspenmoorException {
+    private JsonNode send(String path, HttpRequest.Builder request, boolean isChange) throws AspenmoorException {
         try {
             HttpResponse<String> response = client.send(request.build(), HttpResponse.BodyHandlers.ofString());
             JsonNode body = parse(response.body());
-            if (response.statusCode() >= LEAST_ERROR) {
-                throw new CallRefusedException(response.statusCode(), body, entry + ROOT + path);
+            if (response.statusCode() >= MIN_ERROR_STATUS) {
+                throw new CallRefusedException(response.statusCode(), body, entryAddress + ROOT + path);
             }
             return body;
         } catch (ConnectException neverSent) {
-            throw new EntryUnreachableException(entry.toString(), false, neverSent);
-        } catch (IOException lost) {
-            throw new EntryUnreachableException(entry.toString(), changes, lost);
+            throw new EntryUnreachableException(entryAddress.toString(), false, neverSent);
+        } catch (IOException failure) {
+            throw new EntryUnreachableException(entryAddress.toString(), isChange, failure);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-            throw new EntryUnreachableException(entry.toString(), changes, interrupted);
+            throw new EntryUnreachableException(entryAddress.toString(), isChange, interrupted);
         }
     }
 
-    /** Reads a body; one that is no JSON, as from a wrong address, counts as empty. */
+    /** Parses a body; a body that is not JSON, for example from a wrong address, is treated as an empty object. */
     private JsonNode parse(String body) {
         try {
             return mapper.readTree(body);
-        } catch (JsonProcessingException notOurs) {
+        } catch (JsonProcessingException notJson) {
             return JsonNodeFactory.instance.objectNode();
         }
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/CallRefusedException.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/CallRefusedException.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.aspenmoor.AspenmoorException;
 
-/** The entry answered with an error. */
+/** Thrown when the entry answers with an HTTP error status. */
 final class CallRefusedException extends AspenmoorException {
     private static final long serialVersionUID = 1L;
     private static final int PRECONDITION_FAILED = 412;
@@ -19,7 +19,7 @@
         super(
                 body.path("problem").asText("The entry answered with status " + status + "."),
                 body.path("place").asText(address),
-                body.path("remedy").asText("Check that --entry names an entry of aspenmoor."));
+                body.path("remedy").asText("Check that --entry gives the address of an aspenmoor entry."));
         this.status = status;
         this.body = body;
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ChangeDialogue.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ChangeConfirmation.java
@@ -6,29 +6,29 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Shows what a change will do, asks, carries it out, and waits until it is in force if told to. */
-final class ChangeDialogue {
+/** Shows a proposed change, asks for confirmation, sends it and, with {@code --wait}, waits until it is in force. */
+final class ChangeConfirmation {
     private final Invocation invocation;
 
-    ChangeDialogue(Invocation invocation) {
+    ChangeConfirmation(Invocation invocation) {
         this.invocation = invocation;
     }
 
-    /** Sends a change that the operator has agreed to. */
+    /** A change that is sent once the operator has confirmed it. */
     interface Change {
         JsonNode send() throws AspenmoorException;
     }
 
     ExitCode run(Proposal proposal, Change change) throws AspenmoorException {
-        boolean json = invocation.has(Options.JSON);
+        boolean json = invocation.hasOption(Options.JSON);
         if (!json) {
-            invocation.out().println(proposal.name() + " against revision " + proposal.readRevision() + ":");
-            ChangeList.print(invocation.out(), proposal.answer().path("changes"));
+            invocation.out().println(proposal.name() + " against revision " + proposal.baseRevision() + ":");
+            ChangeListPrinter.print(invocation.out(), proposal.answer().path("changes"));
         }
-        if (proposal.changesNothing()) {
+        if (proposal.hasNoChanges()) {
             return ExitCode.DONE;
         }
-        if (!invocation.has(Options.YES) && !agrees(proposal)) {
+        if (!invocation.hasOption(Options.YES) && !isConfirmed(proposal)) {
             invocation.terminal().error().println("aspenmoor: Nothing was changed.");
             return ExitCode.DECLINED;
         }
@@ -39,11 +39,11 @@
         } else {
             invocation.out().println("Accepted as revision " + revision + ".");
         }
-        return invocation.has(Options.WAIT) ? await(proposal.name(), revision) : ExitCode.DONE;
+        return invocation.hasOption(Options.WAIT) ? awaitInForce(proposal.name(), revision) : ExitCode.DONE;
     }
 
-    private boolean agrees(Proposal proposal) {
-        invocation.terminal().error().print("Accept as revision " + (proposal.readRevision() + 1) + "? [y/N] ");
+    private boolean isConfirmed(Proposal proposal) {
+        invocation.terminal().error().print("Accept as revision " + (proposal.baseRevision() + 1) + "? [y/N] ");
         invocation.terminal().error().flush();
         Optional<String> answer = invocation.terminal().readLine();
         return answer.map(text -> text.strip().toLowerCase(Locale.ROOT))
@@ -51,7 +51,7 @@
                 .isPresent();
     }
 
-    private ExitCode await(ServiceName name, long revision) throws AspenmoorException {
+    private ExitCode awaitInForce(ServiceName name, long revision) throws AspenmoorException {
         return new InForceWait(invocation, name, revision).run();
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ChangeList.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ChangeListPrinter.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintStream;
 
-/** Shows changes and what each does to engines. */
-final class ChangeList {
-    private ChangeList() {}
+/** Prints a list of changes with the effect of each on engines. */
+final class ChangeListPrinter {
+    private ChangeListPrinter() {}
 
     static void print(PrintStream out, JsonNode changes) {
         if (changes.isEmpty()) {
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Command.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Command.java
@@ -4,25 +4,25 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** One command of the tool. */
+/** A command of the operator tool. */
 interface Command {
-    /** Returns the words that call it, such as {@code document check}. */
+    /** Returns the words that select this command, such as {@code document check}. */
     String name();
 
-    /** Returns its arguments as the help shows them. */
-    String arguments();
+    /** Returns the syntax of the arguments as shown in the help. */
+    String argumentSyntax();
 
-    /** Returns what it does, in one line. */
+    /** Returns a one-line description for the help. */
     String summary();
 
-    /** Declares its own options beside the common ones. */
-    default void declare(OptionParser parser) {}
+    /** Declares the options of this command in addition to the common ones. */
+    default void declareOptions(OptionParser parser) {}
 
-    /** Returns fixed words that may follow it, for completion. */
-    default List<String> words() {
+    /** Returns the fixed argument values that shell completion suggests. */
+    default List<String> completionWords() {
         return List.of();
     }
 
-    /** Runs it. */
+    /** Runs the command. */
     ExitCode run(Invocation invocation) throws AspenmoorException;
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/CompletionCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/CompletionCommand.java
@@ -9,11 +9,11 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** Prints a script that completes command lines in a shell. */
+/** Prints a shell completion script. */
 final class CompletionCommand implements Command {
     private static final String SHELL = "bash";
-    // How the parser names what is no option.
-    private static final String ARGUMENTS = "[arguments]";
+    // Name under which the option parser lists the arguments that are not options.
+    private static final String NON_OPTION_ARGUMENTS = "[arguments]";
 
     private final List<Command> commands;
 
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return SHELL;
     }
 
@@ -37,14 +37,14 @@
     }
 
     @Override
-    public List<String> words() {
+    public List<String> completionWords() {
         return List.of(SHELL);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        if (!invocation.arguments(1).getFirst().equals(SHELL)) {
-            throw new UsageException("Only bash is known.", name());
+        if (!invocation.requireArguments(1).getFirst().equals(SHELL)) {
+            throw new UsageException("Completion is available for bash only.", name());
         }
         invocation.out().print(script());
         return ExitCode.DONE;
@@ -52,16 +52,16 @@
 
     private String script() {
         StringBuilder cases = new StringBuilder();
-        Map<String, Set<String>> nextWords = new LinkedHashMap<>();
-        nextWords.put("", new TreeSet<>(List.of(name(), "--help", "--version")));
-        nextWords.put(name(), new TreeSet<>(words()));
+        Map<String, Set<String>> candidatesByPrefix = new LinkedHashMap<>();
+        candidatesByPrefix.put("", new TreeSet<>(List.of(name(), "--help", "--version")));
+        candidatesByPrefix.put(name(), new TreeSet<>(completionWords()));
         for (Command command : commands) {
-            addWords(command, nextWords);
+            addCandidates(command, candidatesByPrefix);
         }
-        nextWords.forEach((words, next) -> cases.append("        \"")
-                .append(words)
+        candidatesByPrefix.forEach((prefix, candidates) -> cases.append("        \"")
+                .append(prefix)
                 .append("\") candidates=\"")
-                .append(String.join(" ", next))
+                .append(String.join(" ", candidates))
                 .append("\" ;;\n"));
         return """
                 _aspenmoor() {
@@ -82,21 +82,23 @@
                 """.formatted(cases);
     }
 
-    private static void addWords(Command command, Map<String, Set<String>> nextWords) {
+    private static void addCandidates(Command command, Map<String, Set<String>> candidatesByPrefix) {
         String[] words = command.name().split(" ");
-        String before = "";
+        String prefix = "";
         for (String word : words) {
-            nextWords.computeIfAbsent(before, ignored -> new TreeSet<>()).add(word);
-            before = before.isEmpty() ? word : before + " " + word;
+            candidatesByPrefix
+                    .computeIfAbsent(prefix, ignored -> new TreeSet<>())
+                    .add(word);
+            prefix = prefix.isEmpty() ? word : prefix + " " + word;
         }
-        Set<String> last = nextWords.computeIfAbsent(before, ignored -> new TreeSet<>());
-        last.addAll(command.words());
-        OptionParser parser = Options.common();
-        command.declare(parser);
+        Set<String> candidates = candidatesByPrefix.computeIfAbsent(prefix, ignored -> new TreeSet<>());
+        candidates.addAll(command.completionWords());
+        OptionParser parser = Options.commonParser();
+        command.declareOptions(parser);
         parser.recognizedOptions().values().stream()
                 .map(option -> option.options())
                 .flatMap(Collection::stream)
-                .filter(option -> !option.equals(ARGUMENTS))
-                .forEach(option -> last.add("--" + option));
+                .filter(option -> !option.equals(NON_OPTION_ARGUMENTS))
+                .forEach(option -> candidates.add("--" + option));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentAcceptCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentAcceptCommand.java
@@ -3,7 +3,7 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** Accepts a file after showing what it changes. */
+/** Accepts a document from a file after showing its changes and asking for confirmation. */
 final class DocumentAcceptCommand implements Command {
     @Override
     public String name() {
@@ -11,32 +11,34 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "FILE";
     }
 
     @Override
     public String summary() {
-        return "Shows what a file changes, also on engines, asks, and accepts it.";
+        return "Shows what a file changes, including the effect on engines, asks for confirmation, and accepts it.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareChange(parser);
-        parser.accepts(Options.BASE, "the revision that the file was made from; else the one in the file")
+    public void declareOptions(OptionParser parser) {
+        Options.declareChangeOptions(parser);
+        parser.accepts(
+                        Options.BASE,
+                        "revision that the file is based on; default: the revision in the file, else the current one")
                 .withRequiredArg()
                 .ofType(Long.class);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        String file = invocation.arguments(1).getFirst();
+        String file = invocation.requireArguments(1).getFirst();
         Proposal proposal = Proposal.ofFile(invocation, file);
-        return new ChangeDialogue(invocation)
+        return new ChangeConfirmation(invocation)
                 .run(
                         proposal,
                         () -> invocation
                                 .client()
-                                .put(ServicePaths.of(proposal.name()), proposal.readRevision(), proposal.text()));
+                                .put(ServicePaths.of(proposal.name()), proposal.baseRevision(), proposal.text()));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentDifferenceCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentDifferenceCommand.java
@@ -5,9 +5,9 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Shows what a file, or one revision against another, changes. */
+/** Shows what a file would change, or the differences between two revisions. */
 final class DocumentDifferenceCommand implements Command {
-    private static final int ARGUMENTS_OF_REVISIONS = 3;
+    private static final int REVISION_ARGUMENT_COUNT = 3;
 
     @Override
     public String name() {
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "FILE | TEAM/SERVICE FROM TO";
     }
 
@@ -26,29 +26,29 @@
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        if (invocation.argumentCount() == ARGUMENTS_OF_REVISIONS) {
-            return betweenRevisions(invocation, invocation.arguments(ARGUMENTS_OF_REVISIONS));
+        if (invocation.argumentCount() == REVISION_ARGUMENT_COUNT) {
+            return compareRevisions(invocation, invocation.requireArguments(REVISION_ARGUMENT_COUNT));
         }
-        String file = invocation.arguments(1).getFirst();
+        String file = invocation.requireArguments(1).getFirst();
         JsonNode proposal = Proposal.ofFile(invocation, file).answer();
-        if (invocation.has(Options.JSON)) {
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(proposal.toPrettyString());
             return ExitCode.DONE;
         }
         invocation.out().println("Against revision " + proposal.path("revision").asLong() + ":");
-        ChangeList.print(invocation.out(), proposal.get("changes"));
+        ChangeListPrinter.print(invocation.out(), proposal.get("changes"));
         return ExitCode.DONE;
     }
 
-    private static ExitCode betweenRevisions(Invocation invocation, List<String> arguments) throws AspenmoorException {
-        ServiceName name = invocation.service(arguments.getFirst());
+    private static ExitCode compareRevisions(Invocation invocation, List<String> arguments) throws AspenmoorException {
+        ServiceName name = invocation.parseServiceName(arguments.getFirst());
         RevisionDifference difference = new RevisionDifference(invocation.client(), name);
-        JsonNode changes =
-                difference.between(invocation.revision(arguments.get(1)), invocation.revision(arguments.get(2)));
-        if (invocation.has(Options.JSON)) {
+        JsonNode changes = difference.between(
+                invocation.parseRevision(arguments.get(1)), invocation.parseRevision(arguments.get(2)));
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(changes.toPrettyString());
         } else {
-            ChangeList.print(invocation.out(), changes);
+            ChangeListPrinter.print(invocation.out(), changes);
         }
         return ExitCode.DONE;
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentEditCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentEditCommand.java
@@ -8,10 +8,10 @@
 import org.aspenmoor.internal.document.ServiceName;
 
 /**
- * Changes single fields of a document.
+ * Changes individual fields of a document.
  *
- * <p>It opens no editor: the tool, like every program of the system, starts no other process. For larger changes, redirect
- * {@code document get} into a file and accept that.
+ * <p>Does not open an editor, because no program of the system starts other processes. For larger changes, redirect the
+ * output of {@code document get} to a file, edit the file and accept it.
  */
 final class DocumentEditCommand implements Command {
     @Override
@@ -20,41 +20,42 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "TEAM/SERVICE --set FIELD=VALUE...";
     }
 
     @Override
     public String summary() {
-        return "Changes single fields, such as --set models.scene-drafter.version=4, and accepts the result.";
+        return "Changes individual fields, such as --set models.scene-drafter.version=4, and accepts the result.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareChange(parser);
-        parser.accepts(Options.SET, "a field's path and its new value, in JSON or plain text; may be repeated")
+    public void declareOptions(OptionParser parser) {
+        Options.declareChangeOptions(parser);
+        parser.accepts(Options.SET, "path and new value of a field, in JSON or plain text; may be given more than once")
                 .withRequiredArg();
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        ServiceName name = invocation.service(invocation.arguments(1).getFirst());
-        List<String> assignments = invocation.texts(Options.SET);
+        ServiceName name =
+                invocation.parseServiceName(invocation.requireArguments(1).getFirst());
+        List<String> assignments = invocation.optionValues(Options.SET);
         if (assignments.isEmpty()) {
             throw new UsageException(
-                    "No field is set.",
+                    "No field assignment was given.",
                     name(),
-                    "Add --set FIELD=VALUE; or write \"aspenmoor document get " + name
+                    "Add --set FIELD=VALUE; or run \"aspenmoor document get " + name
                             + " > FILE\", change the file, and accept it.");
         }
-        JsonNode read = invocation.client().get(ServicePaths.of(name));
-        JsonNode document = read.path("document");
+        JsonNode current = invocation.client().get(ServicePaths.of(name));
+        JsonNode document = current.path("document");
         for (String assignment : assignments) {
             FieldAssignment.parse(assignment).applyTo(document);
         }
-        long revision = read.path("revision").asLong();
+        long revision = current.path("revision").asLong();
         Proposal proposal = Proposal.of(invocation, name, document.toPrettyString(), OptionalLong.of(revision));
-        return new ChangeDialogue(invocation)
+        return new ChangeConfirmation(invocation)
                 .run(proposal, () -> invocation.client().put(ServicePaths.of(name), revision, proposal.text()));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentGetCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentGetCommand.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Prints a document as the store holds it. */
+/** Prints a document as it is stored. */
 final class DocumentGetCommand implements Command {
     @Override
     public String name() {
@@ -13,35 +13,36 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "TEAM/SERVICE";
     }
 
     @Override
     public String summary() {
-        return "Prints a document, ready to be changed and accepted.";
+        return "Prints a document in a form that can be edited and accepted.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        parser.accepts(Options.REVISION, "an earlier revision")
+    public void declareOptions(OptionParser parser) {
+        parser.accepts(Options.REVISION, "an earlier revision to print; default: the current one")
                 .withRequiredArg()
                 .ofType(Long.class);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        ServiceName name = invocation.service(invocation.arguments(1).getFirst());
+        ServiceName name =
+                invocation.parseServiceName(invocation.requireArguments(1).getFirst());
         JsonNode answer = read(invocation, name);
-        JsonNode shown = invocation.has(Options.JSON) ? answer : answer.get("document");
+        JsonNode shown = invocation.hasOption(Options.JSON) ? answer : answer.get("document");
         invocation.out().println(shown.toPrettyString());
         return ExitCode.DONE;
     }
 
     private static JsonNode read(Invocation invocation, ServiceName name) throws AspenmoorException {
         String path = ServicePaths.of(name);
-        if (invocation.has(Options.REVISION)) {
-            path += "/history/" + invocation.number(Options.REVISION).getAsLong();
+        if (invocation.hasOption(Options.REVISION)) {
+            path += "/history/" + invocation.optionNumber(Options.REVISION).getAsLong();
         }
         return invocation.client().get(path);
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentHistoryCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentHistoryCommand.java
@@ -7,7 +7,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Lists who changed a document, when, and how. */
+/** Lists the accepted revisions of a document. */
 final class DocumentHistoryCommand implements Command {
     private static final long DEFAULT_LIMIT = 20;
 
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "TEAM/SERVICE";
     }
 
@@ -27,8 +27,8 @@
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        parser.accepts(Options.LIMIT, "at most this many")
+    public void declareOptions(OptionParser parser) {
+        parser.accepts(Options.LIMIT, "maximum number of revisions to list")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(DEFAULT_LIMIT);
@@ -36,10 +36,11 @@
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        ServiceName name = invocation.service(invocation.arguments(1).getFirst());
-        long limit = invocation.number(Options.LIMIT).orElse(DEFAULT_LIMIT);
+        ServiceName name =
+                invocation.parseServiceName(invocation.requireArguments(1).getFirst());
+        long limit = invocation.optionNumber(Options.LIMIT).orElse(DEFAULT_LIMIT);
         JsonNode answer = invocation.client().get(ServicePaths.of(name) + "/history?limit=" + limit);
-        if (invocation.has(Options.JSON)) {
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(answer.toPrettyString());
             return ExitCode.DONE;
         }
@@ -47,9 +48,9 @@
         for (JsonNode revision : answer.path("revisions")) {
             List<String> changes = new ArrayList<>();
             revision.path("changes").forEach(change -> changes.add(change.asText()));
-            table.row(
+            table.addRow(
                     revision.path("revision").asLong(),
-                    toSeconds(revision.path("acceptedAt").asText("(unknown)")),
+                    withoutFraction(revision.path("acceptedAt").asText("(unknown)")),
                     revision.path("acceptedBy").asText("(unknown)"),
                     String.join(" ", changes));
         }
@@ -57,8 +58,8 @@
         return ExitCode.DONE;
     }
 
-    /** Leaves out the fractions of a second. */
-    private static String toSeconds(String time) {
+    /** Removes the fraction of a second from an ISO 8601 time in UTC. */
+    private static String withoutFraction(String time) {
         return time.replaceAll("\\.\\d+Z$", "Z");
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentRevertCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DocumentRevertCommand.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Accepts an earlier revision's content as a new revision. */
+/** Accepts the content of an earlier revision as a new revision. */
 final class DocumentRevertCommand implements Command {
     @Override
     public String name() {
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "TEAM/SERVICE REVISION";
     }
 
@@ -26,22 +26,24 @@
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareChange(parser);
+    public void declareOptions(OptionParser parser) {
+        Options.declareChangeOptions(parser);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        List<String> arguments = invocation.arguments(2);
-        ServiceName name = invocation.service(arguments.getFirst());
-        long target = invocation.revision(arguments.get(1));
+        List<String> arguments = invocation.requireArguments(2);
+        ServiceName name = invocation.parseServiceName(arguments.getFirst());
+        long target = invocation.parseRevision(arguments.get(1));
         String path = ServicePaths.of(name);
         JsonNode earlier = invocation.client().get(path + "/history/" + target).path("document");
         if (earlier instanceof ObjectNode object) {
             object.remove("revision");
         }
         Proposal proposal = Proposal.of(invocation, name, earlier.toString(), OptionalLong.empty());
-        return new ChangeDialogue(invocation)
-                .run(proposal, () -> invocation.client().change(path + "/revert/" + target, proposal.readRevision()));
+        return new ChangeConfirmation(invocation)
+                .run(
+                        proposal,
+                        () -> invocation.client().postChange(path + "/revert/" + target, proposal.baseRevision()));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DumpCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DumpCommand.java
@@ -2,7 +2,7 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** Prints the state of a process. */
+/** Prints the complete state of a process as JSON. */
 final class DumpCommand implements Command {
     @Override
     public String name() {
@@ -10,18 +10,18 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "PROCESS";
     }
 
     @Override
     public String summary() {
-        return "Prints the whole state of a process; takes a token of the platform.";
+        return "Prints the complete state of a process; requires an operator token for the whole platform.";
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        String process = invocation.arguments(1).getFirst();
+        String process = invocation.requireArguments(1).getFirst();
         invocation
                 .out()
                 .println(invocation
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DutiesCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/DutiesCommand.java
@@ -4,7 +4,7 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** Shows who holds which duty. */
+/** Shows which process holds each duty. */
 final class DutiesCommand implements Command {
     @Override
     public String name() {
@@ -12,24 +12,24 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "";
     }
 
     @Override
     public String summary() {
-        return "Shows which process holds which duty, and under which term.";
+        return "Shows which process holds each duty, and the term in which it holds it.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareFilters(parser);
+    public void declareOptions(OptionParser parser) {
+        Options.declareFilterOptions(parser);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        JsonNode answer = invocation.client().get("duties" + invocation.query());
-        if (invocation.has(Options.JSON)) {
+        JsonNode answer = invocation.client().get("duties" + invocation.filterQuery());
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(answer.toPrettyString());
             return ExitCode.DONE;
         }
@@ -38,7 +38,7 @@
             String service = duty.has("service")
                     ? duty.path("team").asText() + "/" + duty.path("service").asText()
                     : "-";
-            table.row(
+            table.addRow(
                     duty.path("duty").asText(),
                     service,
                     duty.path("dataCentre").asText(),
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/EnginesCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/EnginesCommand.java
@@ -4,7 +4,7 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** Shows backend servers as one entry sees them. */
+/** Shows the backend servers as known to one entry. */
 final class EnginesCommand implements Command {
     @Override
     public String name() {
@@ -12,28 +12,28 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "";
     }
 
     @Override
     public String summary() {
-        return "Shows backend servers: state, role, load and what they have loaded.";
+        return "Shows backend servers with their state, role, load and loaded models.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareFilters(parser);
-        Options.declareEngineFilter(parser);
+    public void declareOptions(OptionParser parser) {
+        Options.declareFilterOptions(parser);
+        Options.declareEngineFilterOption(parser);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        JsonNode answer = invocation.client().get("engines" + invocation.query());
-        if (invocation.has(Options.JSON)) {
+        JsonNode answer = invocation.client().get("engines" + invocation.filterQuery());
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(answer.toPrettyString());
         } else {
-            StatusTables.engines(invocation.out(), answer.path("engines"));
+            StatusTables.printEngines(invocation.out(), answer.path("engines"));
         }
         return ExitCode.DONE;
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ErrorReport.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ErrorReporter.java
@@ -10,12 +10,12 @@
 import org.aspenmoor.internal.finding.Finding;
 import org.aspenmoor.internal.finding.FindingsException;
 
-/** Tells the operator what went wrong, where, and what to do next, and finds the exit code. */
-final class ErrorReport {
+/** Prints the problem, location and remedy of an error, as text or JSON, and determines the exit code. */
+final class ErrorReporter {
     private final PrintStream out;
     private final boolean json;
 
-    ErrorReport(PrintStream out, boolean json) {
+    ErrorReporter(PrintStream out, boolean json) {
         this.out = out;
         this.json = json;
     }
@@ -34,8 +34,8 @@
             case UsageException usage -> ExitCode.USAGE;
             case FindingsException mistakes -> ExitCode.MISTAKES;
             case CallRefusedException refused -> refused.exitCode();
-            case EntryUnreachableException lost when lost.mayHaveTakenEffect() -> ExitCode.UNKNOWN;
-            case EntryUnreachableException lost -> ExitCode.UNAVAILABLE;
+            case EntryUnreachableException unreachable when unreachable.mayHaveTakenEffect() -> ExitCode.UNKNOWN;
+            case EntryUnreachableException unreachable -> ExitCode.UNAVAILABLE;
             default -> ExitCode.INTERNAL_ERROR;
         };
     }
@@ -65,8 +65,8 @@
         findings.forEach(finding -> printFinding(finding.place().toString(), finding.problem(), finding.remedy()));
     }
 
-    private void printFinding(String place, String problem, String remedy) {
-        out.println("  " + place);
+    private void printFinding(String location, String problem, String remedy) {
+        out.println("  " + location);
         out.println("      " + problem);
         out.println("      " + remedy);
     }
@@ -75,11 +75,11 @@
         return switch (error) {
             case CallRefusedException refused when !refused.body().isEmpty() -> refused.body();
             case FindingsException mistakes -> {
-                ObjectNode body = base(error);
+                ObjectNode body = baseObject(error);
                 body.set("findings", findings(mistakes.findings()));
                 yield body;
             }
-            default -> base(error);
+            default -> baseObject(error);
         };
     }
 
@@ -97,7 +97,7 @@
         return array;
     }
 
-    private static ObjectNode base(AspenmoorException error) {
+    private static ObjectNode baseObject(AspenmoorException error) {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("problem", error.problem())
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ExitCode.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ExitCode.java
@@ -1,26 +1,26 @@
 package org.aspenmoor.internal.cli;
 
-/** How a command ended; scripts rely on the numbers, so none is ever given another meaning. */
+/** Result of a command. Scripts rely on the numbers, so the meaning of a number never changes. */
 public enum ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     DONE(0),
-    /** The tool or the entry met an error of its own. */
+    /** The tool or the entry failed with an internal error. */
     INTERNAL_ERROR(1),
-    /** The command line is wrong. */
+    /** The command line is invalid. */
     USAGE(2),
     /** The document has mistakes; nothing was changed. */
     MISTAKES(3),
-    /** Somebody else changed the document first; nothing was changed. */
+    /** Another operator changed the document in the meantime; nothing was changed. */
     CONFLICT(4),
-    /** The entry refused: wrong token, out of scope, or no such thing; nothing was changed. */
+    /** The entry refused the call: wrong token, insufficient scope, or no such object; nothing was changed. */
     REFUSED(5),
     /** The entry or the store cannot be reached; nothing was changed. */
     UNAVAILABLE(6),
-    /** Nobody knows whether the change was accepted; look at the history. */
+    /** It is unknown whether the change was accepted; check the history of the document. */
     UNKNOWN(7),
-    /** The change is accepted, and was not in force everywhere in the time given. */
+    /** The change was accepted, but did not come into force in every process before the timeout. */
     NOT_YET_IN_FORCE(8),
-    /** The operator answered no; nothing was changed. */
+    /** The operator did not confirm the change; nothing was changed. */
     DECLINED(9);
 
     private final int number;
@@ -29,7 +29,7 @@
         this.number = number;
     }
 
-    /** Returns the number that the process ends with. */
+    /** Returns the exit code of the process. */
     public int number() {
         return number;
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ExplainCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ExplainCommand.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.aspenmoor.AspenmoorException;
 
-/** Tells what happened to a request. */
+/** Shows how a request was handled. */
 final class ExplainCommand implements Command {
     @Override
     public String name() {
@@ -11,20 +11,20 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "REQUEST";
     }
 
     @Override
     public String summary() {
-        return "Tells why a request was routed, queued, refused or resumed.";
+        return "Explains why a request was routed, queued, refused or resumed.";
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
-        String request = invocation.arguments(1).getFirst();
+        String request = invocation.requireArguments(1).getFirst();
         JsonNode answer = invocation.client().get("explain/" + ServicePaths.encode(request));
-        if (invocation.has(Options.JSON)) {
+        if (invocation.hasOption(Options.JSON)) {
             invocation.out().println(answer.toPrettyString());
         } else {
             answer.path("sentences").forEach(sentence -> invocation.out().println(sentence.asText()));
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FieldAssignment.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FieldAssignment.java
@@ -9,64 +9,64 @@
 import java.util.Optional;
 
 /**
- * One field that gets a new value.
+ * Assignment of a new value to one field of a document.
  *
- * @param path the field's path; an item of an array is named by its {@code name}
+ * @param path path of the field; an array item is selected by the value of its {@code name} field
  * @param value the new value
  */
 record FieldAssignment(List<String> path, JsonNode value) {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Reads {@code models.scene-drafter.version=4}. */
+    /** Parses an assignment such as {@code models.scene-drafter.version=4}. */
     static FieldAssignment parse(String text) throws UsageException {
-        int sign = text.indexOf('=');
-        if (sign <= 0) {
-            throw new UsageException("\"" + text + "\" is not FIELD=VALUE.", "document edit");
+        int separator = text.indexOf('=');
+        if (separator <= 0) {
+            throw new UsageException("\"" + text + "\" is not of the form FIELD=VALUE.", "document edit");
         }
-        List<String> path = List.of(text.substring(0, sign).split("\\."));
-        return new FieldAssignment(path, value(text.substring(sign + 1)));
+        List<String> path = List.of(text.substring(0, separator).split("\\."));
+        return new FieldAssignment(path, value(text.substring(separator + 1)));
     }
 
     private static JsonNode value(String text) {
         try {
             return MAPPER.readTree(text);
-        } catch (JsonProcessingException plainText) {
+        } catch (JsonProcessingException notJson) {
             return TextNode.valueOf(text);
         }
     }
 
     /** Sets the field in a document. */
     void applyTo(JsonNode document) throws UsageException {
-        JsonNode holder = document;
-        for (String step : path.subList(0, path.size() - 1)) {
-            holder = child(holder, step).orElseThrow(() -> notThere(step));
+        JsonNode parent = document;
+        for (String segment : path.subList(0, path.size() - 1)) {
+            parent = child(parent, segment).orElseThrow(() -> missingField(segment));
         }
         String field = path.getLast();
-        Optional<JsonNode> present = child(holder, field);
-        if (!(holder instanceof ObjectNode object)) {
-            throw notThere(field);
+        Optional<JsonNode> current = child(parent, field);
+        if (!(parent instanceof ObjectNode object)) {
+            throw missingField(field);
         }
-        // Versions and names are texts, also where they look like numbers.
-        boolean staysText = present.filter(JsonNode::isTextual).isPresent() && !value.isTextual();
-        object.set(field, staysText ? TextNode.valueOf(value.asText()) : value);
+        // Versions and names are strings even if they look like numbers.
+        boolean keepText = current.filter(JsonNode::isTextual).isPresent() && !value.isTextual();
+        object.set(field, keepText ? TextNode.valueOf(value.asText()) : value);
     }
 
-    private static Optional<JsonNode> child(JsonNode holder, String step) {
-        if (!holder.isArray()) {
-            return Optional.ofNullable(holder.get(step));
+    private static Optional<JsonNode> child(JsonNode parent, String segment) {
+        if (!parent.isArray()) {
+            return Optional.ofNullable(parent.get(segment));
         }
-        for (JsonNode item : holder) {
-            if (item.path("name").asText().equals(step)) {
+        for (JsonNode item : parent) {
+            if (item.path("name").asText().equals(segment)) {
                 return Optional.of(item);
             }
         }
         return Optional.empty();
     }
 
-    private UsageException notThere(String step) {
+    private UsageException missingField(String segment) {
         return new UsageException(
-                "The document has no \"" + step + "\" there.",
+                "The document has no \"" + segment + "\" at this path.",
                 String.join(".", path),
-                "Name fields as \"aspenmoor document get\" shows them, and items of arrays by their name.");
+                "Use the field names that \"aspenmoor document get\" shows, and select array items by their name.");
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FleetFindings.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/FleetFindings.java
@@ -8,22 +8,22 @@
 import org.aspenmoor.internal.finding.Place;
 
 /**
- * Findings that an entry answered with.
+ * Findings in the answer of an entry that checked a document against the fleet.
  *
- * @param file the file that was sent, which the entry knows by its service's name only
- * @param answer the entry's answer
+ * @param file the checked file; the entry received only its content, so its findings refer to the name of the service
+ * @param answer answer of the entry
  */
 record FleetFindings(String file, JsonNode answer) {
-    FindingsException asException() {
+    FindingsException toException() {
         List<Finding> findings = new ArrayList<>();
         for (JsonNode finding : answer.path("findings")) {
-            Place place = new Place(
+            Place location = new Place(
                     file,
                     finding.path("line").asInt(),
                     finding.path("column").asInt(),
                     finding.path("path").asText());
             findings.add(new Finding(
-                    place,
+                    location,
                     finding.path("problem").asText(),
                     finding.path("remedy").asText()));
         }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/InForceWait.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/InForceWait.java
@@ -9,10 +9,10 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Asks the entries that are named again and again until a revision is in force in every process they hear of. */
+/** Polls the given entries until a revision is in force in every process that they know of. */
 final class InForceWait {
-    private static final Duration PAUSE = Duration.ofMillis(200);
-    private static final double NANOSECONDS_OF_SECOND = 1e9;
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(200);
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final Invocation invocation;
     private final ServiceName name;
@@ -26,51 +26,51 @@
 
     ExitCode run() throws AspenmoorException {
         List<AdministrationClient> clients = invocation.clients();
-        long start = invocation.terminal().monotonicNanoseconds();
+        long startNanos = invocation.terminal().monotonicNanos();
         String path =
                 "in-force?team=" + ServicePaths.encode(name.team()) + "&service=" + ServicePaths.encode(name.service());
         while (true) {
-            Map<String, Long> processes = new TreeMap<>();
+            Map<String, Long> revisionByProcess = new TreeMap<>();
             for (AdministrationClient client : clients) {
-                collect(client.get(path).path("inForce"), processes);
+                mergeRevisions(client.get(path).path("inForce"), revisionByProcess);
             }
-            List<String> behind = behind(processes);
-            long elapsed = invocation.terminal().monotonicNanoseconds() - start;
-            if (!processes.isEmpty() && behind.isEmpty()) {
-                report("Revision " + revision + " is in force in all " + processes.size() + " processes after "
-                        + String.format("%.1f s.", elapsed / NANOSECONDS_OF_SECOND));
+            List<String> lagging = laggingProcesses(revisionByProcess);
+            long elapsedNanos = invocation.terminal().monotonicNanos() - startNanos;
+            if (!revisionByProcess.isEmpty() && lagging.isEmpty()) {
+                report("Revision " + revision + " is in force in all " + revisionByProcess.size() + " processes after "
+                        + String.format("%.1f s.", elapsedNanos / NANOS_PER_SECOND));
                 return ExitCode.DONE;
             }
-            if (elapsed >= invocation.timeout().toNanos()
-                    || !invocation.terminal().pause(PAUSE)) {
-                String where = processes.isEmpty() ? "any process" : String.join(", ", behind);
+            if (elapsedNanos >= invocation.timeout().toNanos()
+                    || !invocation.terminal().pause(POLL_INTERVAL)) {
+                String where = revisionByProcess.isEmpty() ? "any process" : String.join(", ", lagging);
                 report("Revision " + revision + " is not yet in force in " + where
-                        + "; it comes into force there as soon as the process hears of it.");
+                        + "; it comes into force there as soon as the process receives it.");
                 return ExitCode.NOT_YET_IN_FORCE;
             }
         }
     }
 
-    /** Two entries may hear of one process at different moments; the higher revision is the later news. */
-    private static void collect(JsonNode inForce, Map<String, Long> processes) {
+    /** Keeps the highest, hence latest, revision per process; entries receive its reports at different times. */
+    private static void mergeRevisions(JsonNode inForce, Map<String, Long> revisionByProcess) {
         for (JsonNode process : inForce) {
-            processes.merge(
+            revisionByProcess.merge(
                     process.path("process").asText(), process.path("revision").asLong(), Math::max);
         }
     }
 
-    private List<String> behind(Map<String, Long> processes) {
-        List<String> behind = new ArrayList<>();
-        processes.forEach((process, inForce) -> {
+    private List<String> laggingProcesses(Map<String, Long> revisionByProcess) {
+        List<String> lagging = new ArrayList<>();
+        revisionByProcess.forEach((process, inForce) -> {
             if (inForce < revision) {
-                behind.add(process);
+                lagging.add(process);
             }
         });
-        return behind;
+        return lagging;
     }
 
     private void report(String sentence) {
-        if (invocation.has(Options.JSON)) {
+        if (invocation.hasOption(Options.JSON)) {
             invocation.terminal().error().println(sentence);
         } else {
             invocation.out().println(sentence);
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Invocation.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Invocation.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** One call of a command: its options, its arguments and its terminal. */
+/** One invocation of a command with its options, arguments and terminal. */
 final class Invocation {
     private static final Map<String, String> FILTERS = Map.of(
             Options.TEAM, "team",
@@ -46,19 +46,19 @@
         return terminal.out();
     }
 
-    boolean has(String option) {
+    boolean hasOption(String option) {
         return options.has(option);
     }
 
-    Optional<String> text(String option) {
+    Optional<String> optionValue(String option) {
         return options.has(option) ? Optional.of((String) options.valueOf(option)) : Optional.empty();
     }
 
-    List<String> texts(String option) {
+    List<String> optionValues(String option) {
         return options.valuesOf(option).stream().map(String.class::cast).toList();
     }
 
-    OptionalLong number(String option) {
+    OptionalLong optionNumber(String option) {
         return options.has(option) ? OptionalLong.of((Long) options.valueOf(option)) : OptionalLong.empty();
     }
 
@@ -66,8 +66,12 @@
         return Duration.ofSeconds((Long) options.valueOf(Options.TIMEOUT));
     }
 
-    /** Returns the arguments if there are as many as the command takes. */
-    List<String> arguments(int count) throws UsageException {
+    /**
+     * Returns the arguments.
+     *
+     * @throws UsageException if their number differs from {@code count}
+     */
+    List<String> requireArguments(int count) throws UsageException {
         if (arguments.size() != count) {
             throw new UsageException(
                     "The command takes " + count + (count == 1 ? " argument" : " arguments") + ", not "
@@ -81,26 +85,26 @@
         return arguments.size();
     }
 
-    /** Reads an argument of the form TEAM/SERVICE. */
-    ServiceName service(String argument) throws UsageException {
+    /** Parses an argument of the form TEAM/SERVICE. */
+    ServiceName parseServiceName(String argument) throws UsageException {
         String[] parts = argument.split("/", -1);
         if (parts.length != 2 || parts[0].isEmpty() || parts[1].isEmpty()) {
-            throw new UsageException("\"" + argument + "\" is not TEAM/SERVICE.", command);
+            throw new UsageException("\"" + argument + "\" is not of the form TEAM/SERVICE.", command);
         }
         return new ServiceName(parts[0], parts[1]);
     }
 
-    /** Reads an argument that is a number. */
-    long revision(String argument) throws UsageException {
+    /** Parses an argument that is a revision number. */
+    long parseRevision(String argument) throws UsageException {
         try {
             return Long.parseLong(argument);
         } catch (NumberFormatException notNumber) {
-            throw new UsageException("\"" + argument + "\" is no revision.", command);
+            throw new UsageException("\"" + argument + "\" is not a revision number.", command);
         }
     }
 
-    /** Reads a file that the operator names. */
-    String file(String name) throws AspenmoorException {
+    /** Reads a file given on the command line or in the environment. */
+    String readFile(String name) throws AspenmoorException {
         try {
             return Files.readString(Path.of(name));
         } catch (IOException unreadable) {
@@ -111,71 +115,74 @@
         }
     }
 
-    /** Returns the filters of the command line as a query. */
-    String query() {
+    /** Returns the filter options as a URL query with a leading question mark; empty if no filter is given. */
+    String filterQuery() {
         List<String> parts = new ArrayList<>();
-        FILTERS.forEach((option, parameter) -> text(option)
+        FILTERS.forEach((option, parameter) -> optionValue(option)
                 .ifPresent(value -> parts.add(parameter + "=" + URLEncoder.encode(value, StandardCharsets.UTF_8))));
         return parts.isEmpty() ? "" : "?" + String.join("&", parts);
     }
 
-    /** Says whether an entry was named, on the command line or in the environment. */
-    boolean namesEntry() {
-        return entry().isPresent();
+    /** Returns whether an entry is given on the command line or in the environment. */
+    boolean hasEntry() {
+        return entryAddresses().isPresent();
     }
 
-    /** Returns a client of the first entry that the command line or the environment names. */
+    /** Returns a client for the first entry given on the command line or in the environment. */
     AdministrationClient client() throws AspenmoorException {
         return clients().getFirst();
     }
 
-    /** Returns a client of each entry that is named. */
+    /** Returns a client for each entry given on the command line or in the environment. */
     List<AdministrationClient> clients() throws AspenmoorException {
-        String entries = entry().orElseThrow(() -> new UsageException(
-                "No entry is named.", command, "Add --entry URL, or set ASPENMOOR_ENTRY; any entry will do."));
+        String addresses = entryAddresses()
+                .orElseThrow(() -> new UsageException(
+                        "No entry address was given.",
+                        command,
+                        "Add --entry URL, or set ASPENMOOR_ENTRY; any entry can be used."));
         Optional<String> token = token();
         if (token.isEmpty()) {
             throw new UsageException(
-                    "No operator's token is given.",
+                    "No operator token was given.",
                     command,
                     "Add --token-file FILE, or set ASPENMOOR_TOKEN or ASPENMOOR_TOKEN_FILE.");
         }
         List<AdministrationClient> clients = new ArrayList<>();
-        for (String entry : entries.split(",")) {
-            clients.add(new AdministrationClient(address(entry.strip()), token.get()));
+        for (String entry : addresses.split(",")) {
+            clients.add(new AdministrationClient(parseAddress(entry.strip()), token.get()));
         }
         return clients;
     }
 
-    private URI address(String entry) throws UsageException {
+    private URI parseAddress(String entry) throws UsageException {
         try {
             URI address = new URI(entry);
             if ("http".equals(address.getScheme()) || "https".equals(address.getScheme())) {
                 return address;
             }
         } catch (URISyntaxException reportedBelow) {
-            // The same refusal as for another scheme follows.
+            // Rejected below with the same message as an unsupported scheme.
         }
-        throw new UsageException("\"" + entry + "\" is no address.", command, "Write it as http://IP:PORT.");
+        throw new UsageException("\"" + entry + "\" is not a valid address.", command, "Use the form http://IP:PORT.");
     }
 
-    private Optional<String> entry() {
-        return text(Options.ENTRY).or(() -> terminal.environment("ASPENMOOR_ENTRY"));
+    private Optional<String> entryAddresses() {
+        return optionValue(Options.ENTRY).or(() -> terminal.environmentVariable("ASPENMOOR_ENTRY"));
     }
 
     private Optional<String> token() throws AspenmoorException {
-        Optional<String> given = text(Options.TOKEN);
-        if (given.isPresent()) {
-            return given;
+        Optional<String> fromOption = optionValue(Options.TOKEN);
+        if (fromOption.isPresent()) {
+            return fromOption;
         }
-        Optional<String> file = text(Options.TOKEN_FILE);
+        Optional<String> file = optionValue(Options.TOKEN_FILE);
         if (file.isEmpty()) {
-            Optional<String> fromEnvironment = terminal.environment("ASPENMOOR_TOKEN");
+            Optional<String> fromEnvironment = terminal.environmentVariable("ASPENMOOR_TOKEN");
             if (fromEnvironment.isPresent()) {
                 return fromEnvironment;
             }
-            file = terminal.environment("ASPENMOOR_TOKEN_FILE");
+            file = terminal.environmentVariable("ASPENMOOR_TOKEN_FILE");
         }
-        return file.isPresent() ? Optional.of(file(file.get()).strip()) : Optional.empty();
+        return file.isPresent() ? Optional.of(readFile(file.get()).strip()) : Optional.empty();
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/OperatorTool.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/OperatorTool.java
@@ -12,14 +12,14 @@
 import org.aspenmoor.Aspenmoor;
 import org.aspenmoor.AspenmoorException;
 
-/** Finds the command that a command line calls, runs it and reports its errors. */
+/** Selects the command that matches the command line, runs it and reports its errors. */
 public final class OperatorTool {
     private final Terminal terminal;
     private final List<Command> commands;
 
     public OperatorTool(Terminal terminal) {
         this.terminal = terminal;
-        List<Command> working = List.of(
+        List<Command> operations = List.of(
                 new DocumentCheckCommand(),
                 new DocumentGetCommand(),
                 new DocumentEditCommand(),
@@ -33,52 +33,53 @@
                 new WaitCommand(),
                 new ExplainCommand(),
                 new DumpCommand());
-        this.commands = Stream.concat(working.stream(), Stream.of(new CompletionCommand(working)))
+        this.commands = Stream.concat(operations.stream(), Stream.of(new CompletionCommand(operations)))
                 .toList();
     }
 
-    /** Runs one command line. */
+    /** Runs one command line and returns its result; errors are printed to the error stream. */
     public ExitCode run(String... arguments) {
         boolean json = Arrays.asList(arguments).contains("--" + Options.JSON);
         try {
             return dispatch(List.of(arguments));
         } catch (AspenmoorException error) {
-            return new ErrorReport(terminal.error(), json).report(error);
+            return new ErrorReporter(terminal.error(), json).report(error);
         }
     }
 
-    private ExitCode dispatch(List<String> line) throws AspenmoorException {
-        if (line.isEmpty() || line.getFirst().equals("--" + Options.HELP)) {
+    private ExitCode dispatch(List<String> commandLine) throws AspenmoorException {
+        if (commandLine.isEmpty() || commandLine.getFirst().equals("--" + Options.HELP)) {
             printOverview();
-            return line.isEmpty() ? ExitCode.USAGE : ExitCode.DONE;
+            return commandLine.isEmpty() ? ExitCode.USAGE : ExitCode.DONE;
         }
-        if (line.getFirst().equals("--" + Options.VERSION)) {
+        if (commandLine.getFirst().equals("--" + Options.VERSION)) {
             return printVersion();
         }
-        Command command = find(line)
+        Command command = findCommand(commandLine)
                 .orElseThrow(() -> new UsageException(
-                        "There is no command \"" + line.getFirst() + "\" with these words.",
-                        String.join(" ", line),
+                        "No command that starts with \"" + commandLine.getFirst() + "\" matches the command line.",
+                        String.join(" ", commandLine),
                         "Run \"aspenmoor --help\" for the list of commands."));
-        int words = command.name().split(" ").length;
-        return run(command, line.subList(words, line.size()));
+        int wordCount = command.name().split(" ").length;
+        return run(command, commandLine.subList(wordCount, commandLine.size()));
     }
 
-    private Optional<Command> find(List<String> line) {
+    private Optional<Command> findCommand(List<String> commandLine) {
         return commands.stream()
-                .filter(command -> isCalledBy(command, line))
+                .filter(command -> matches(command, commandLine))
                 .max(Comparator.comparingInt(command -> command.name().length()));
     }
 
-    private static boolean isCalledBy(Command command, List<String> line) {
+    private static boolean matches(Command command, List<String> commandLine) {
         List<String> words = List.of(command.name().split(" "));
-        return line.size() >= words.size() && line.subList(0, words.size()).equals(words);
+        return commandLine.size() >= words.size()
+                && commandLine.subList(0, words.size()).equals(words);
     }
 
-    private ExitCode run(Command command, List<String> rest) throws AspenmoorException {
-        OptionParser parser = Options.common();
-        command.declare(parser);
-        OptionSet options = parse(parser, command, rest);
+    private ExitCode run(Command command, List<String> remaining) throws AspenmoorException {
+        OptionParser parser = Options.commonParser();
+        command.declareOptions(parser);
+        OptionSet options = parse(parser, command, remaining);
         if (options.has(Options.HELP)) {
             printHelp(parser, command);
             return ExitCode.DONE;
@@ -91,11 +92,11 @@
         return command.run(new Invocation(command.name(), terminal, options, arguments));
     }
 
-    private static OptionSet parse(OptionParser parser, Command command, List<String> rest) throws UsageException {
+    private static OptionSet parse(OptionParser parser, Command command, List<String> remaining) throws UsageException {
         try {
-            return parser.parse(rest.toArray(String[]::new));
-        } catch (OptionException wrong) {
-            throw new UsageException(wrong.getMessage() + ".", command.name());
+            return parser.parse(remaining.toArray(String[]::new));
+        } catch (OptionException invalid) {
+            throw new UsageException(invalid.getMessage() + ".", command.name());
         }
     }
 
@@ -109,22 +110,22 @@
         terminal.out().println();
         Table table = new Table("command", "what it does");
         for (Command command : commands) {
-            table.row((command.name() + " " + command.arguments()).strip(), command.summary());
+            table.addRow((command.name() + " " + command.argumentSyntax()).strip(), command.summary());
         }
         table.print(terminal.out());
         terminal.out().println();
         terminal.out()
-                .println("aspenmoor COMMAND --help shows a command's options; docs/OPERATIONS.md the exit codes.");
+                .println("Run aspenmoor COMMAND --help for the options; see docs/OPERATIONS.md for the exit codes.");
     }
 
     private void printHelp(OptionParser parser, Command command) {
-        terminal.out().println("Usage: aspenmoor " + (command.name() + " " + command.arguments()).strip());
+        terminal.out().println("Usage: aspenmoor " + (command.name() + " " + command.argumentSyntax()).strip());
         terminal.out().println(command.summary());
         terminal.out().println();
         try {
             parser.printHelpOn(terminal.out());
         } catch (IOException closed) {
-            terminal.error().println("aspenmoor: The help cannot be printed.");
+            terminal.error().println("aspenmoor: Failed to print the help.");
         }
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Options.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Options.java
@@ -2,7 +2,7 @@
 
 import joptsimple.OptionParser;
 
-/** Names of options and the declaration of those that all commands share. */
+/** Option names and the declaration of options that several commands share. */
 final class Options {
     static final String ENTRY = "entry";
     static final String TOKEN = "token";
@@ -29,14 +29,14 @@
 
     private Options() {}
 
-    static OptionParser common() {
+    static OptionParser commonParser() {
         OptionParser parser = new OptionParser();
         parser.accepts(
                         ENTRY,
-                        "address of an entry, such as http://10.0.0.1:8080; or ASPENMOOR_ENTRY; several, by a comma, are all waited for")
+                        "entry address, such as http://10.0.0.1:8080, or a comma-separated list, all polled when waiting; default: ASPENMOOR_ENTRY")
                 .withRequiredArg();
-        parser.accepts(TOKEN, "operator's token; or ASPENMOOR_TOKEN").withRequiredArg();
-        parser.accepts(TOKEN_FILE, "file that holds the token; or ASPENMOOR_TOKEN_FILE")
+        parser.accepts(TOKEN, "operator token; default: ASPENMOOR_TOKEN").withRequiredArg();
+        parser.accepts(TOKEN_FILE, "file that contains the operator token; default: ASPENMOOR_TOKEN_FILE")
                 .withRequiredArg();
         parser.accepts(JSON, "print JSON for scripts");
         parser.accepts(HELP, "show this help");
@@ -44,26 +44,26 @@
         return parser;
     }
 
-    static void declareChange(OptionParser parser) {
-        parser.accepts(YES, "do not ask");
-        parser.accepts(WAIT, "wait until the change is in force everywhere");
-        declareTimeout(parser);
+    static void declareChangeOptions(OptionParser parser) {
+        parser.accepts(YES, "skip the confirmation prompt");
+        parser.accepts(WAIT, "wait until the change is in force in every process");
+        declareTimeoutOption(parser);
     }
 
-    static void declareTimeout(OptionParser parser) {
-        parser.accepts(TIMEOUT, "seconds to wait")
+    static void declareTimeoutOption(OptionParser parser) {
+        parser.accepts(TIMEOUT, "maximum seconds to wait")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(DEFAULT_TIMEOUT_SECONDS);
     }
 
-    static void declareFilters(OptionParser parser) {
+    static void declareFilterOptions(OptionParser parser) {
         parser.accepts(TEAM, "only this team").withRequiredArg();
         parser.accepts(SERVICE, "only this service").withRequiredArg();
         parser.accepts(DATA_CENTRE, "only this data centre").withRequiredArg();
     }
 
-    static void declareEngineFilter(OptionParser parser) {
+    static void declareEngineFilterOption(OptionParser parser) {
         parser.accepts(ENGINE, "only this backend server").withRequiredArg();
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/RevisionDifference.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/RevisionDifference.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.document.ServiceName;
 import org.aspenmoor.internal.finding.Findings;
 
-/** Compares two revisions that an entry reads from the history. */
+/** Compares two revisions of a document from the history that an entry returns. */
 final class RevisionDifference {
     private final AdministrationClient client;
     private final ServiceName name;
@@ -39,6 +39,8 @@
         return new DocumentReader(findings)
                 .read(source, answer.path("document").toString())
                 .orElseThrow(() -> new AspenmoorException(
-                        "The entry's answer holds no document.", source, "Ask an entry of the tool's own version."));
+                        "The entry's answer does not contain a readable document.",
+                        source,
+                        "Use an entry of the same version as this tool."));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ServicePaths.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/ServicePaths.java
@@ -5,7 +5,7 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Paths of the administration API that name a service. */
+/** Builds paths of the administration API for a service. */
 final class ServicePaths {
     private ServicePaths() {}
 
@@ -17,7 +17,7 @@
         return "documents/" + encode(name.team()) + "/" + encode(name.service());
     }
 
-    static String encode(String part) {
-        return URLEncoder.encode(part, StandardCharsets.UTF_8).replace("+", "%20");
+    static String encode(String segment) {
+        return URLEncoder.encode(segment, StandardCharsets.UTF_8).replace("+", "%20");
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/StatusCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/StatusCommand.java
@@ -5,7 +5,7 @@
 import joptsimple.OptionParser;
 import org.aspenmoor.AspenmoorException;
 
-/** Shows services and backend servers as one entry sees them. */
+/** Shows the services and backend servers as known to one entry. */
 final class StatusCommand implements Command {
     private static final long DEFAULT_INTERVAL_SECONDS = 2;
     private static final String CLEAR_SCREEN = "\u001b[H\u001b[2J";
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "[--watch]";
     }
 
@@ -26,11 +26,11 @@
     }
 
     @Override
-    public void declare(OptionParser parser) {
-        Options.declareFilters(parser);
-        Options.declareEngineFilter(parser);
-        parser.accepts(Options.WATCH, "show it again and again");
-        parser.accepts(Options.INTERVAL, "seconds between two looks")
+    public void declareOptions(OptionParser parser) {
+        Options.declareFilterOptions(parser);
+        Options.declareEngineFilterOption(parser);
+        parser.accepts(Options.WATCH, "refresh the output until interrupted");
+        parser.accepts(Options.INTERVAL, "seconds between refreshes")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(DEFAULT_INTERVAL_SECONDS);
@@ -39,28 +39,28 @@
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
         AdministrationClient client = invocation.client();
-        boolean watches = invocation.has(Options.WATCH);
+        boolean watch = invocation.hasOption(Options.WATCH);
         Duration interval =
-                Duration.ofSeconds(invocation.number(Options.INTERVAL).orElse(DEFAULT_INTERVAL_SECONDS));
+                Duration.ofSeconds(invocation.optionNumber(Options.INTERVAL).orElse(DEFAULT_INTERVAL_SECONDS));
         do {
-            JsonNode status = client.get("status" + invocation.query());
-            if (watches && !invocation.has(Options.JSON)) {
+            JsonNode status = client.get("status" + invocation.filterQuery());
+            if (watch && !invocation.hasOption(Options.JSON)) {
                 invocation.out().print(CLEAR_SCREEN);
             }
             print(invocation, status);
-        } while (watches && invocation.terminal().pause(interval));
+        } while (watch && invocation.terminal().pause(interval));
         return ExitCode.DONE;
     }
 
     private static void print(Invocation invocation, JsonNode status) {
-        if (invocation.has(Options.JSON)) {
-            // One line each, so that a script can read a watch line by line.
-            invocation.out().println(invocation.has(Options.WATCH) ? status.toString() : status.toPrettyString());
+        if (invocation.hasOption(Options.JSON)) {
+            // In watch mode, prints one line per status so that scripts can read the output line by line.
+            invocation.out().println(invocation.hasOption(Options.WATCH) ? status.toString() : status.toPrettyString());
             return;
         }
         invocation.out().println("As seen by " + status.path("process").asText());
-        StatusTables.services(invocation.out(), status.path("services"));
+        StatusTables.printServices(invocation.out(), status.path("services"));
         invocation.out().println();
-        StatusTables.engines(invocation.out(), status.path("engines"));
+        StatusTables.printEngines(invocation.out(), status.path("engines"));
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/StatusTables.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/StatusTables.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.PrintStream;
 
-/** Prints services and backend servers. */
+/** Prints tables of services and backend servers. */
 final class StatusTables {
     private StatusTables() {}
 
-    static void services(PrintStream out, JsonNode services) {
+    static void printServices(PrintStream out, JsonNode services) {
         Table table = new Table("service", "revision", "kind", "answered", "not run", "unknown", "cancelled");
         for (JsonNode service : services) {
             String name = service.path("team").asText() + "/"
                     + service.path("service").asText();
             String revision = service.path("revision").asText();
             if (service.path("kinds").isEmpty()) {
-                table.row(name, revision, "-", "-", "-", "-", "-");
+                table.addRow(name, revision, "-", "-", "-", "-", "-");
             }
             for (JsonNode kind : service.path("kinds")) {
-                table.row(
+                table.addRow(
                         name,
                         revision,
                         kind.path("kind").asText(),
@@ -30,7 +30,7 @@
         table.print(out);
     }
 
-    static void engines(PrintStream out, JsonNode engines) {
+    static void printEngines(PrintStream out, JsonNode engines) {
         Table table = new Table(
                 "backend server",
                 "service",
@@ -43,24 +43,25 @@
                 "cache",
                 "loaded");
         for (JsonNode engine : engines) {
-            boolean reports = engine.has("running");
-            table.row(
+            boolean hasLoadReport = engine.has("running");
+            table.addRow(
                     engine.path("name").asText(),
                     engine.path("team").asText() + "/" + engine.path("service").asText(),
                     engine.path("dataCentre").asText(),
                     state(engine),
                     engine.path("role").asText("-"),
                     engine.path("outstanding").asText(),
-                    reports ? pair(engine, "running", "mostRunning") : "-",
-                    reports ? engine.path("queuedPrefillTokens").asText() : "-",
-                    reports ? pair(engine, "freeCachePieces", "allCachePieces") : "-",
-                    loaded(engine));
+                    hasLoadReport ? ratio(engine, "running", "mostRunning") : "-",
+                    hasLoadReport ? engine.path("queuedPrefillTokens").asText() : "-",
+                    hasLoadReport ? ratio(engine, "freeCachePieces", "allCachePieces") : "-",
+                    loadedNames(engine));
         }
         table.print(out);
     }
 
-    private static String pair(JsonNode engine, String part, String whole) {
-        return engine.path(part).asText() + "/" + engine.path(whole).asText();
+    private static String ratio(JsonNode engine, String numeratorField, String denominatorField) {
+        return engine.path(numeratorField).asText() + "/"
+                + engine.path(denominatorField).asText();
     }
 
     private static String state(JsonNode engine) {
@@ -68,7 +69,7 @@
         return engine.has("detail") ? state + ": " + engine.get("detail").asText() : state;
     }
 
-    private static String loaded(JsonNode engine) {
+    private static String loadedNames(JsonNode engine) {
         StringBuilder names = new StringBuilder();
         for (JsonNode name : engine.path("loaded")) {
             names.append(names.isEmpty() ? "" : " ").append(name.asText());
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/SystemTerminal.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/SystemTerminal.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.locks.LockSupport;
 
-/** The terminal of the process. */
+/** Terminal that uses the standard streams, environment and clock of the process. */
 final class SystemTerminal implements Terminal {
     private final BufferedReader input = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
 
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public Optional<String> environment(String name) {
+    public Optional<String> environmentVariable(String name) {
         return Optional.ofNullable(System.getenv(name));
     }
 
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public long monotonicNanoseconds() {
+    public long monotonicNanos() {
         return System.nanoTime();
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Table.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Table.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints rows with their columns in line. */
+/** Text table with left-aligned columns. */
 final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -14,7 +14,7 @@
         rows.add(List.of(headings));
     }
 
-    void row(Object... cells) {
+    void addRow(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object cell : cells) {
             row.add(cell.toString());
@@ -29,7 +29,7 @@
                 String cell = row.get(column);
                 line.append(cell)
                         .append(" ".repeat(width(column) - cell.length()))
-                        .append(GAP);
+                        .append(COLUMN_SEPARATOR);
             }
             out.println(line.toString().stripTrailing());
         }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Terminal.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/Terminal.java
@@ -4,23 +4,23 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What a command sees of its surroundings. */
+/** Streams, environment variables and clock available to a command. */
 public interface Terminal {
-    /** Returns where results go. */
+    /** Returns the stream for results. */
     PrintStream out();
 
-    /** Returns where errors and questions go. */
+    /** Returns the stream for errors and prompts. */
     PrintStream error();
 
-    /** Reads a line that the operator types; empty at the end of the input. */
+    /** Reads a line of input; empty at the end of the input. */
     Optional<String> readLine();
 
-    /** Returns a variable of the environment. */
-    Optional<String> environment(String name);
+    /** Returns the value of an environment variable; empty if it is not set. */
+    Optional<String> environmentVariable(String name);
 
-    /** Waits; returns false where the command should end instead of going on. */
+    /** Waits for the given time; returns false if the command should stop instead of continuing. */
     boolean pause(Duration duration);
 
-    /** Returns nanoseconds on a clock that never steps back. */
-    long monotonicNanoseconds();
+    /** Returns the time of a monotonic clock, in nanoseconds. */
+    long monotonicNanos();
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/UsageException.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/UsageException.java
@@ -2,15 +2,15 @@
 
 import org.aspenmoor.AspenmoorException;
 
-/** The command line is wrong. */
+/** Thrown when the command line is invalid. */
 final class UsageException extends AspenmoorException {
     private static final long serialVersionUID = 1L;
 
     UsageException(String problem, String command) {
-        super(problem, command, "Run \"aspenmoor " + command + " --help\" and call it as shown there.");
+        super(problem, command, "Run \"aspenmoor " + command + " --help\" to see its usage.");
     }
 
-    UsageException(String problem, String place, String remedy) {
-        super(problem, place, remedy);
+    UsageException(String problem, String location, String remedy) {
+        super(problem, location, remedy);
     }
 }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/WaitCommand.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/WaitCommand.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.AspenmoorException;
 import org.aspenmoor.internal.document.ServiceName;
 
-/** Waits until a revision is in force everywhere. */
+/** Waits until a revision of a document is in force in every process. */
 final class WaitCommand implements Command {
     @Override
     public String name() {
@@ -12,36 +12,37 @@
     }
 
     @Override
-    public String arguments() {
+    public String argumentSyntax() {
         return "--in-force TEAM/SERVICE";
     }
 
     @Override
     public String summary() {
-        return "Waits until a document's revision is in force in every process.";
+        return "Waits until a revision of a document is in force in every process.";
     }
 
     @Override
-    public void declare(OptionParser parser) {
+    public void declareOptions(OptionParser parser) {
         parser.accepts(Options.IN_FORCE, "the service to wait for").withRequiredArg();
-        parser.accepts(Options.REVISION, "the revision; else the one that the store holds")
+        parser.accepts(Options.REVISION, "revision to wait for; default: the current revision in the store")
                 .withRequiredArg()
                 .ofType(Long.class);
-        Options.declareTimeout(parser);
+        Options.declareTimeoutOption(parser);
     }
 
     @Override
     public ExitCode run(Invocation invocation) throws AspenmoorException {
         String argument = invocation
-                .text(Options.IN_FORCE)
-                .orElseThrow(() -> new UsageException("The command does not say what to wait for.", name()));
-        ServiceName name = invocation.service(argument);
-        return new InForceWait(invocation, name, revision(invocation, name)).run();
+                .optionValue(Options.IN_FORCE)
+                .orElseThrow(() -> new UsageException(
+                        "The option --in-force, which gives the service to wait for, is missing.", name()));
+        ServiceName name = invocation.parseServiceName(argument);
+        return new InForceWait(invocation, name, targetRevision(invocation, name)).run();
     }
 
-    private static long revision(Invocation invocation, ServiceName name) throws AspenmoorException {
-        if (invocation.has(Options.REVISION)) {
-            return invocation.number(Options.REVISION).getAsLong();
+    private static long targetRevision(Invocation invocation, ServiceName name) throws AspenmoorException {
+        if (invocation.hasOption(Options.REVISION)) {
+            return invocation.optionNumber(Options.REVISION).getAsLong();
         }
         return invocation.client().get(ServicePaths.of(name)).path("revision").asLong();
     }
--- a/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/package-info.java
+++ b/aspenmoor-cli/src/main/java/org/aspenmoor/internal/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command line. */
+/** Command line tool for operators. */
 package org.aspenmoor.internal.cli;
--- a/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/SmallFleet.java
+++ b/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/FakeFleet.java
@@ -19,21 +19,21 @@
 import org.aspenmoor.internal.engine.EngineLoad;
 import org.aspenmoor.internal.engine.EngineRole;
 
-/** One entry and one agent that serves by what the entry knew the time before. */
-final class SmallFleet implements ProcessStatusSource {
+/** One entry and one agent. The agent has the revision in force that the entry had at the previous revision query. */
+final class FakeFleet implements ProcessStatusSource {
     static final ServiceName SERVICE = new ServiceName("studio", "drafting");
     static final RequestId REQUEST = new RequestId(1, 2);
 
     private final DocumentRegistry registry;
-    private long revisionOfAgent;
-    private boolean agentHears = true;
+    private long agentRevision;
+    private boolean agentConnected = true;
 
-    SmallFleet(DocumentRegistry registry) {
+    FakeFleet(DocumentRegistry registry) {
         this.registry = registry;
     }
 
-    void cutAgentOff() {
-        agentHears = false;
+    void disconnectAgent() {
+        agentConnected = false;
     }
 
     @Override
@@ -77,9 +77,9 @@
         long revision = registry.revision(SERVICE);
         List<ProcessRevision> revisions = new ArrayList<>();
         revisions.add(new ProcessRevision("entry-1", "almaty-1", SERVICE, revision, Optional.empty()));
-        revisions.add(new ProcessRevision("agent-1", "almaty-1", SERVICE, revisionOfAgent, Optional.empty()));
-        if (agentHears) {
-            revisionOfAgent = revision;
+        revisions.add(new ProcessRevision("agent-1", "almaty-1", SERVICE, agentRevision, Optional.empty()));
+        if (agentConnected) {
+            agentRevision = revision;
         }
         return revisions;
     }
@@ -95,7 +95,7 @@
     public Optional<RequestExplanation> explain(RequestId id) {
         return id.equals(REQUEST)
                 ? Optional.of(new RequestExplanation(
-                        Optional.of(SERVICE), List.of("+0 ms: came.", "+3 ms: sent to drafter-1.")))
+                        Optional.of(SERVICE), List.of("+0 ms: received.", "+3 ms: sent to drafter-1.")))
                 : Optional.empty();
     }
 }
--- a/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/SmallEntry.java
+++ b/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/InProcessEntry.java
@@ -22,18 +22,18 @@
 import ratpack.server.RatpackServer;
 import ratpack.server.ServerConfig;
 
-/** The real administration API before a store in memory. */
-final class SmallEntry implements AutoCloseable {
+/** Serves the real administration API backed by an in-memory store. */
+final class InProcessEntry implements AutoCloseable {
     static final String TOKEN = "aiguls-token";
     static final String OTHER_TOKEN = "bolats-token";
 
     private final InMemoryObjectStore store = new InMemoryObjectStore();
     private final DocumentRegistry registry = new DocumentRegistry(new ManualTimeSource());
-    private final SmallFleet fleet = new SmallFleet(registry);
+    private final FakeFleet fleet = new FakeFleet(registry);
     private final RatpackServer server;
 
-    SmallEntry() throws Exception {
-        store.watch(ObjectKind.DOCUMENT, "0", new RegistryFeed());
+    InProcessEntry() throws Exception {
+        store.watch(ObjectKind.DOCUMENT, "0", new RegistryUpdater());
         DocumentAcceptance acceptance = new DocumentAcceptance(
                 store, new RegistryFleetView(registry, fleet), new ManualTimeSource(), new Random(7));
         OperatorTokens tokens = new OperatorTokens(List.of(
@@ -51,7 +51,7 @@
         return "http://127.0.0.1:" + server.getBindPort();
     }
 
-    SmallFleet fleet() {
+    FakeFleet fleet() {
         return fleet;
     }
 
@@ -60,8 +60,8 @@
         server.stop();
     }
 
-    /** Brings what the store says into force. */
-    private final class RegistryFeed implements StoreWatchListener {
+    /** Puts each stored document revision into force in the registry. */
+    private final class RegistryUpdater implements StoreWatchListener {
         @Override
         public void changed(StoredObject object) {
             try {
--- a/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/OperatorToolTest.java
+++ b/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/OperatorToolTest.java
@@ -20,13 +20,13 @@
 
 public class OperatorToolTest {
     private static final String SERVICE = "studio/drafting";
-    private static final String FIRST = """
+    private static final String FIRST_DOCUMENT = """
             // what the studio runs
             {"team": "studio", "service": "drafting", "callerTokenHashes": ["%s"],
              "models": [{"name": "scene-drafter", "version": "3"}],
              "kinds": [{"name": "cue", "weight": 5, "deadlineSeconds": 2.5, "longestOutputTokens": 60}],
              "engines": [{"name": "drafter-1", "dataCentre": "almaty-1"}]}""".formatted("a".repeat(64));
-    private static final String SIX_MISTAKES = """
+    private static final String DOCUMENT_WITH_SIX_MISTAKES = """
             {
               "team": "studio",
               "service": "Drafting",
@@ -43,141 +43,148 @@
               "plainServices": [{"name": "desk-1"}]
             }""";
 
-    private final ScriptedTerminal terminal = new ScriptedTerminal(Map.of("ASPENMOOR_TOKEN", SmallEntry.TOKEN));
+    private final ScriptedTerminal terminal = new ScriptedTerminal(Map.of("ASPENMOOR_TOKEN", InProcessEntry.TOKEN));
     private final OperatorTool tool = new OperatorTool(terminal);
-    private SmallEntry entry;
-    private Path folder;
+    private InProcessEntry entry;
+    private Path directory;
 
     @BeforeMethod
-    public void start_an_entry() throws Exception {
-        entry = new SmallEntry();
-        folder = Files.createTempDirectory("operator");
+    public void start_entry() throws Exception {
+        entry = new InProcessEntry();
+        directory = Files.createTempDirectory("operator");
         terminal.clear();
     }
 
     @AfterMethod
-    public void stop_the_entry() throws Exception {
+    public void stop_entry() throws Exception {
         entry.close();
-        try (var files = Files.list(folder)) {
+        try (var files = Files.list(directory)) {
             for (Path file : files.toList()) {
                 Files.delete(file);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
     @Test
-    public void should_name_all_six_mistakes_at_once() throws IOException {
-        assertEquals(run("document", "check", file(SIX_MISTAKES)), ExitCode.MISTAKES);
+    public void should_report_all_mistakes_of_a_document_at_once() throws IOException {
+        assertEquals(run("document", "check", writeFile(DOCUMENT_WITH_SIX_MISTAKES)), ExitCode.MISTAKES);
 
-        for (String place : List.of(
+        for (String location : List.of(
                 "3:14 (service)",
                 "4:25 (callerTokenHashes[0])",
                 "7:40 (kinds[0].match.model)",
                 "9:14 (kinds[1].name)",
                 "9:68 (kinds[1].weight)",
                 "14:21 (plainServices[0].dataCentre)")) {
-            assertTrue(terminal.errors().contains(place), place + " in " + terminal.errors());
+            assertTrue(terminal.errorOutput().contains(location), location + " in " + terminal.errorOutput());
         }
-        assertTrue(terminal.errors().contains("has 6 mistakes."), terminal.errors());
+        assertTrue(terminal.errorOutput().contains("has 6 mistakes."), terminal.errorOutput());
     }
 
     @Test
-    public void should_check_against_the_fleet_where_an_entry_is_named() throws IOException {
-        String file = file(FIRST.replace("almaty-1", "almaty-2"));
+    public void should_check_against_the_fleet_when_an_entry_is_given() throws IOException {
+        String file = writeFile(FIRST_DOCUMENT.replace("almaty-1", "almaty-2"));
 
         assertEquals(run("document", "check", file), ExitCode.DONE);
-        assertEquals(call("document", "check", file), ExitCode.MISTAKES);
+        assertEquals(runWithEntry("document", "check", file), ExitCode.MISTAKES);
 
-        assertTrue(terminal.errors().contains("stands in \"almaty-1\""), terminal.errors());
+        assertTrue(terminal.errorOutput().contains("stands in \"almaty-1\""), terminal.errorOutput());
     }
 
     @Test
-    public void should_show_a_change_ask_accept_it_and_wait() throws IOException {
-        terminal.type("y");
+    public void should_show_confirm_and_accept_a_change_and_wait_until_in_force() throws IOException {
+        terminal.typeLine("y");
 
-        assertEquals(call("document", "accept", file(FIRST), "--wait"), ExitCode.DONE);
+        assertEquals(runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT), "--wait"), ExitCode.DONE);
 
-        assertTrue(terminal.errors().contains("Accept as revision 1? [y/N]"), terminal.errors());
-        assertTrue(terminal.printed().contains("on engines: Engines load scene-drafter@3"), terminal.printed());
-        assertTrue(terminal.printed().contains("in force in all 2 processes after 0.2 s"), terminal.printed());
+        assertTrue(terminal.errorOutput().contains("Accept as revision 1? [y/N]"), terminal.errorOutput());
+        assertTrue(terminal.output().contains("on engines: Engines load scene-drafter@3"), terminal.output());
+        assertTrue(terminal.output().contains("in force in all 2 processes after 0.2 s"), terminal.output());
     }
 
     @Test
-    public void should_change_nothing_when_the_operator_says_no() throws IOException {
-        terminal.type("n");
+    public void should_change_nothing_when_the_operator_declines() throws IOException {
+        terminal.typeLine("n");
 
-        assertEquals(call("document", "accept", file(FIRST)), ExitCode.DECLINED);
-        assertEquals(call("document", "get", SERVICE), ExitCode.REFUSED);
+        assertEquals(runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT)), ExitCode.DECLINED);
+        assertEquals(runWithEntry("document", "get", SERVICE), ExitCode.REFUSED);
     }
 
     @Test
-    public void should_say_where_a_change_is_not_in_force_yet() throws IOException {
-        entry.fleet().cutAgentOff();
+    public void should_list_lagging_processes_when_the_wait_times_out() throws IOException {
+        entry.fleet().disconnectAgent();
 
-        ExitCode code = call("document", "accept", file(FIRST), "--yes", "--wait", "--timeout", "5");
+        ExitCode code =
+                runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT), "--yes", "--wait", "--timeout", "5");
 
         assertEquals(code, ExitCode.NOT_YET_IN_FORCE);
-        assertTrue(terminal.printed().contains("not yet in force in agent-1"), terminal.printed());
+        assertTrue(terminal.output().contains("not yet in force in agent-1"), terminal.output());
     }
 
     @Test
-    public void should_tell_the_second_of_two_operators_what_changed() throws IOException {
-        // Both write their revision 1 into a file and change it. The second to accept would undo the first one's
-        // change without noticing, were the revision that she read not compared.
-        call("document", "accept", file(FIRST), "--yes");
+    public void should_report_a_conflict_when_another_operator_changed_the_document() throws IOException {
+        // Two operators each save revision 1 to a file and edit it. Without the comparison of the base revision, the
+        // second accepted file would silently undo the change of the first.
+        runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT), "--yes");
         terminal.clear();
-        call("document", "get", SERVICE);
-        String read = terminal.printed();
-        call("document", "accept", file(read.replace("\"3\"", "\"4\"")), "--yes");
-
-        ExitCode late = call(
-                "document", "accept", file(read.replace("5.0", "6.0")), "--yes", "--token", SmallEntry.OTHER_TOKEN);
-
-        assertEquals(late, ExitCode.CONFLICT);
+        runWithEntry("document", "get", SERVICE);
+        String shown = terminal.output();
+        runWithEntry("document", "accept", writeFile(shown.replace("\"3\"", "\"4\"")), "--yes");
+
+        ExitCode second = runWithEntry(
+                "document",
+                "accept",
+                writeFile(shown.replace("5.0", "6.0")),
+                "--yes",
+                "--token",
+                InProcessEntry.OTHER_TOKEN);
+
+        assertEquals(second, ExitCode.CONFLICT);
         assertTrue(
-                terminal.errors().contains("Changed meanwhile: Model scene-drafter goes from version 3 to 4."),
-                terminal.errors());
+                terminal.errorOutput().contains("Changed meanwhile: Model scene-drafter goes from version 3 to 4."),
+                terminal.errorOutput());
     }
 
     @Test
-    public void should_edit_compare_and_revert() throws IOException {
-        call("document", "accept", file(FIRST), "--yes");
+    public void should_edit_compare_and_revert_documents() throws IOException {
+        runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT), "--yes");
         assertEquals(
-                call("document", "edit", SERVICE, "--yes", "--set", "models.scene-drafter.version=4"), ExitCode.DONE);
+                runWithEntry("document", "edit", SERVICE, "--yes", "--set", "models.scene-drafter.version=4"),
+                ExitCode.DONE);
         terminal.clear();
-        assertEquals(call("document", "diff", SERVICE, "1", "2"), ExitCode.DONE);
-        assertTrue(terminal.printed().contains("from version 3 to 4"), terminal.printed());
-        assertEquals(call("document", "revert", SERVICE, "1", "--yes"), ExitCode.DONE);
+        assertEquals(runWithEntry("document", "diff", SERVICE, "1", "2"), ExitCode.DONE);
+        assertTrue(terminal.output().contains("from version 3 to 4"), terminal.output());
+        assertEquals(runWithEntry("document", "revert", SERVICE, "1", "--yes"), ExitCode.DONE);
         terminal.clear();
-        assertEquals(call("document", "history", SERVICE), ExitCode.DONE);
+        assertEquals(runWithEntry("document", "history", SERVICE), ExitCode.DONE);
 
         assertEquals(
-                terminal.printed().lines().map(line -> line.split(" +")[0]).toList(),
+                terminal.output().lines().map(line -> line.split(" +")[0]).toList(),
                 List.of("revision", "3", "2", "1"));
-        assertTrue(terminal.printed().contains("aigul"), terminal.printed());
+        assertTrue(terminal.output().contains("aigul"), terminal.output());
     }
 
     @Test
-    public void should_show_what_runs() {
-        assertEquals(call("status"), ExitCode.DONE);
-        assertEquals(call("duties"), ExitCode.DONE);
-        assertEquals(call("explain", SmallFleet.REQUEST.toString()), ExitCode.DONE);
-        assertEquals(call("dump", "entry-1"), ExitCode.DONE);
+    public void should_show_status_duties_request_and_dump() {
+        assertEquals(runWithEntry("status"), ExitCode.DONE);
+        assertEquals(runWithEntry("duties"), ExitCode.DONE);
+        assertEquals(runWithEntry("explain", FakeFleet.REQUEST.toString()), ExitCode.DONE);
+        assertEquals(runWithEntry("dump", "entry-1"), ExitCode.DONE);
 
         for (String shown : List.of("3/8", "100/2000", "decode", "planner", "sent to drafter-1", "\"process\"")) {
-            assertTrue(terminal.printed().contains(shown), shown + " in " + terminal.printed());
+            assertTrue(terminal.output().contains(shown), shown + " in " + terminal.output());
         }
     }
 
     @Test
-    public void should_watch_until_it_is_ended() {
-        terminal.endAfterPauses(2);
+    public void should_print_one_line_per_poll_when_watching_as_json() {
+        terminal.stopAfterPauses(2);
 
-        assertEquals(call("status", "--watch", "--json"), ExitCode.DONE);
+        assertEquals(runWithEntry("status", "--watch", "--json"), ExitCode.DONE);
 
-        assertEquals(terminal.printed().lines().count(), 3L);
-        terminal.endAfterPauses(Integer.MAX_VALUE);
+        assertEquals(terminal.output().lines().count(), 3L);
+        terminal.stopAfterPauses(Integer.MAX_VALUE);
     }
 
     @DataProvider
@@ -188,49 +195,49 @@
             {List.of("duties")},
             {List.of("document", "get", SERVICE)},
             {List.of("document", "history", SERVICE)},
-            {List.of("explain", SmallFleet.REQUEST.toString())},
+            {List.of("explain", FakeFleet.REQUEST.toString())},
             {List.of("dump", "entry-1")},
         };
     }
 
     @Test(dataProvider = "json_commands")
-    public void should_print_json_for_scripts(List<String> command) throws IOException {
-        call("document", "accept", file(FIRST), "--yes");
+    public void should_print_a_json_object_when_json_is_requested(List<String> command) throws IOException {
+        runWithEntry("document", "accept", writeFile(FIRST_DOCUMENT), "--yes");
         terminal.clear();
-        List<String> line = new ArrayList<>(command);
-        line.add("--json");
+        List<String> commandLine = new ArrayList<>(command);
+        commandLine.add("--json");
 
-        assertEquals(call(line.toArray(String[]::new)), ExitCode.DONE);
+        assertEquals(runWithEntry(commandLine.toArray(String[]::new)), ExitCode.DONE);
 
-        assertTrue(new ObjectMapper().readTree(terminal.printed()).isObject());
+        assertTrue(new ObjectMapper().readTree(terminal.output()).isObject());
     }
 
     @Test
-    public void should_say_what_to_do_about_errors() throws Exception {
+    public void should_exit_with_matching_code_and_remedy_when_a_command_fails() throws Exception {
         assertEquals(run("status"), ExitCode.USAGE);
-        assertTrue(terminal.errors().contains("Add --entry URL"), terminal.errors());
-        assertEquals(call("status", "--token", "wrong"), ExitCode.REFUSED);
-        assertEquals(call("document", "get", "studio"), ExitCode.USAGE);
-        assertEquals(call("status", "--colour"), ExitCode.USAGE);
+        assertTrue(terminal.errorOutput().contains("Add --entry URL"), terminal.errorOutput());
+        assertEquals(runWithEntry("status", "--token", "wrong"), ExitCode.REFUSED);
+        assertEquals(runWithEntry("document", "get", "studio"), ExitCode.USAGE);
+        assertEquals(runWithEntry("status", "--colour"), ExitCode.USAGE);
         assertEquals(run("frobnicate"), ExitCode.USAGE);
         assertEquals(run("document", "check", "/nowhere"), ExitCode.USAGE);
         String address = entry.address();
         entry.close();
         assertEquals(run("status", "--entry", address), ExitCode.UNAVAILABLE);
-        assertTrue(terminal.errors().contains("Check --entry"), terminal.errors());
+        assertTrue(terminal.errorOutput().contains("Check --entry"), terminal.errorOutput());
     }
 
     @Test
-    public void should_help_and_complete_every_command() {
+    public void should_provide_help_and_completion_for_every_command() {
         run("--help");
-        List<String> names = terminal.printed()
+        List<String> names = terminal.output()
                 .lines()
                 .skip(3)
                 .takeWhile(line -> !line.isEmpty())
                 .map(line -> line.replaceAll(" +([A-Z\\[]|--|bash| ).*", ""))
                 .toList();
         run("completion", "bash");
-        String script = terminal.printed();
+        String script = terminal.output();
 
         assertEquals(names.size(), 14);
         for (String name : names) {
@@ -246,14 +253,14 @@
         return tool.run(arguments);
     }
 
-    private ExitCode call(String... arguments) {
-        List<String> line = new ArrayList<>(List.of(arguments));
-        line.addAll(List.of("--entry", entry.address()));
-        return tool.run(line.toArray(String[]::new));
+    private ExitCode runWithEntry(String... arguments) {
+        List<String> commandLine = new ArrayList<>(List.of(arguments));
+        commandLine.addAll(List.of("--entry", entry.address()));
+        return tool.run(commandLine.toArray(String[]::new));
     }
 
-    private String file(String text) throws IOException {
-        return Files.writeString(Files.createTempFile(folder, "document", ".json"), text)
+    private String writeFile(String text) throws IOException {
+        return Files.writeString(Files.createTempFile(directory, "document", ".json"), text)
                 .toString();
     }
 }
--- a/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/ScriptedTerminal.java
+++ b/aspenmoor-cli/src/test/java/org/aspenmoorusage/operator/ScriptedTerminal.java
@@ -10,34 +10,34 @@
 import java.util.Optional;
 import org.aspenmoor.internal.cli.Terminal;
 
-/** A terminal whose operator types what the test says, and whose clock moves by the pauses alone. */
+/** Terminal with scripted input and a manual clock that advances only during pauses. */
 final class ScriptedTerminal implements Terminal {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream error = new ByteArrayOutputStream();
     private final PrintStream outStream = new PrintStream(out, true, StandardCharsets.UTF_8);
     private final PrintStream errorStream = new PrintStream(error, true, StandardCharsets.UTF_8);
-    private final Deque<String> typed = new ArrayDeque<>();
+    private final Deque<String> inputLines = new ArrayDeque<>();
     private final Map<String, String> environment;
-    private long nanoseconds;
+    private long nowNanos;
     private int pausesLeft = Integer.MAX_VALUE;
 
     ScriptedTerminal(Map<String, String> environment) {
         this.environment = environment;
     }
 
-    void type(String line) {
-        typed.add(line);
+    void typeLine(String line) {
+        inputLines.add(line);
     }
 
-    void endAfterPauses(int count) {
+    void stopAfterPauses(int count) {
         pausesLeft = count;
     }
 
-    String printed() {
+    String output() {
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    String errors() {
+    String errorOutput() {
         return error.toString(StandardCharsets.UTF_8);
     }
 
@@ -58,23 +58,23 @@
 
     @Override
     public Optional<String> readLine() {
-        return Optional.ofNullable(typed.poll());
+        return Optional.ofNullable(inputLines.poll());
     }
 
     @Override
-    public Optional<String> environment(String name) {
+    public Optional<String> environmentVariable(String name) {
         return Optional.ofNullable(environment.get(name));
     }
 
     @Override
     public boolean pause(Duration duration) {
-        nanoseconds += duration.toNanos();
+        nowNanos += duration.toNanos();
         pausesLeft--;
         return pausesLeft >= 0;
     }
 
     @Override
-    public long monotonicNanoseconds() {
-        return nanoseconds;
+    public long monotonicNanos() {
+        return nowNanos;
     }
 }
