--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountEquation.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountEquation.java
@@ -8,11 +8,11 @@
  * An equation that a process's account must satisfy: one count is the sum of others.
  *
  * @param account the object in the state dump that holds the counts
- * @param whole the count on the left
+ * @param total the count on the left
  * @param parts the counts on the right
- * @param atRest the count that is zero once nothing is sent any more; empty where there is none
+ * @param zeroAtRest the count that is zero once nothing is sent any more; empty where there is none
  */
-record AccountEquation(String account, String whole, List<String> parts, Optional<String> atRest) {
+record AccountEquation(String account, String total, List<String> parts, Optional<String> zeroAtRest) {
     /** All equations, of entries and of agents. */
     static final List<AccountEquation> ALL = List.of(
             new AccountEquation(
@@ -28,17 +28,17 @@
                     Optional.of("running")));
 
     /** Returns what is wrong with the counts of a process, if anything. */
-    Optional<String> mistake(String process, JsonNode counts) {
+    Optional<String> violation(String process, JsonNode counts) {
         long sum = parts.stream().mapToLong(part -> counts.path(part).asLong()).sum();
-        if (counts.path(whole).asLong() != sum) {
+        if (counts.path(total).asLong() != sum) {
             return Optional.of(process + ": " + account + " do not balance: " + counts);
         }
-        return atRest.filter(count -> counts.path(count).asLong() != 0)
+        return zeroAtRest.filter(count -> counts.path(count).asLong() != 0)
                 .map(count -> process + ": " + account + " still " + count + ": " + counts);
     }
 
     /** Says whether the counts have all the equation's fields. */
     boolean isComplete(JsonNode counts) {
-        return counts.has(whole) && parts.stream().allMatch(counts::has);
+        return counts.has(total) && parts.stream().allMatch(counts::has);
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
@@ -11,14 +11,14 @@
 final class AccountSums {
     private final Map<String, Map<String, Long>> sums = new LinkedHashMap<>();
     private final Map<String, Integer> processes = new LinkedHashMap<>();
-    private final List<String> mistakes = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
     /** Takes in the state dump of one process. */
     void add(JsonNode state) {
         String process = state.path("process").asText();
         String imbalance = state.path("imbalance").asText();
         if (!imbalance.isEmpty()) {
-            mistakes.add(process + ": " + imbalance);
+            violations.add(process + ": " + imbalance);
         }
         int found = 0;
         for (AccountEquation equation : AccountEquation.ALL) {
@@ -28,20 +28,20 @@
             }
             found++;
             if (!equation.isComplete(counts)) {
-                mistakes.add(process + ": " + equation.account() + " lack a count: " + counts);
+                violations.add(process + ": " + equation.account() + " lack a count: " + counts);
                 continue;
             }
-            equation.mistake(process, counts).ifPresent(mistakes::add);
+            equation.violation(process, counts).ifPresent(violations::add);
             addCounts(equation.account(), counts);
         }
         if (found == 0) {
-            mistakes.add(process + ": its state dump holds no account");
+            violations.add(process + ": its state dump holds no account");
         }
     }
 
     /** Notes a process whose state could not be read. */
-    void unreadable(String address, String why) {
-        mistakes.add(address + " cannot be read: " + why);
+    void addUnreadable(String address, String why) {
+        violations.add(address + " cannot be read: " + why);
     }
 
     void print(PrintStream output) {
@@ -53,8 +53,8 @@
         });
     }
 
-    List<String> mistakes() {
-        return mistakes;
+    List<String> violations() {
+        return violations;
     }
 
     private void addCounts(String account, JsonNode counts) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountsCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountsCommand.java
@@ -46,9 +46,9 @@
             read(address, sums);
         }
         sums.print(output);
-        List<String> mistakes = sums.mistakes();
-        mistakes.forEach(output::println);
-        return mistakes.isEmpty() ? 0 : UNBALANCED;
+        List<String> violations = sums.violations();
+        violations.forEach(output::println);
+        return violations.isEmpty() ? 0 : UNBALANCED;
     }
 
     private void read(String address, AccountSums sums) throws InterruptedException {
@@ -58,8 +58,8 @@
                     .build();
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             sums.add(Json.parseObject(response.body()).orElseGet(Json::object));
-        } catch (IOException away) {
-            sums.unreadable(address, away.toString());
+        } catch (IOException unreachable) {
+            sums.addUnreadable(address, unreachable.toString());
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
@@ -20,7 +20,7 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final long PAUSE_MILLISECONDS = 20;
     private static final int OK = 200;
-    private static final int NOT_AS_WISHED = 1;
+    private static final int CONDITION_NOT_MET = 1;
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -64,9 +64,9 @@
             return 0;
         }
         HttpRequest request = request(URI.create(options.valueOf(url)), Optional.ofNullable(options.valueOf(post)));
-        Question question =
-                new Question(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
-        return askUntil(question, options.valueOf(seconds), output);
+        Query query =
+                new Query(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
+        return queryUntil(query, options.valueOf(seconds), output);
     }
 
     private static HttpRequest request(URI url, Optional<String> body) {
@@ -75,38 +75,38 @@
         return builder.build();
     }
 
-    private int askUntil(Question question, int seconds, PrintStream output) throws InterruptedException {
+    private int queryUntil(Query query, int seconds, PrintStream output) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (true) {
-            Reply reply = ask(question);
-            if (reply.asWished()) {
+            Reply reply = query(query);
+            if (reply.conditionMet()) {
                 output.println(reply.text());
                 return 0;
             }
             if (System.nanoTime() - deadline >= 0) {
                 output.println("not as wished: " + reply.text());
-                return NOT_AS_WISHED;
+                return CONDITION_NOT_MET;
             }
             TimeUnit.MILLISECONDS.sleep(PAUSE_MILLISECONDS);
         }
     }
 
-    private Reply ask(Question question) throws InterruptedException {
+    private Reply query(Query query) throws InterruptedException {
         try {
-            HttpResponse<String> response = client.send(question.request(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> response = client.send(query.request(), HttpResponse.BodyHandlers.ofString());
             if (response.statusCode() != OK) {
                 return new Reply(false, response.statusCode() + " " + response.body());
             }
-            if (question.pointer().isEmpty()) {
+            if (query.pointer().isEmpty()) {
                 return new Reply(true, response.body());
             }
             JsonNode value =
-                    Json.parseObject(response.body()).orElseGet(Json::object).at(question.pointer());
-            long number = value.isArray() ? count(value, question.where()) : value.asLong();
-            boolean reached = !value.isMissingNode() && number >= question.atLeast();
+                    Json.parseObject(response.body()).orElseGet(Json::object).at(query.pointer());
+            long number = value.isArray() ? count(value, query.where()) : value.asLong();
+            boolean reached = !value.isMissingNode() && number >= query.atLeast();
             return new Reply(reached, value.isArray() ? String.valueOf(number) : value.asText());
-        } catch (IOException away) {
-            return new Reply(false, away.toString());
+        } catch (IOException unreachable) {
+            return new Reply(false, unreachable.toString());
         }
     }
 
@@ -121,7 +121,7 @@
         return counted;
     }
 
-    private record Question(HttpRequest request, String pointer, String where, long atLeast) {}
+    private record Query(HttpRequest request, String pointer, String where, long atLeast) {}
 
-    private record Reply(boolean asWished, String text) {}
+    private record Reply(boolean conditionMet, String text) {}
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/EngineCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/EngineCommand.java
@@ -13,7 +13,7 @@
 
 /** Runs a model engine stand-in. */
 public final class EngineCommand implements Subcommand {
-    private static final int MILLISECONDS_OF_SECOND = 1000;
+    private static final int MILLISECONDS_PER_SECOND = 1000;
 
     @Override
     public String name() {
@@ -36,11 +36,11 @@
                 .withRequiredArg()
                 .defaultsTo("whole");
         OptionSpec<Void> ignoreFencing = parser.accepts("ignore-fencing", "take orders with old fencing numbers");
-        OptionSpec<Double> away = parser.accepts("seconds-per-role-change", "how long a role change takes")
+        OptionSpec<Double> roleChangeSeconds = parser.accepts("seconds-per-role-change", "how long a role change takes")
                 .withRequiredArg()
                 .ofType(Double.class)
                 .defaultsTo(3.0);
-        OptionSpec<Double> token = parser.accepts("token-milliseconds", "time between tokens")
+        OptionSpec<Double> tokenMilliseconds = parser.accepts("token-milliseconds", "time between tokens")
                 .withRequiredArg()
                 .ofType(Double.class)
                 .defaultsTo(20.0);
@@ -68,13 +68,13 @@
                 options.valueOf(name),
                 EngineRole.valueOf(options.valueOf(role).toUpperCase(Locale.ROOT)),
                 options.has(ignoreFencing),
-                Math.round(options.valueOf(away) * MILLISECONDS_OF_SECOND),
-                options.valueOf(token),
+                Math.round(options.valueOf(roleChangeSeconds) * MILLISECONDS_PER_SECOND),
+                options.valueOf(tokenMilliseconds),
                 options.valueOf(prefill),
                 options.valueOf(sequences),
                 options.valueOf(pieces),
                 options.valuesOf(loaded));
         EngineStandin engine = new EngineStandin(settings, UUID.randomUUID().toString());
-        return ServerRun.serve(output, settings.name(), options.valueOf(port), engine);
+        return ServerRunner.serve(output, settings.name(), options.valueOf(port), engine);
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRunner.java
@@ -7,8 +7,8 @@
 import org.aspenmoor.internal.standins.http.StandinServer;
 
 /** Runs a stand-in's server until the process is stopped. */
-final class ServerRun {
-    private ServerRun() {}
+final class ServerRunner {
+    private ServerRunner() {}
 
     static int serve(PrintStream output, String name, int port, Handler handler)
             throws IOException, InterruptedException {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServiceCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServiceCommand.java
@@ -38,6 +38,6 @@
         }
         ServiceStandin service =
                 new ServiceStandin(options.valueOf(name), UUID.randomUUID().toString(), options.valueOf(calls));
-        return ServerRun.serve(output, options.valueOf(name), options.valueOf(port), service);
+        return ServerRunner.serve(output, options.valueOf(name), options.valueOf(port), service);
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
@@ -28,12 +28,12 @@
 
     /** Creates the object or replaces what was read. */
     void write(ObjectKey key, Optional<StoredObject> read, String value) throws AspenmoorException {
-        WriteOutcome settled = read.isPresent() ? writes.update(read.get(), value) : writes.create(key, value);
-        switch (settled) {
+        WriteOutcome outcome = read.isPresent() ? writes.update(read.get(), value) : writes.create(key, value);
+        switch (outcome) {
             case WriteOutcome.Applied applied -> {
                 // Nothing is left to do.
             }
-            case WriteOutcome.Superseded lost ->
+            case WriteOutcome.Superseded superseded ->
                 throw new AspenmoorException(
                         "Somebody else changed the object at the same moment.", key.toString(), "Try again.");
             case WriteOutcome.Unknown unknown -> throw unknown.cause();
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreCommand.java
@@ -43,7 +43,7 @@
         }
         try (StoreStandin store =
                 new StoreStandin(new SystemTimeSource(), options.valueOf(reads), options.valueOf(writes))) {
-            return ServerRun.serve(output, name(), options.valueOf(port), store);
+            return ServerRunner.serve(output, name(), options.valueOf(port), store);
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
@@ -15,8 +15,8 @@
     }
 
     /** Makes one event of a stream. */
-    String event(String text, Optional<String> finishReason) {
-        ObjectNode root = head(generation.chat() ? "chat.completion.chunk" : "text_completion");
+    String streamEvent(String text, Optional<String> finishReason) {
+        ObjectNode root = envelope(generation.chat() ? "chat.completion.chunk" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
         if (generation.chat()) {
             choice.putObject("delta").put("content", text);
@@ -28,8 +28,8 @@
     }
 
     /** Makes a whole answer. */
-    ObjectNode whole(String text, int tokens) {
-        ObjectNode root = head(generation.chat() ? "chat.completion" : "text_completion");
+    ObjectNode completeAnswer(String text, int tokens) {
+        ObjectNode root = envelope(generation.chat() ? "chat.completion" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
         if (generation.chat()) {
             choice.putObject("message").put("role", "assistant").put("content", text);
@@ -45,10 +45,10 @@
     }
 
     String finishReason() {
-        return generation.cutByMaximum() ? "length" : "stop";
+        return generation.stoppedByMaximum() ? "length" : "stop";
     }
 
-    private ObjectNode head(String objectType) {
+    private ObjectNode envelope(String objectType) {
         ObjectNode root = Json.object();
         root.put("id", "cmpl-" + generation.requestId());
         root.put("object", objectType);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
@@ -13,9 +13,9 @@
             "valley", "willow", "xenon", "yarrow", "zinc");
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long PRIME = 0x100000001b3L;
-    private static final int SHORTEST = 20;
-    private static final int SPREAD = 180;
-    private static final int MARK_VALUES = 1000;
+    private static final int MIN_TOKENS = 20;
+    private static final int TOKEN_COUNT_RANGE = 180;
+    private static final int NUMBER_RANGE = 1000;
 
     private DeterministicText() {}
 
@@ -25,13 +25,13 @@
     }
 
     /** Returns how many tokens the whole answer has. */
-    public static int tokens(String prompt, int maximum) {
-        return Math.min(maximum, naturalTokens(prompt));
+    public static int tokens(String prompt, int maxTokens) {
+        return Math.min(maxTokens, unlimitedTokens(prompt));
     }
 
     /** Returns how many tokens the answer has where the request sets no maximum. */
-    public static int naturalTokens(String prompt) {
-        return SHORTEST + (int) Long.remainderUnsigned(mix(hash(prompt)), SPREAD);
+    public static int unlimitedTokens(String prompt) {
+        return MIN_TOKENS + (int) Long.remainderUnsigned(mix(hash(prompt)), TOKEN_COUNT_RANGE);
     }
 
     /** Returns the tokens from one index up to, not including, another. */
@@ -47,7 +47,7 @@
     private static String token(long seed, int index) {
         long value = mix(seed + index * 0x9e3779b97f4a7c15L);
         String word = WORDS.get((int) Long.remainderUnsigned(value, WORDS.size()));
-        return " " + word + Long.remainderUnsigned(value >>> 8, MARK_VALUES);
+        return " " + word + Long.remainderUnsigned(value >>> 8, NUMBER_RANGE);
     }
 
     private static long hash(String... parts) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
@@ -5,7 +5,7 @@
 /** The faults that the engine stand-in shows now; set through its control path. */
 final class EngineFaults {
     private static final int NEVER = -1;
-    private static final int HALTED = 137;
+    private static final int CRASH_EXIT_CODE = 137;
 
     private int crashAfterTokens = NEVER;
     private int cutStreamAfterTokens = NEVER;
@@ -34,18 +34,18 @@
     }
 
     /** Counts a token that was sent; ends the process at once where a crash is due. */
-    synchronized void tokenSent() {
+    synchronized void recordTokenSent() {
         if (crashAfterTokens == NEVER) {
             return;
         }
         crashAfterTokens--;
         if (crashAfterTokens <= 0) {
-            Runtime.getRuntime().halt(HALTED);
+            Runtime.getRuntime().halt(CRASH_EXIT_CODE);
         }
     }
 
     /** Says whether the connection of a stream is cut after that many tokens; cuts one stream only. */
-    synchronized boolean cutsStreamAfter(int tokensSent) {
+    synchronized boolean shouldCutStreamAfter(int tokensSent) {
         if (tokensSent != cutStreamAfterTokens) {
             return false;
         }
@@ -54,7 +54,7 @@
     }
 
     /** Says whether a stream ends in good form after that many tokens though its text is not whole; once only. */
-    synchronized boolean truncatesStreamAfter(int tokensSent) {
+    synchronized boolean shouldTruncateStreamAfter(int tokensSent) {
         if (tokensSent != truncateStreamAfterTokens) {
             return false;
         }
@@ -63,7 +63,7 @@
     }
 
     /** Says whether a wrong token is sent at that index; once only. */
-    synchronized boolean wrongTokenAt(int index) {
+    synchronized boolean shouldSendWrongTokenAt(int index) {
         if (index != wrongTokenAt) {
             return false;
         }
@@ -71,7 +71,7 @@
         return true;
     }
 
-    synchronized boolean failsThisOrder() {
+    synchronized boolean shouldFailOrder() {
         if (ordersToFail == 0) {
             return false;
         }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
@@ -8,22 +8,22 @@
 
 /** Records every request that really ran and every order that came. */
 final class EngineLedger {
-    private static final int MOST_ENTRIES = 200_000;
+    private static final int MAX_RECORDS = 200_000;
 
-    private final List<RunEntry> runs = new ArrayList<>();
-    private final List<OrderEntry> orders = new ArrayList<>();
+    private final List<RunRecord> runs = new ArrayList<>();
+    private final List<OrderRecord> orders = new ArrayList<>();
 
-    synchronized RunEntry begin(GenerationCall generation) {
-        RunEntry entry = new RunEntry(generation);
-        if (runs.size() < MOST_ENTRIES) {
-            runs.add(entry);
+    synchronized RunRecord recordRun(GenerationCall generation) {
+        RunRecord record = new RunRecord(generation);
+        if (runs.size() < MAX_RECORDS) {
+            runs.add(record);
         }
-        return entry;
+        return record;
     }
 
-    synchronized void order(OrderEntry entry) {
-        if (orders.size() < MOST_ENTRIES) {
-            orders.add(entry);
+    synchronized void recordOrder(OrderRecord record) {
+        if (orders.size() < MAX_RECORDS) {
+            orders.add(record);
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineSettings.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineSettings.java
@@ -12,7 +12,7 @@
  * @param roleChangeMilliseconds how long a role change takes
  * @param tokenMilliseconds time between two tokens of a sequence
  * @param prefillTokensPerSecond speed of computing prompts
- * @param mostSequences how many requests generate at once
+ * @param maxSequences how many requests generate at once
  * @param cachePieces pieces of cache memory
  * @param loaded models and adapters in memory at the start
  */
@@ -23,7 +23,7 @@
         long roleChangeMilliseconds,
         double tokenMilliseconds,
         double prefillTokensPerSecond,
-        int mostSequences,
+        int maxSequences,
         int cachePieces,
         List<String> loaded) {
     public EngineSettings {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineStandin.java
@@ -31,8 +31,8 @@
     private final EngineFaults faults = new EngineFaults();
     private final EngineLedger ledger = new EngineLedger();
     private final AtomicLong queuedPrefillTokens = new AtomicLong();
-    private final AtomicLong reports = new AtomicLong();
-    private final OrderQueue orders;
+    private final AtomicLong statusReports = new AtomicLong();
+    private final OrderExecutor orders;
     private final SequenceSlots slots;
     private final PrefixCache cache;
     private final Generator generator;
@@ -40,8 +40,8 @@
     public EngineStandin(EngineSettings settings, String incarnation) {
         this.settings = settings;
         this.incarnation = incarnation;
-        this.orders = new OrderQueue(settings, faults, ledger);
-        this.slots = new SequenceSlots(settings.mostSequences());
+        this.orders = new OrderExecutor(settings, faults, ledger);
+        this.slots = new SequenceSlots(settings.maxSequences());
         this.cache = new PrefixCache(settings.cachePieces());
         this.generator = new Generator(settings, faults, orders, cache, queuedPrefillTokens);
     }
@@ -52,7 +52,7 @@
             route(call);
         } catch (InterruptedException stopping) {
             Thread.currentThread().interrupt();
-            call.drop();
+            call.dropConnection();
         }
     }
 
@@ -71,19 +71,19 @@
         switch (path) {
             case "/v1/completions" -> generate(call, false);
             case "/v1/chat/completions" -> generate(call, true);
-            case "/control/status" -> answerStatus(call);
-            case "/control/orders" -> takeOrder(call);
-            case "/cache/events" -> answerCacheEvents(call);
+            case "/control/status" -> respondWithStatus(call);
+            case "/control/orders" -> receiveOrder(call);
+            case "/cache/events" -> respondWithCacheEvents(call);
             case "/cache/export" -> exportCache(call);
             case "/cache/import" -> importCache(call);
-            default -> call.refuse(NOT_FOUND, "The engine has no such path.");
+            default -> call.respondError(NOT_FOUND, "The engine has no such path.");
         }
     }
 
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.refuse(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
             return;
         }
         faults.apply(change.get());
@@ -94,13 +94,13 @@
         Optional<GenerationCall> generation =
                 Json.parseObject(call.body()).flatMap(body -> GenerationCall.read(call, body, chat));
         if (generation.isEmpty()) {
-            call.refuse(BAD_REQUEST, "Send a JSON object with model and prompt.");
+            call.respondError(BAD_REQUEST, "Send a JSON object with model and prompt.");
             return;
         }
         slots.enter(generation.get().priority());
         try {
-            if (orders.isAway()) {
-                call.refuse(SERVICE_UNAVAILABLE, "The engine is changing its role; the request did not run.");
+            if (orders.isChangingRole()) {
+                call.respondError(SERVICE_UNAVAILABLE, "The engine is changing its role; the request did not run.");
                 return;
             }
             run(call, generation.get());
@@ -110,53 +110,53 @@
     }
 
     private void run(Call call, GenerationCall generation) throws IOException, InterruptedException {
-        RunEntry entry = ledger.begin(generation);
+        RunRecord runRecord = ledger.recordRun(generation);
         try {
             generator.prefill(generation);
             if (generation.stream()) {
-                generator.stream(call, generation, entry);
+                generator.stream(call, generation, runRecord);
             } else {
-                generator.answerWhole(call, generation, entry);
+                generator.respondComplete(call, generation, runRecord);
             }
         } finally {
-            if (entry.end() == RunEntry.End.RUNNING) {
-                entry.end(RunEntry.End.CANCELLED);
+            if (runRecord.end() == RunRecord.End.RUNNING) {
+                runRecord.end(RunRecord.End.CANCELLED);
             }
         }
     }
 
-    private void answerStatus(Call call) throws IOException {
+    private void respondWithStatus(Call call) throws IOException {
         ObjectNode root = Json.object();
         root.put("name", settings.name());
         root.put("incarnation", incarnation);
-        orders.writeStatus(root, call.query("order"));
+        orders.writeStatus(root, call.queryParameter("order"));
         root.putObject("load")
-                .put("sequence", reports.incrementAndGet())
+                .put("sequence", statusReports.incrementAndGet())
                 .put("queuedPrefillTokens", queuedPrefillTokens.get())
                 .put("runningSequences", slots.running())
-                .put("mostSequences", slots.most())
-                .put("freeCachePieces", cache.mostPieces() - cache.usedPieces())
-                .put("allCachePieces", cache.mostPieces());
+                .put("mostSequences", slots.maxRunning())
+                .put("freeCachePieces", cache.maxPieces() - cache.usedPieces())
+                .put("allCachePieces", cache.maxPieces());
         call.respond(OK, root);
     }
 
-    private void takeOrder(Call call) throws IOException {
+    private void receiveOrder(Call call) throws IOException {
         Optional<ObjectNode> order = Json.parseObject(call.body());
         if (order.isEmpty()) {
-            call.refuse(BAD_REQUEST, "Send the order as a JSON object.");
+            call.respondError(BAD_REQUEST, "Send the order as a JSON object.");
             return;
         }
         Optional<String> refusal = orders.begin(order.get());
         if (refusal.isPresent()) {
-            call.refuse(CONFLICT, refusal.get());
+            call.respondError(CONFLICT, refusal.get());
             return;
         }
         call.respond(ACCEPTED, Json.object());
     }
 
-    private void answerCacheEvents(Call call) throws IOException {
-        long after = Long.parseLong(call.query("after").orElse("0"));
-        try (OutputStream output = call.stream("application/x-ndjson")) {
+    private void respondWithCacheEvents(Call call) throws IOException {
+        long after = Long.parseLong(call.queryParameter("after").orElse("0"));
+        try (OutputStream output = call.beginStream("application/x-ndjson")) {
             for (CacheEvent event : cache.eventsAfter(after)) {
                 output.write((event.toJson() + "\n").getBytes(StandardCharsets.UTF_8));
             }
@@ -167,10 +167,10 @@
         ObjectNode body = Json.parseObject(call.body()).orElseGet(Json::object);
         List<Long> pieces = PrefixCache.piecesOf(
                 body.path("model").asText(), body.path("prompt").asText());
-        int covered = cache.coveredTokens(pieces) / PrefixCache.TOKENS_OF_PIECE;
+        int cachedPieces = cache.cachedPrefixTokens(pieces) / PrefixCache.TOKENS_PER_PIECE;
         ObjectNode root = Json.object();
         ArrayNode names = root.putArray("pieces");
-        pieces.subList(0, covered).forEach(piece -> names.add(Long.toHexString(piece)));
+        pieces.subList(0, cachedPieces).forEach(piece -> names.add(Long.toHexString(piece)));
         call.respond(OK, root);
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/GenerationCall.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/GenerationCall.java
@@ -15,8 +15,8 @@
  * @param prompt the prompt, or the messages' contents, one a line
  * @param chat whether it came as a chat
  * @param stream whether the answer is streamed
- * @param tokens how many tokens the whole answer has
- * @param cutByMaximum whether the caller's maximum ends the answer
+ * @param answerTokens how many tokens the whole answer has
+ * @param stoppedByMaximum whether the caller's maximum ends the answer
  * @param resumeFrom the first token to send
  * @param priority greater goes first
  */
@@ -28,8 +28,8 @@
         String prompt,
         boolean chat,
         boolean stream,
-        int tokens,
-        boolean cutByMaximum,
+        int answerTokens,
+        boolean stoppedByMaximum,
         int resumeFrom,
         double priority) {
     private static final int CHARACTERS_OF_TOKEN = 4;
@@ -40,8 +40,8 @@
         if (model[0].isEmpty() || prompt.isEmpty()) {
             return Optional.empty();
         }
-        int maximum = body.path("max_tokens").asInt(Integer.MAX_VALUE);
-        int tokens = DeterministicText.tokens(prompt, maximum);
+        int maxTokens = body.path("max_tokens").asInt(Integer.MAX_VALUE);
+        int tokens = DeterministicText.tokens(prompt, maxTokens);
         return Optional.of(new GenerationCall(
                 call.header("X-Request-Id").orElse(""),
                 call.header("X-Attempt").orElse(""),
@@ -51,7 +51,7 @@
                 chat,
                 body.path("stream").asBoolean(),
                 tokens,
-                tokens < DeterministicText.naturalTokens(prompt),
+                tokens < DeterministicText.unlimitedTokens(prompt),
                 body.path("resume").path("tokens").asInt(0),
                 body.path("priority").asDouble(0)));
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/Generator.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/Generator.java
@@ -22,14 +22,14 @@
 
     private final EngineSettings settings;
     private final EngineFaults faults;
-    private final OrderQueue orders;
+    private final OrderExecutor orders;
     private final PrefixCache cache;
     private final AtomicLong queuedPrefillTokens;
 
     Generator(
             EngineSettings settings,
             EngineFaults faults,
-            OrderQueue orders,
+            OrderExecutor orders,
             PrefixCache cache,
             AtomicLong queuedPrefillTokens) {
         this.settings = settings;
@@ -42,64 +42,64 @@
     /** Computes the prompt; cached pieces cost nothing. */
     void prefill(GenerationCall generation) {
         List<Long> pieces = PrefixCache.piecesOf(generation.model(), generation.prompt());
-        int computed = Math.max(0, generation.promptTokens() - cache.coveredTokens(pieces));
-        queuedPrefillTokens.addAndGet(computed);
+        int uncachedTokens = Math.max(0, generation.promptTokens() - cache.cachedPrefixTokens(pieces));
+        queuedPrefillTokens.addAndGet(uncachedTokens);
         double slowdown = orders.role() == EngineRole.DECODE ? WRONG_ROLE_FACTOR : 1;
-        double seconds = computed * slowdown / settings.prefillTokensPerSecond();
+        double seconds = uncachedTokens * slowdown / settings.prefillTokensPerSecond();
         LockSupport.parkNanos(Math.round(seconds * NANOSECONDS_OF_SECOND));
-        queuedPrefillTokens.addAndGet(-computed);
+        queuedPrefillTokens.addAndGet(-uncachedTokens);
         cache.add(pieces);
     }
 
     /** Streams the answer; a reader that is slow holds the generation back. */
-    void stream(Call call, GenerationCall generation, RunEntry entry) throws IOException, InterruptedException {
+    void stream(Call call, GenerationCall generation, RunRecord runRecord) throws IOException, InterruptedException {
         CompletionWriter writer = new CompletionWriter(generation);
-        OutputStream output = call.stream("text/event-stream");
-        for (int index = generation.resumeFrom(); index < generation.tokens(); index++) {
+        OutputStream output = call.beginStream("text/event-stream");
+        for (int index = generation.resumeFrom(); index < generation.answerTokens(); index++) {
             int sent = index - generation.resumeFrom();
-            if (mustCut(sent)) {
-                entry.end(RunEntry.End.CUT);
-                call.drop();
+            if (shouldCut(sent)) {
+                runRecord.end(RunRecord.End.CUT);
+                call.dropConnection();
                 return;
             }
-            if (faults.truncatesStreamAfter(sent)) {
+            if (faults.shouldTruncateStreamAfter(sent)) {
                 break;
             }
-            String token = faults.wrongTokenAt(index) ? WRONG_TOKEN : generation.token(index);
-            write(output, writer.event(token, Optional.empty()));
-            entry.tokensSent(sent + 1);
-            faults.tokenSent();
+            String token = faults.shouldSendWrongTokenAt(index) ? WRONG_TOKEN : generation.token(index);
+            write(output, writer.streamEvent(token, Optional.empty()));
+            runRecord.tokensSent(sent + 1);
+            faults.recordTokenSent();
             pauseBetweenTokens();
         }
-        write(output, writer.event("", Optional.of(writer.finishReason())));
+        write(output, writer.streamEvent("", Optional.of(writer.finishReason())));
         write(output, CompletionWriter.DONE);
         output.close();
-        entry.end(RunEntry.End.COMPLETED);
+        runRecord.end(RunRecord.End.COMPLETED);
     }
 
     /** Generates the whole answer and sends it at once. */
-    void answerWhole(Call call, GenerationCall generation, RunEntry entry) throws IOException, InterruptedException {
+    void respondComplete(Call call, GenerationCall generation, RunRecord runRecord) throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder();
-        for (int index = generation.resumeFrom(); index < generation.tokens(); index++) {
+        for (int index = generation.resumeFrom(); index < generation.answerTokens(); index++) {
             int generated = index - generation.resumeFrom();
-            if (mustCut(generated)) {
-                entry.end(RunEntry.End.CUT);
-                call.drop();
+            if (shouldCut(generated)) {
+                runRecord.end(RunRecord.End.CUT);
+                call.dropConnection();
                 return;
             }
             text.append(generation.token(index));
-            entry.tokensSent(generated + 1);
-            faults.tokenSent();
+            runRecord.tokensSent(generated + 1);
+            faults.recordTokenSent();
             pauseBetweenTokens();
         }
-        int tokens = Math.max(0, generation.tokens() - generation.resumeFrom());
-        call.respond(200, new CompletionWriter(generation).whole(text.toString(), tokens));
-        entry.end(RunEntry.End.COMPLETED);
+        int tokens = Math.max(0, generation.answerTokens() - generation.resumeFrom());
+        call.respond(200, new CompletionWriter(generation).completeAnswer(text.toString(), tokens));
+        runRecord.end(RunRecord.End.COMPLETED);
     }
 
-    private boolean mustCut(int tokensSent) throws InterruptedException {
+    private boolean shouldCut(int tokensSent) throws InterruptedException {
         faults.waitWhileFrozen();
-        return faults.cutsStreamAfter(tokensSent) || orders.isAway();
+        return faults.shouldCutStreamAfter(tokensSent) || orders.isChangingRole();
     }
 
     private void pauseBetweenTokens() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderQueue.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderExecutor.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.engine.OrderState;
 
 /** Carries out one order at a time. */
-final class OrderQueue {
+final class OrderExecutor {
     private static final long LOAD_DIVISOR = 4;
 
     private final EngineSettings settings;
@@ -22,9 +22,9 @@
     private long highestFencingNumber;
     private Optional<String> lastOrderId = Optional.empty();
     private OrderState lastOrderState = OrderState.NEVER_SEEN;
-    private boolean away;
+    private boolean changingRole;
 
-    OrderQueue(EngineSettings settings, EngineFaults faults, EngineLedger ledger) {
+    OrderExecutor(EngineSettings settings, EngineFaults faults, EngineLedger ledger) {
         this.settings = settings;
         this.faults = faults;
         this.ledger = ledger;
@@ -35,7 +35,7 @@
     /** Begins an order; returns why it is refused, if it is. */
     synchronized Optional<String> begin(ObjectNode order) {
         Optional<String> refusal = refusal(order);
-        ledger.order(new OrderEntry(
+        ledger.recordOrder(new OrderRecord(
                 order.path("orderId").asText(),
                 order.path("fencingNumber").asLong(),
                 order.path("type").asText(),
@@ -48,13 +48,13 @@
         }
         lastOrderId = Optional.of(order.path("orderId").asText());
         lastOrderState = OrderState.RUNNING;
-        away = order.path("type").asText().equals("changeRole");
-        Thread.ofPlatform().daemon().name("engine-order").start(() -> carryOut(order));
+        changingRole = order.path("type").asText().equals("changeRole");
+        Thread.ofPlatform().daemon().name("engine-order").start(() -> execute(order));
         return Optional.empty();
     }
 
-    synchronized boolean isAway() {
-        return away;
+    synchronized boolean isChangingRole() {
+        return changingRole;
     }
 
     synchronized EngineRole role() {
@@ -62,10 +62,10 @@
     }
 
     /** Writes what the engine says about its orders. */
-    synchronized void writeStatus(ObjectNode root, Optional<String> askedOrder) {
-        boolean known = askedOrder.isEmpty() || askedOrder.equals(lastOrderId);
+    synchronized void writeStatus(ObjectNode root, Optional<String> queriedOrderId) {
+        boolean known = queriedOrderId.isEmpty() || queriedOrderId.equals(lastOrderId);
         root.put("role", role.name());
-        root.put("ready", !away);
+        root.put("ready", !changingRole);
         root.put("lastOrderId", lastOrderId.orElse(null));
         root.put("lastOrderState", known ? lastOrderState.name() : OrderState.NEVER_SEEN.name());
         root.put("highestFencingNumber", highestFencingNumber);
@@ -89,17 +89,17 @@
         return knownType ? Optional.empty() : Optional.of("The order's type is not known.");
     }
 
-    private void carryOut(ObjectNode order) {
-        boolean fails = faults.failsThisOrder();
-        long whole = order.path("type").asText().equals("changeRole")
+    private void execute(ObjectNode order) {
+        boolean shouldFail = faults.shouldFailOrder();
+        long durationMilliseconds = order.path("type").asText().equals("changeRole")
                 ? settings.roleChangeMilliseconds()
                 : settings.roleChangeMilliseconds() / LOAD_DIVISOR;
-        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(fails ? whole / 2 : whole));
-        finish(order, fails);
+        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(shouldFail ? durationMilliseconds / 2 : durationMilliseconds));
+        finish(order, shouldFail);
     }
 
     private synchronized void finish(ObjectNode order, boolean failed) {
-        away = false;
+        changingRole = false;
         if (failed) {
             lastOrderState = OrderState.FAILED;
             return;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderEntry.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderRecord.java
@@ -11,7 +11,7 @@
  * @param type its type
  * @param result {@code begun} or why it was refused
  */
-record OrderEntry(String orderId, long fencingNumber, String type, String result) {
+record OrderRecord(String orderId, long fencingNumber, String type, String result) {
     ObjectNode toJson() {
         ObjectNode root = Json.object();
         root.put("orderId", orderId);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
@@ -13,20 +13,20 @@
  * <p>A piece stands for a fixed number of tokens and is named by the hash of the whole prompt up to its end.
  */
 final class PrefixCache {
-    static final int TOKENS_OF_PIECE = 16;
+    static final int TOKENS_PER_PIECE = 16;
 
-    private static final int CHARACTERS_OF_PIECE = 64;
-    private static final int MOST_EVENTS = 10_000;
+    private static final int CHARACTERS_PER_PIECE = 64;
+    private static final int MAX_EVENTS = 10_000;
     /** Every so many events one is lost, as engines publish them with gaps. */
-    private static final int GAP = 97;
+    private static final int LOST_EVENT_INTERVAL = 97;
 
-    private final int mostPieces;
+    private final int maxPieces;
     private final Map<Long, Boolean> pieces = new LinkedHashMap<>(16, 0.75f, true);
     private final Deque<CacheEvent> events = new ArrayDeque<>();
     private long sequence;
 
     PrefixCache(int mostPieces) {
-        this.mostPieces = mostPieces;
+        this.maxPieces = mostPieces;
     }
 
     /** Names the pieces of a prompt. */
@@ -35,7 +35,7 @@
         long hash = model.hashCode();
         for (int index = 0; index < prompt.length(); index++) {
             hash = hash * 31 + prompt.charAt(index);
-            if ((index + 1) % CHARACTERS_OF_PIECE == 0) {
+            if ((index + 1) % CHARACTERS_PER_PIECE == 0) {
                 names.add(hash);
             }
         }
@@ -43,15 +43,15 @@
     }
 
     /** Returns how many tokens at the start of the prompt need no computing. */
-    synchronized int coveredTokens(List<Long> names) {
-        int covered = 0;
+    synchronized int cachedPrefixTokens(List<Long> names) {
+        int cachedTokens = 0;
         for (Long name : names) {
             if (pieces.get(name) == null) {
                 break;
             }
-            covered += TOKENS_OF_PIECE;
+            cachedTokens += TOKENS_PER_PIECE;
         }
-        return covered;
+        return cachedTokens;
     }
 
     synchronized void add(List<Long> names) {
@@ -60,10 +60,10 @@
                 publish(CacheEvent.Type.STORED, name);
             }
         }
-        while (pieces.size() > mostPieces) {
-            Long eldest = pieces.keySet().iterator().next();
-            pieces.remove(eldest);
-            publish(CacheEvent.Type.REMOVED, eldest);
+        while (pieces.size() > maxPieces) {
+            Long leastRecentlyUsed = pieces.keySet().iterator().next();
+            pieces.remove(leastRecentlyUsed);
+            publish(CacheEvent.Type.REMOVED, leastRecentlyUsed);
         }
     }
 
@@ -71,8 +71,8 @@
         return pieces.size();
     }
 
-    int mostPieces() {
-        return mostPieces;
+    int maxPieces() {
+        return maxPieces;
     }
 
     synchronized List<CacheEvent> eventsAfter(long after) {
@@ -81,11 +81,11 @@
 
     private void publish(CacheEvent.Type type, long piece) {
         sequence++;
-        if (sequence % GAP == 0) {
+        if (sequence % LOST_EVENT_INTERVAL == 0) {
             return;
         }
         events.addLast(new CacheEvent(sequence, type, piece));
-        if (events.size() > MOST_EVENTS) {
+        if (events.size() > MAX_EVENTS) {
             events.removeFirst();
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunEntry.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunRecord.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /** One request that ran. */
-final class RunEntry {
+final class RunRecord {
     private final GenerationCall generation;
     private volatile int tokensSent;
     private volatile End end = End.RUNNING;
@@ -19,7 +19,7 @@
         CUT
     }
 
-    RunEntry(GenerationCall generation) {
+    RunRecord(GenerationCall generation) {
         this.generation = generation;
     }
 
@@ -27,8 +27,8 @@
         tokensSent = count;
     }
 
-    void end(End how) {
-        end = how;
+    void end(End newEnd) {
+        end = newEnd;
     }
 
     End end() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/SequenceSlots.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/SequenceSlots.java
@@ -6,22 +6,22 @@
 /** Lets a bounded number of sequences run; of those that wait, greater priority goes first, then who came first. */
 final class SequenceSlots {
     private static final Comparator<Waiting> ORDER =
-            Comparator.comparingDouble(Waiting::priority).reversed().thenComparingLong(Waiting::number);
+            Comparator.comparingDouble(Waiting::priority).reversed().thenComparingLong(Waiting::arrival);
 
     private final PriorityQueue<Waiting> waiting = new PriorityQueue<>(ORDER);
-    private final int most;
+    private final int maxRunning;
     private int running;
     private long arrivals;
 
-    SequenceSlots(int most) {
-        this.most = most;
+    SequenceSlots(int maxRunning) {
+        this.maxRunning = maxRunning;
     }
 
     synchronized void enter(double priority) throws InterruptedException {
         Waiting self = new Waiting(priority, arrivals++);
         waiting.add(self);
         try {
-            while (running >= most || !self.equals(waiting.peek())) {
+            while (running >= maxRunning || !self.equals(waiting.peek())) {
                 wait();
             }
         } finally {
@@ -40,9 +40,9 @@
         return running;
     }
 
-    int most() {
-        return most;
+    int maxRunning() {
+        return maxRunning;
     }
 
-    private record Waiting(double priority, long number) {}
+    private record Waiting(double priority, long arrival) {}
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Call.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Call.java
@@ -13,7 +13,7 @@
 
 /** One HTTP call to a stand-in. */
 public final class Call {
-    private static final int MOST_BODY_BYTES = 8 * 1024 * 1024;
+    private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
     private static final String JSON_TYPE = "application/json";
 
     private final HttpExchange exchange;
@@ -39,7 +39,7 @@
     }
 
     /** Returns a parameter of the query. */
-    public Optional<String> query(String name) {
+    public Optional<String> queryParameter(String name) {
         String query = exchange.getRequestURI().getRawQuery();
         if (query == null) {
             return Optional.empty();
@@ -58,7 +58,7 @@
 
     /** Reads the whole body. */
     public String body() throws IOException {
-        byte[] bytes = exchange.getRequestBody().readNBytes(MOST_BODY_BYTES);
+        byte[] bytes = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
@@ -73,26 +73,26 @@
     }
 
     /** Answers with an error in JSON. */
-    public void refuse(int status, String problem) throws IOException {
+    public void respondError(int status, String problem) throws IOException {
         ObjectNode body = Json.object();
         body.put("refused", problem);
         respond(status, body);
     }
 
     /** Adds a header to the answer; before the answer begins. */
-    public void answerHeader(String name, String value) {
+    public void setResponseHeader(String name, String value) {
         exchange.getResponseHeaders().set(name, value);
     }
 
     /** Begins an answer whose length is not known. */
-    public OutputStream stream(String contentType) throws IOException {
+    public OutputStream beginStream(String contentType) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", contentType);
         exchange.sendResponseHeaders(200, 0);
         return exchange.getResponseBody();
     }
 
     /** Has the connection closed without another byte; the caller cannot tell what was done. */
-    public void drop() {
+    public void dropConnection() {
         dropped = true;
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
@@ -30,7 +30,7 @@
         this.threads = Executors.newVirtualThreadPerTaskExecutor();
         this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         server.setExecutor(threads);
-        server.createContext("/", this::answer);
+        server.createContext("/", this::handleExchange);
     }
 
     /** Starts to take calls. */
@@ -54,13 +54,13 @@
         threads.shutdownNow();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handleExchange(HttpExchange exchange) throws IOException {
         Call call = new Call(exchange);
         try {
             handler.handle(call);
-        } catch (RuntimeException mistake) {
-            LOG.errorf(mistake, "standin: %s %s failed.", call.method(), call.path());
-            refuseQuietly(call);
+        } catch (RuntimeException failure) {
+            LOG.errorf(failure, "standin: %s %s failed.", call.method(), call.path());
+            tryRespondError(call);
         }
         // Closing the exchange would end a stream in good form. The server breaks the connection of a call that fails.
         if (call.isDropped()) {
@@ -69,10 +69,10 @@
         exchange.close();
     }
 
-    private static void refuseQuietly(Call call) {
+    private static void tryRespondError(Call call) {
         try {
-            call.refuse(INTERNAL_ERROR, "The stand-in failed; its log says why.");
-        } catch (IOException alreadyAnswered) {
+            call.respondError(INTERNAL_ERROR, "The stand-in failed; its log says why.");
+        } catch (IOException responseFailed) {
             LOG.debugf("standin: %s could not be refused.", call.path());
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/AnswerText.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/AnswerText.java
@@ -14,8 +14,8 @@
 
     private final StringBuilder text = new StringBuilder();
     private Optional<String> error = Optional.empty();
-    private boolean ended;
-    private long firstTokenAt;
+    private boolean complete;
+    private long firstTokenNanos;
 
     /** Reads a stream to its end. */
     void readStream(BufferedReader reader) throws IOException {
@@ -25,27 +25,27 @@
             }
             String data = line.substring(DATA.length()).strip();
             if (data.equals(DONE)) {
-                ended = true;
+                complete = true;
                 continue;
             }
-            Json.parseObject(data).ifPresentOrElse(this::take, () -> error = Optional.of("An event is no JSON."));
+            Json.parseObject(data).ifPresentOrElse(this::append, () -> error = Optional.of("An event is no JSON."));
         }
     }
 
     /** Reads a whole answer. */
-    void readWhole(String body) {
-        Json.parseObject(body).ifPresentOrElse(this::take, () -> error = Optional.of("The answer is no JSON."));
-        ended = true;
+    void readComplete(String body) {
+        Json.parseObject(body).ifPresentOrElse(this::append, () -> error = Optional.of("The answer is no JSON."));
+        complete = true;
     }
 
-    private void take(ObjectNode event) {
+    private void append(ObjectNode event) {
         if (event.has("error")) {
             error = Optional.of(event.path("error").toString());
             return;
         }
         JsonNode choice = event.path("choices").path(0);
-        if (firstTokenAt == 0) {
-            firstTokenAt = System.nanoTime();
+        if (firstTokenNanos == 0) {
+            firstTokenNanos = System.nanoTime();
         }
         text.append(choice.path("text").asText(""));
         text.append(choice.path("delta").path("content").asText(""));
@@ -57,8 +57,8 @@
     }
 
     /** Says whether the answer has its proper end. */
-    boolean ended() {
-        return ended;
+    boolean isComplete() {
+        return complete;
     }
 
     Optional<String> error() {
@@ -66,7 +66,7 @@
     }
 
     /** Returns the clock at the first token; 0 where none came. */
-    long firstTokenAt() {
-        return firstTokenAt;
+    long firstTokenNanos() {
+        return firstTokenNanos;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
@@ -40,22 +40,22 @@
         return new KindTotals(
                 kind,
                 results.size(),
-                count(results, Ending.ANSWERED),
+                count(results, RequestEnd.ANSWERED),
                 results.stream()
-                        .filter(result -> result.ending() == Ending.ANSWERED)
+                        .filter(result -> result.end() == RequestEnd.ANSWERED)
                         .filter(result -> ledgers.resumedRuns(result.planned()) > 0)
                         .count(),
-                count(results, Ending.REFUSED),
+                count(results, RequestEnd.REFUSED),
                 results.stream().mapToLong(RequestResult::refusals).sum(),
-                count(results, Ending.UNKNOWN),
-                count(results, Ending.CUT),
-                count(results, Ending.BROKEN),
+                count(results, RequestEnd.UNKNOWN),
+                count(results, RequestEnd.CUT),
+                count(results, RequestEnd.BROKEN),
                 results.stream()
                         .filter(result -> result.planned() instanceof PlannedRequest.Creation)
                         .filter(result -> ledgers.runs(result.planned()) > 1)
                         .count(),
                 results.stream()
-                        .filter(result -> result.ending() == Ending.REFUSED)
+                        .filter(result -> result.end() == RequestEnd.REFUSED)
                         .filter(result -> !(result.planned() instanceof PlannedRequest.Repetition))
                         .filter(result -> ledgers.runs(result.planned()) > 0)
                         .count(),
@@ -80,15 +80,15 @@
         root.put("broken", broken);
         root.put("doubled", doubled);
         root.put("refusedButRan", refusedButRan);
-        root.put("firstToken50", latencies.firstToken50());
-        root.put("firstToken99", latencies.firstToken99());
-        root.put("whole50", latencies.whole50());
-        root.put("whole99", latencies.whole99());
+        root.put("firstToken50", latencies.firstTokenP50());
+        root.put("firstToken99", latencies.firstTokenP99());
+        root.put("whole50", latencies.totalP50());
+        root.put("whole99", latencies.totalP99());
         return root;
     }
 
-    private static long count(List<RequestResult> results, Ending ending) {
-        return results.stream().filter(result -> result.ending() == ending).count();
+    private static long count(List<RequestResult> results, RequestEnd end) {
+        return results.stream().filter(result -> result.end() == end).count();
     }
 
     /**
@@ -99,32 +99,32 @@
      * @param whole50 until the end
      * @param whole99 until the end
      */
-    record Latencies(long firstToken50, long firstToken99, long whole50, long whole99) {
-        private static final double HALF = 0.5;
-        private static final double ALMOST_ALL = 0.99;
+    record Latencies(long firstTokenP50, long firstTokenP99, long totalP50, long totalP99) {
+        private static final double MEDIAN = 0.5;
+        private static final double PERCENTILE_99 = 0.99;
 
         static Latencies of(List<RequestResult> results) {
             long[] first = results.stream()
-                    .filter(result -> result.ending() == Ending.ANSWERED && result.firstTokenNanoseconds() > 0)
+                    .filter(result -> result.end() == RequestEnd.ANSWERED && result.firstTokenNanoseconds() > 0)
                     .mapToLong(RequestResult::firstTokenNanoseconds)
                     .toArray();
-            long[] whole = results.stream()
-                    .filter(result -> result.ending() == Ending.ANSWERED)
-                    .mapToLong(RequestResult::wholeNanoseconds)
+            long[] total = results.stream()
+                    .filter(result -> result.end() == RequestEnd.ANSWERED)
+                    .mapToLong(RequestResult::totalNanoseconds)
                     .toArray();
             return new Latencies(
-                    quantile(first, HALF),
-                    quantile(first, ALMOST_ALL),
-                    quantile(whole, HALF),
-                    quantile(whole, ALMOST_ALL));
+                    quantile(first, MEDIAN),
+                    quantile(first, PERCENTILE_99),
+                    quantile(total, MEDIAN),
+                    quantile(total, PERCENTILE_99));
         }
 
-        private static long quantile(long[] values, double share) {
+        private static long quantile(long[] values, double fraction) {
             if (values.length == 0) {
                 return 0;
             }
             Arrays.sort(values);
-            int index = (int) Math.ceil(share * values.length) - 1;
+            int index = (int) Math.ceil(fraction * values.length) - 1;
             return TimeUnit.NANOSECONDS.toMillis(values[Math.max(0, index)]);
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
@@ -34,26 +34,26 @@
 
     /** Returns how often the request ran. */
     int runs(PlannedRequest planned) {
-        return runs.getOrDefault(traceOf(planned), 0);
+        return runs.getOrDefault(ledgerKey(planned), 0);
     }
 
     /** Returns how often the request was taken up in the middle of its answer. */
     int resumedRuns(PlannedRequest planned) {
-        return resumedRuns.getOrDefault(traceOf(planned), 0);
+        return resumedRuns.getOrDefault(ledgerKey(planned), 0);
     }
 
     int unreadable() {
         return unreadable;
     }
 
-    private static String traceOf(PlannedRequest planned) {
+    private static String ledgerKey(PlannedRequest planned) {
         return switch (planned) {
-            case PlannedRequest.Draft draft ->
-                Integer.toHexString(draft.prompt().hashCode());
+            case PlannedRequest.Completion completion ->
+                Integer.toHexString(completion.prompt().hashCode());
             case PlannedRequest.Creation creation ->
                 Integer.toHexString(creation.body().hashCode());
-            case PlannedRequest.Repetition repetition -> traceOf(repetition.original());
-            case PlannedRequest.StatusRead read -> read.mark();
+            case PlannedRequest.Repetition repetition -> ledgerKey(repetition.original());
+            case PlannedRequest.StatusRead read -> read.marker();
         };
     }
 
@@ -64,18 +64,18 @@
                     .build();
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             count(Json.parseObject(response.body()).orElseGet(Json::object));
-        } catch (IOException away) {
+        } catch (IOException unreachable) {
             unreadable++;
-            LOG.debugf("load: the ledger of %s cannot be read: %s", standin, away.getMessage());
+            LOG.debugf("load: the ledger of %s cannot be read: %s", standin, unreachable.getMessage());
         }
     }
 
     private void count(ObjectNode ledger) {
         for (JsonNode run : ledger.path("requests")) {
-            String trace = run.path("promptHash").asText();
-            runs.merge(trace, 1, Integer::sum);
+            String key = run.path("promptHash").asText();
+            runs.merge(key, 1, Integer::sum);
             if (run.path("resumedFrom").asInt() > 0) {
-                resumedRuns.merge(trace, 1, Integer::sum);
+                resumedRuns.merge(key, 1, Integer::sum);
             }
         }
         for (JsonNode execution : ledger.path("executions")) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadReport.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadReport.java
@@ -11,8 +11,8 @@
 
 /** What a run of the load tool found. */
 public final class LoadReport {
-    private static final int MOST_EXAMPLES = 5;
-    private static final String ROW = "%-16s %6s %8s %7s %7s %8s %7s %5s %6s %7s %9s %14s %14s%n";
+    private static final int MAX_EXAMPLES = 5;
+    private static final String ROW_FORMAT = "%-16s %6s %8s %7s %7s %8s %7s %5s %6s %7s %9s %14s %14s%n";
 
     private final String team;
     private final List<KindTotals> kinds;
@@ -30,8 +30,8 @@
                 .map(entry -> KindTotals.of(entry.getKey(), entry.getValue(), ledgers))
                 .toList();
         this.examples = results.stream()
-                .filter(result -> result.ending() != Ending.ANSWERED)
-                .limit(MOST_EXAMPLES)
+                .filter(result -> result.end() != RequestEnd.ANSWERED)
+                .limit(MAX_EXAMPLES)
                 .toList();
         this.ledgersUnreadable = ledgers.unreadable();
     }
@@ -49,7 +49,7 @@
     /** Prints a table and, for requests that were not answered, a few examples. */
     public void print(PrintStream output) {
         output.printf(
-                ROW,
+                ROW_FORMAT,
                 team,
                 "sent",
                 "answered",
@@ -66,7 +66,7 @@
         for (KindTotals kind : kinds) {
             KindTotals.Latencies latencies = kind.latencies();
             output.printf(
-                    ROW,
+                    ROW_FORMAT,
                     kind.kind(),
                     kind.sent(),
                     kind.answered(),
@@ -78,11 +78,11 @@
                     kind.broken(),
                     kind.doubled(),
                     kind.refusedButRan(),
-                    latencies.firstToken50() + "/" + latencies.firstToken99() + " ms",
-                    latencies.whole50() + "/" + latencies.whole99() + " ms");
+                    latencies.firstTokenP50() + "/" + latencies.firstTokenP99() + " ms",
+                    latencies.totalP50() + "/" + latencies.totalP99() + " ms");
         }
         for (RequestResult example : examples) {
-            output.println("  " + example.planned().mark() + " " + example.ending() + ": " + example.detail());
+            output.println("  " + example.planned().marker() + " " + example.end() + ": " + example.detail());
         }
         if (ledgersUnreadable > 0) {
             output.println("  ledgers that could not be read: " + ledgersUnreadable);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
@@ -20,20 +20,20 @@
     /** Sends everything, reads the ledgers and reports. */
     public LoadReport run() throws InterruptedException {
         String team = settings.documents().getFirst().team();
-        LoadPlan plan = new LoadPlan(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
-        List<RequestResult> results = sendAll(plan.draw(settings.requests()));
+        RequestGenerator generator = new RequestGenerator(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
+        List<RequestResult> results = sendAll(generator.generate(settings.requests()));
         return new LoadReport(team, results, Ledgers.read(client, settings.ledgers()));
     }
 
     private List<RequestResult> sendAll(List<PlannedRequest> planned) throws InterruptedException {
         RequestSender sender = new RequestSender(
-                client, settings.entries(), settings.token(), settings.mostTries(), settings.timeout());
+                client, settings.entries(), settings.token(), settings.maxAttempts(), settings.timeout());
         List<RequestResult> results = Collections.synchronizedList(new ArrayList<>());
         AtomicInteger next = new AtomicInteger();
         List<Thread> threads = new ArrayList<>();
         for (int number = 0; number < settings.concurrency(); number++) {
             threads.add(Thread.ofVirtual().name("caller-" + number).start(() -> {
-                sendInTurn(planned, next, sender, results);
+                sendRemaining(planned, next, sender, results);
             }));
         }
         for (Thread thread : threads) {
@@ -42,7 +42,7 @@
         return results;
     }
 
-    private void sendInTurn(
+    private void sendRemaining(
             List<PlannedRequest> planned, AtomicInteger next, RequestSender sender, List<RequestResult> results) {
         try {
             for (int index = next.getAndIncrement(); index < planned.size(); index = next.getAndIncrement()) {
@@ -63,10 +63,10 @@
     private static RequestResult sendAgain(RequestResult first, PlannedRequest.Creation creation, RequestSender sender)
             throws InterruptedException {
         RequestResult again = sender.send(new PlannedRequest.Repetition(creation));
-        boolean bothAnswered = first.ending() == Ending.ANSWERED && again.ending() == Ending.ANSWERED;
+        boolean bothAnswered = first.end() == RequestEnd.ANSWERED && again.end() == RequestEnd.ANSWERED;
         if (bothAnswered && !first.entryId().equals(again.entryId())) {
             String detail = "The key's second answer names " + again.entryId() + " instead of " + first.entryId();
-            return again.withEnding(Ending.BROKEN, detail);
+            return again.withEnd(RequestEnd.BROKEN, detail);
         }
         return again;
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadSettings.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadSettings.java
@@ -14,7 +14,7 @@
  * @param documents the team's documents, whose kinds are sent
  * @param requests how many requests
  * @param concurrency how many at once
- * @param mostTries how often a refused request is sent at most
+ * @param maxAttempts how often a refused request is sent at most
  * @param timeout how long one try may take
  * @param repeatKeys whether calls with an idempotency key are sent a second time
  * @param seed fixes what is sent
@@ -26,7 +26,7 @@
         List<ServiceDocument> documents,
         int requests,
         int concurrency,
-        int mostTries,
+        int maxAttempts,
         Duration timeout,
         boolean repeatKeys,
         long seed) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/PlannedRequest.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/PlannedRequest.java
@@ -8,7 +8,7 @@
     String kind();
 
     /** Returns what makes the request recognisable in the ledgers. */
-    String mark();
+    String marker();
 
     /**
      * A draft.
@@ -22,13 +22,13 @@
      * @param chat whether it is sent as a chat
      * @param streamed whether the answer is streamed
      */
-    record Draft(
+    record Completion(
             String kind,
-            String mark,
+            String marker,
             String model,
             String adapter,
             String prompt,
-            int maximum,
+            int maxTokens,
             boolean chat,
             boolean streamed)
             implements PlannedRequest {}
@@ -43,7 +43,7 @@
      * @param body the body
      * @param idempotencyKey the key, if it is sent with one
      */
-    record Creation(String kind, String mark, String service, String path, String body, Optional<String> idempotencyKey)
+    record Creation(String kind, String marker, String service, String path, String body, Optional<String> idempotencyKey)
             implements PlannedRequest {}
 
     /**
@@ -58,8 +58,8 @@
         }
 
         @Override
-        public String mark() {
-            return original.mark();
+        public String marker() {
+            return original.marker();
         }
     }
 
@@ -71,5 +71,5 @@
      * @param service the service's name
      * @param path the path below the service
      */
-    record StatusRead(String kind, String mark, String service, String path) implements PlannedRequest {}
+    record StatusRead(String kind, String marker, String service, String path) implements PlannedRequest {}
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ending.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestEnd.java
@@ -1,7 +1,7 @@
 package org.aspenmoor.internal.standins.load;
 
 /** How a request ended, as its caller sees it. */
-enum Ending {
+enum RequestEnd {
     /** The whole right answer came. */
     ANSWERED,
     /** Refused with the word that it did not run. */
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
@@ -4,7 +4,7 @@
 
 /** The faults that the plain service stand-in shows now; set through its control path. */
 final class ServiceFaults {
-    private static final int HALTED = 137;
+    private static final int CRASH_EXIT_CODE = 137;
 
     private int answersToLose;
     private int crashAfterCalls;
@@ -20,7 +20,7 @@
         return delayMilliseconds;
     }
 
-    synchronized boolean losesThisAnswer() {
+    synchronized boolean shouldLoseAnswer() {
         if (answersToLose == 0) {
             return false;
         }
@@ -29,13 +29,13 @@
     }
 
     /** Counts a call that ran; ends the process before its answer where a crash is due. */
-    synchronized void callRan() {
+    synchronized void recordCall() {
         if (crashAfterCalls == 0) {
             return;
         }
         crashAfterCalls--;
         if (crashAfterCalls == 0) {
-            Runtime.getRuntime().halt(HALTED);
+            Runtime.getRuntime().halt(CRASH_EXIT_CODE);
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceStandin.java
@@ -21,25 +21,25 @@
  * <p>It does not look at idempotency keys: a call that reaches it twice runs twice, and its ledger shows that.
  */
 public final class ServiceStandin implements Handler {
-    private static final List<String> CREATING = List.of("bookings", "invoices", "filings");
+    private static final List<String> CREATING_PATHS = List.of("bookings", "invoices", "filings");
     private static final int OK = 200;
     private static final int CREATED = 201;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
-    private static final int MOST_EXECUTIONS = 200_000;
+    private static final int MAX_EXECUTIONS = 200_000;
 
     private final String name;
     private final String incarnation;
-    private final int mostCalls;
+    private final int maxCalls;
     private final ServiceFaults faults = new ServiceFaults();
     private final Map<String, Execution> executions = new LinkedHashMap<>();
     private final AtomicInteger running = new AtomicInteger();
-    private final AtomicLong reports = new AtomicLong();
+    private final AtomicLong statusReports = new AtomicLong();
 
-    public ServiceStandin(String name, String incarnation, int mostCalls) {
+    public ServiceStandin(String name, String incarnation, int maxCalls) {
         this.name = name;
         this.incarnation = incarnation;
-        this.mostCalls = mostCalls;
+        this.maxCalls = maxCalls;
     }
 
     @Override
@@ -62,24 +62,24 @@
 
     private void answer(Call call, List<String> parts) throws IOException {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(faults.delayMilliseconds()));
-        if (call.method().equals("POST") && parts.size() == 1 && CREATING.contains(parts.getFirst())) {
+        if (call.method().equals("POST") && parts.size() == 1 && CREATING_PATHS.contains(parts.getFirst())) {
             create(call, parts.getFirst());
             return;
         }
         if (call.method().equals("GET") && parts.size() == 2 && parts.getFirst().equals("status")) {
-            readBack(call, parts.getLast());
+            readState(call, parts.getLast());
             return;
         }
-        call.refuse(NOT_FOUND, "The service has no such path.");
+        call.respondError(NOT_FOUND, "The service has no such path.");
     }
 
     private void create(Call call, String kind) throws IOException {
         String body = call.body();
         Execution execution = record(call, kind, Integer.toHexString(body.hashCode()));
-        faults.callRan();
+        faults.recordCall();
         // The entry above stands; its caller hears nothing of it.
-        if (faults.losesThisAnswer()) {
-            call.drop();
+        if (faults.shouldLoseAnswer()) {
+            call.dropConnection();
             return;
         }
         ObjectNode root = Json.object();
@@ -99,14 +99,14 @@
                     call.header("X-Attempt").orElse(""),
                     call.header("Idempotency-Key").orElse(""),
                     bodyHash);
-            if (executions.size() < MOST_EXECUTIONS) {
+            if (executions.size() < MAX_EXECUTIONS) {
                 executions.put(execution.id(), execution);
             }
             return execution;
         }
     }
 
-    private void readBack(Call call, String id) throws IOException {
+    private void readState(Call call, String id) throws IOException {
         boolean known;
         synchronized (executions) {
             known = executions.containsKey(id);
@@ -120,7 +120,7 @@
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.refuse(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
             return;
         }
         faults.apply(change.get());
@@ -147,10 +147,10 @@
         root.put("highestFencingNumber", 0);
         root.putArray("loaded");
         root.putObject("load")
-                .put("sequence", reports.incrementAndGet())
+                .put("sequence", statusReports.incrementAndGet())
                 .put("queuedPrefillTokens", 0)
                 .put("runningSequences", running.get())
-                .put("mostSequences", mostCalls)
+                .put("mostSequences", maxCalls)
                 .put("freeCachePieces", 0)
                 .put("allCachePieces", 0);
         return root;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectBook.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectTable.java
@@ -15,7 +15,7 @@
  *
  * <p>Lists and watches of the host list show a change only after a lag, as the platform's own list does.
  */
-final class ObjectBook implements AutoCloseable {
+final class ObjectTable implements AutoCloseable {
     static final String HOSTS = "hosts";
 
     private final Map<ObjectName, Revision> objects = new HashMap<>();
@@ -24,20 +24,20 @@
             Thread.ofPlatform().daemon().name("standin-publisher").factory());
     private long version;
     private long hostLagMilliseconds;
-    private Optional<Snapshot> stale = Optional.empty();
+    private Optional<Snapshot> staleSnapshot = Optional.empty();
 
     /** Reads one object. */
     synchronized Optional<Revision> read(ObjectName name) {
-        if (stale.isPresent()) {
-            return Optional.ofNullable(stale.get().objects().get(name));
+        if (staleSnapshot.isPresent()) {
+            return Optional.ofNullable(staleSnapshot.get().objects().get(name));
         }
         return Optional.ofNullable(objects.get(name));
     }
 
     /** Lists the objects of a resource, of one namespace or of all. */
     synchronized ObjectListing list(String resource, Optional<String> namespace) {
-        if (stale.isPresent()) {
-            return stale.get().list(resource, namespace);
+        if (staleSnapshot.isPresent()) {
+            return staleSnapshot.get().list(resource, namespace);
         }
         ResourceFeed feed = feed(resource);
         return ObjectListing.of(feed.objects(), namespace, feed.version());
@@ -81,19 +81,19 @@
     }
 
     /** Sets after how long lists and watches show a change of the host list. */
-    synchronized void hostLag(long milliseconds) {
+    synchronized void setHostLag(long milliseconds) {
         hostLagMilliseconds = milliseconds;
     }
 
     /** Begins or ends answering reads and lists from how things are now. */
-    synchronized void staleReads(boolean answerStale) {
-        if (!answerStale) {
-            stale = Optional.empty();
+    synchronized void setStaleReads(boolean enabled) {
+        if (!enabled) {
+            staleSnapshot = Optional.empty();
             return;
         }
         Map<String, ObjectListing> listings = new HashMap<>();
         feeds.forEach((resource, feed) -> listings.put(resource, new ObjectListing(feed.objects(), feed.version())));
-        stale = Optional.of(new Snapshot(Map.copyOf(objects), listings));
+        staleSnapshot = Optional.of(new Snapshot(Map.copyOf(objects), listings));
     }
 
     /** Ends all waiting watches. */
@@ -102,8 +102,8 @@
     }
 
     /** Forgets old events, so that watches from old versions are refused. */
-    synchronized void forgetEvents() {
-        feeds.values().forEach(ResourceFeed::forgetEvents);
+    synchronized void discardEvents() {
+        feeds.values().forEach(ResourceFeed::discardEvents);
     }
 
     synchronized List<Revision> all() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
@@ -12,12 +12,12 @@
 
 /** What lists and watches of one resource show: its published objects and its recent events. */
 final class ResourceFeed {
-    private static final int MOST_EVENTS = 20_000;
+    private static final int MAX_EVENTS = 20_000;
 
     private final Map<String, Revision> published = new TreeMap<>();
     private final Deque<ObjectEvent> recent = new ArrayDeque<>();
     private final Set<Watcher> watchers = ConcurrentHashMap.newKeySet();
-    private long forgottenUpTo;
+    private long discardedUpTo;
     private long version;
 
     synchronized void publish(ObjectEvent event) {
@@ -30,8 +30,8 @@
         }
         version = revision.version();
         recent.addLast(event);
-        if (recent.size() > MOST_EVENTS) {
-            forgottenUpTo = recent.removeFirst().revision().version();
+        if (recent.size() > MAX_EVENTS) {
+            discardedUpTo = recent.removeFirst().revision().version();
         }
         watchers.forEach(watcher -> watcher.offer(event));
     }
@@ -46,7 +46,7 @@
 
     /** Begins a watch; empty where events after that version are forgotten. */
     synchronized Optional<Watcher> watch(long fromVersion) {
-        if (fromVersion < forgottenUpTo) {
+        if (fromVersion < discardedUpTo) {
             return Optional.empty();
         }
         List<ObjectEvent> missed = new ArrayList<>();
@@ -69,8 +69,8 @@
     }
 
     /** Forgets all events, as a store does that compacts its history. */
-    synchronized void forgetEvents() {
+    synchronized void discardEvents() {
         recent.clear();
-        forgottenUpTo = version;
+        discardedUpTo = version;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
@@ -19,11 +19,11 @@
         DROP
     }
 
-    void apply(JsonNode change, ObjectBook book) {
+    void apply(JsonNode change, ObjectTable objects) {
         if (change.has("outage")) {
             outage = Outage.valueOf(change.path("outage").asText().toUpperCase(java.util.Locale.ROOT));
             if (outage != Outage.NONE) {
-                book.endWatches();
+                objects.endWatches();
             }
         }
         if (change.has("delayMilliseconds")) {
@@ -33,16 +33,16 @@
             answersToLose.set(change.path("loseAnswers").asInt());
         }
         if (change.has("staleReads")) {
-            book.staleReads(change.path("staleReads").asBoolean());
+            objects.setStaleReads(change.path("staleReads").asBoolean());
         }
         if (change.has("hostLagMilliseconds")) {
-            book.hostLag(change.path("hostLagMilliseconds").asLong());
+            objects.setHostLag(change.path("hostLagMilliseconds").asLong());
         }
         if (change.path("endWatches").asBoolean()) {
-            book.endWatches();
+            objects.endWatches();
         }
         if (change.path("forgetEvents").asBoolean()) {
-            book.forgetEvents();
+            objects.discardEvents();
         }
     }
 
@@ -54,7 +54,7 @@
         return delayMilliseconds;
     }
 
-    boolean losesThisAnswer() {
+    boolean shouldLoseAnswer() {
         return answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLedger.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLedger.java
@@ -12,50 +12,50 @@
     private long writes;
     private long watchesOpened;
     private long watchesWaiting;
-    private long mostWatchesWaiting;
+    private long maxWatchesWaiting;
     private long conflicts;
     private long overLimit;
     private long refusedInOutage;
     private long answersLost;
-    private long second;
+    private long currentSecond;
     private long callsThisSecond;
-    private long mostCallsInOneSecond;
+    private long maxCallsInOneSecond;
 
-    synchronized void read(long nowSecond) {
+    synchronized void recordRead(long nowSecond) {
         reads++;
-        call(nowSecond);
+        countCall(nowSecond);
     }
 
-    synchronized void write(long nowSecond, String resource) {
+    synchronized void recordWrite(long nowSecond, String resource) {
         writes++;
         writesByResource.merge(resource, 1L, Long::sum);
-        call(nowSecond);
+        countCall(nowSecond);
     }
 
-    synchronized void watchOpened(long nowSecond) {
+    synchronized void recordWatchOpened(long nowSecond) {
         watchesOpened++;
         watchesWaiting++;
-        mostWatchesWaiting = Math.max(mostWatchesWaiting, watchesWaiting);
-        call(nowSecond);
+        maxWatchesWaiting = Math.max(maxWatchesWaiting, watchesWaiting);
+        countCall(nowSecond);
     }
 
-    synchronized void watchEnded() {
+    synchronized void recordWatchEnded() {
         watchesWaiting--;
     }
 
-    synchronized void conflict() {
+    synchronized void recordConflict() {
         conflicts++;
     }
 
-    synchronized void overLimit() {
+    synchronized void recordOverLimit() {
         overLimit++;
     }
 
-    synchronized void refusedInOutage() {
+    synchronized void recordRefusedInOutage() {
         refusedInOutage++;
     }
 
-    synchronized void answerLost() {
+    synchronized void recordAnswerLost() {
         answersLost++;
     }
 
@@ -65,23 +65,23 @@
         root.put("writes", writes);
         root.put("watchesOpened", watchesOpened);
         root.put("watchesWaiting", watchesWaiting);
-        root.put("mostWatchesWaiting", mostWatchesWaiting);
+        root.put("mostWatchesWaiting", maxWatchesWaiting);
         root.put("conflicts", conflicts);
         root.put("overLimit", overLimit);
         root.put("refusedInOutage", refusedInOutage);
         root.put("answersLost", answersLost);
-        root.put("mostCallsInOneSecond", mostCallsInOneSecond);
+        root.put("mostCallsInOneSecond", maxCallsInOneSecond);
         ObjectNode byResource = root.putObject("writesByResource");
         writesByResource.forEach(byResource::put);
         return root;
     }
 
-    private void call(long nowSecond) {
-        if (nowSecond != second) {
-            second = nowSecond;
+    private void countCall(long nowSecond) {
+        if (nowSecond != currentSecond) {
+            currentSecond = nowSecond;
             callsThisSecond = 0;
         }
         callsThisSecond++;
-        mostCallsInOneSecond = Math.max(mostCallsInOneSecond, callsThisSecond);
+        maxCallsInOneSecond = Math.max(maxCallsInOneSecond, callsThisSecond);
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
@@ -27,10 +27,10 @@
 
     private final TimeSource time;
     private final StoreLimits limits;
-    private final ObjectBook book = new ObjectBook();
+    private final ObjectTable objects = new ObjectTable();
     private final StoreFaults faults = new StoreFaults();
     private final StoreLedger ledger = new StoreLedger();
-    private final WatchStream watches = new WatchStream(book, ledger);
+    private final WatchStream watches = new WatchStream(objects, ledger);
 
     public StoreStandin(TimeSource time, int readsPerSecond, int writesPerSecond) {
         this.time = time;
@@ -49,10 +49,10 @@
             return;
         }
         if (parts.size() < RESOURCE_PATH || !parts.subList(0, API.size()).equals(API)) {
-            refuse(call, NOT_FOUND, "NotFound");
+            respondFailure(call, NOT_FOUND, "NotFound");
             return;
         }
-        if (outOfOrder(call)) {
+        if (answeredByOutage(call)) {
             return;
         }
         dispatch(call, parts);
@@ -60,47 +60,47 @@
 
     @Override
     public void close() {
-        book.close();
+        objects.close();
     }
 
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.refuse(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
             return;
         }
-        faults.apply(change.get(), book);
+        faults.apply(change.get(), objects);
         call.respond(OK, Json.object());
     }
 
-    private boolean outOfOrder(Call call) throws IOException {
+    private boolean answeredByOutage(Call call) throws IOException {
         LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(faults.delayMilliseconds()));
         switch (faults.outage()) {
             case NONE -> {
                 return false;
             }
-            case REFUSE -> refuse(call, SERVICE_UNAVAILABLE, "ServiceUnavailable");
-            case DROP -> call.drop();
+            case REFUSE -> respondFailure(call, SERVICE_UNAVAILABLE, "ServiceUnavailable");
+            case DROP -> call.dropConnection();
         }
-        ledger.refusedInOutage();
+        ledger.recordRefusedInOutage();
         return true;
     }
 
     private void dispatch(Call call, List<String> parts) throws IOException {
-        boolean reads = call.method().equals("GET");
-        if (reads ? !limits.allowRead() : !limits.allowWrite()) {
-            ledger.overLimit();
-            call.answerHeader("Retry-After", "1");
-            refuse(call, TOO_MANY_REQUESTS, "TooManyRequests");
+        boolean isRead = call.method().equals("GET");
+        if (isRead ? !limits.allowRead() : !limits.allowWrite()) {
+            ledger.recordOverLimit();
+            call.setResponseHeader("Retry-After", "1");
+            respondFailure(call, TOO_MANY_REQUESTS, "TooManyRequests");
             return;
         }
-        if (reads && call.query("watch").equals(Optional.of("true"))) {
-            ledger.watchOpened(second());
+        if (isRead && call.queryParameter("watch").equals(Optional.of("true"))) {
+            ledger.recordWatchOpened(currentSecond());
             watches.serve(call, parts.getLast());
             return;
         }
-        if (reads) {
-            ledger.read(second());
+        if (isRead) {
+            ledger.recordRead(currentSecond());
             answerRead(call, parts);
             return;
         }
@@ -109,34 +109,34 @@
 
     private void answerRead(Call call, List<String> parts) throws IOException {
         if (parts.size() == OBJECT_PATH) {
-            Optional<Revision> revision = book.read(nameOf(parts, parts.getLast()));
+            Optional<Revision> revision = objects.read(objectName(parts, parts.getLast()));
             if (revision.isEmpty()) {
-                refuse(call, NOT_FOUND, "NotFound");
+                respondFailure(call, NOT_FOUND, "NotFound");
                 return;
             }
             call.respond(OK, revision.get().toJson());
             return;
         }
         Optional<String> namespace = parts.size() == NAMESPACE_PATH ? Optional.of(parts.get(4)) : Optional.empty();
-        call.respond(OK, book.list(parts.getLast(), namespace).toJson());
+        call.respond(OK, objects.list(parts.getLast(), namespace).toJson());
     }
 
     private void answerWrite(Call call, List<String> parts) throws IOException {
         if (parts.size() < NAMESPACE_PATH) {
-            refuse(call, NOT_FOUND, "NotFound");
+            respondFailure(call, NOT_FOUND, "NotFound");
             return;
         }
         Optional<ObjectNode> body = Json.parseObject(call.body());
         if (body.isEmpty()) {
-            refuse(call, BAD_REQUEST, "BadRequest");
+            respondFailure(call, BAD_REQUEST, "BadRequest");
             return;
         }
-        ledger.write(second(), parts.get(5));
+        ledger.recordWrite(currentSecond(), parts.get(5));
         WriteResult result = write(call.method(), parts, body.get());
         // The write above has taken effect; its caller hears nothing of it.
-        if (faults.losesThisAnswer()) {
-            ledger.answerLost();
-            call.drop();
+        if (faults.shouldLoseAnswer()) {
+            ledger.recordAnswerLost();
+            call.dropConnection();
             return;
         }
         answer(call, result);
@@ -146,9 +146,9 @@
         ObjectNode spec = body.path("spec") instanceof ObjectNode object ? object : Json.object();
         return switch (method) {
             case "POST" ->
-                book.create(nameOf(parts, body.path("metadata").path("name").asText()), spec);
-            case "PUT" -> book.update(nameOf(parts, parts.getLast()), version(body, "metadata"), spec);
-            case "DELETE" -> book.delete(nameOf(parts, parts.getLast()), version(body, "preconditions"));
+                objects.create(objectName(parts, body.path("metadata").path("name").asText()), spec);
+            case "PUT" -> objects.update(objectName(parts, parts.getLast()), version(body, "metadata"), spec);
+            case "DELETE" -> objects.delete(objectName(parts, parts.getLast()), version(body, "preconditions"));
             default -> new WriteResult.Missing();
         };
     }
@@ -160,23 +160,23 @@
                         call.method().equals("POST") ? CREATED : OK,
                         written.revision().toJson());
             case WriteResult.Conflict conflict -> {
-                ledger.conflict();
-                refuse(call, CONFLICT, conflict.reason());
+                ledger.recordConflict();
+                respondFailure(call, CONFLICT, conflict.reason());
             }
-            case WriteResult.Missing missing -> refuse(call, NOT_FOUND, "NotFound");
+            case WriteResult.Missing missing -> respondFailure(call, NOT_FOUND, "NotFound");
         }
     }
 
-    private static Optional<Long> version(ObjectNode body, String holder) {
-        String text = body.path(holder).path("resourceVersion").asText();
+    private static Optional<Long> version(ObjectNode body, String parentField) {
+        String text = body.path(parentField).path("resourceVersion").asText();
         return text.isEmpty() ? Optional.empty() : Optional.of(Long.parseLong(text));
     }
 
-    private static ObjectName nameOf(List<String> parts, String name) {
+    private static ObjectName objectName(List<String> parts, String name) {
         return new ObjectName(parts.get(5), parts.get(4), name);
     }
 
-    private static void refuse(Call call, int status, String reason) throws IOException {
+    private static void respondFailure(Call call, int status, String reason) throws IOException {
         ObjectNode body = Json.object();
         body.put("kind", "Status");
         body.put("status", "Failure");
@@ -185,7 +185,7 @@
         call.respond(status, body);
     }
 
-    private long second() {
+    private long currentSecond() {
         return TimeUnit.NANOSECONDS.toSeconds(time.monotonicNanos());
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WatchStream.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WatchStream.java
@@ -11,23 +11,23 @@
 /** Streams the events of a resource to one watching caller, with a bookmark when nothing happens. */
 final class WatchStream {
     private static final long BOOKMARK_MILLISECONDS = 1000;
-    private static final int GONE = 410;
+    private static final int HTTP_GONE = 410;
 
-    private final ObjectBook book;
+    private final ObjectTable objects;
     private final StoreLedger ledger;
 
-    WatchStream(ObjectBook book, StoreLedger ledger) {
-        this.book = book;
+    WatchStream(ObjectTable objects, StoreLedger ledger) {
+        this.objects = objects;
         this.ledger = ledger;
     }
 
     void serve(Call call, String resource) throws IOException {
-        ResourceFeed feed = book.feed(resource);
-        long fromVersion = Long.parseLong(call.query("resourceVersion").orElse("0"));
+        ResourceFeed feed = objects.feed(resource);
+        long fromVersion = Long.parseLong(call.queryParameter("resourceVersion").orElse("0"));
         Optional<Watcher> watcher = feed.watch(fromVersion);
         try {
             if (watcher.isEmpty()) {
-                call.refuse(GONE, "Events since that version are forgotten.");
+                call.respondError(HTTP_GONE, "Events since that version are forgotten.");
                 return;
             }
             stream(call, feed, watcher.get());
@@ -35,12 +35,12 @@
             Thread.currentThread().interrupt();
         } finally {
             watcher.ifPresent(feed::remove);
-            ledger.watchEnded();
+            ledger.recordWatchEnded();
         }
     }
 
     private static void stream(Call call, ResourceFeed feed, Watcher watcher) throws IOException, InterruptedException {
-        try (OutputStream output = call.stream("application/json;stream=watch")) {
+        try (OutputStream output = call.beginStream("application/json;stream=watch")) {
             output.flush();
             while (!watcher.hasEnded()) {
                 Optional<ObjectEvent> event = watcher.next(BOOKMARK_MILLISECONDS);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
@@ -8,18 +8,18 @@
 
 /** One waiting watch; it ends when its reader falls too far behind. */
 final class Watcher {
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_PENDING_EVENTS = 4096;
 
-    private final BlockingQueue<ObjectEvent> waiting;
+    private final BlockingQueue<ObjectEvent> pendingEvents;
     private volatile boolean ended;
 
     Watcher(List<ObjectEvent> missed) {
-        this.waiting = new ArrayBlockingQueue<>(MOST_WAITING + missed.size());
-        waiting.addAll(missed);
+        this.pendingEvents = new ArrayBlockingQueue<>(MAX_PENDING_EVENTS + missed.size());
+        pendingEvents.addAll(missed);
     }
 
     void offer(ObjectEvent event) {
-        if (!waiting.offer(event)) {
+        if (!pendingEvents.offer(event)) {
             ended = true;
         }
     }
@@ -34,6 +34,6 @@
 
     /** Waits for an event; empty where none came in time. */
     Optional<ObjectEvent> next(long milliseconds) throws InterruptedException {
-        return Optional.ofNullable(waiting.poll(milliseconds, TimeUnit.MILLISECONDS));
+        return Optional.ofNullable(pendingEvents.poll(milliseconds, TimeUnit.MILLISECONDS));
     }
 }
--- a/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/command/AccountSumsTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/command/AccountSumsTest.java
@@ -21,7 +21,7 @@
         add("{\"process\":\"entry-1\",\"imbalance\":\"\",\"requests\":{\"received\":9,\"answered\":5,\"notRun\":2,"
                 + "\"unknown\":1,\"cancelled\":1,\"inFlight\":0}}");
 
-        assertEquals(sums.mistakes(), List.of());
+        assertEquals(sums.violations(), List.of());
     }
 
     @Test
@@ -30,7 +30,7 @@
         add("{\"process\":\"entry-1\",\"requests\":{\"received\":9,\"answered\":5,\"notRun\":2,"
                 + "\"unknown\":1,\"cancelled\":0,\"inFlight\":0}}");
 
-        assertTrue(sums.mistakes().getFirst().startsWith("entry-1: requests do not balance"));
+        assertTrue(sums.violations().getFirst().startsWith("entry-1: requests do not balance"));
     }
 
     @Test
@@ -38,7 +38,7 @@
         add("{\"process\":\"agent-1\",\"dispatches\":{\"received\":3,\"refused\":0,\"complete\":2,\"failed\":0,"
                 + "\"cancelled\":0,\"running\":1}}");
 
-        assertTrue(sums.mistakes().getFirst().startsWith("agent-1: dispatches still running"));
+        assertTrue(sums.violations().getFirst().startsWith("agent-1: dispatches still running"));
     }
 
     @Test
@@ -46,7 +46,7 @@
         add("{\"process\":\"agent-1\",\"dispatches\":{\"received\":0}}");
         add("{\"process\":\"agent-2\"}");
 
-        assertEquals(sums.mistakes().size(), 2);
+        assertEquals(sums.violations().size(), 2);
     }
 
     @Test
@@ -54,7 +54,7 @@
         add("{\"process\":\"entry-1\",\"imbalance\":\"received 4 but accounted for 3\",\"chunks\":{\"received\":0,"
                 + "\"delivered\":0,\"discarded\":0,\"broken\":0}}");
 
-        assertEquals(sums.mistakes(), List.of("entry-1: received 4 but accounted for 3"));
+        assertEquals(sums.violations(), List.of("entry-1: received 4 but accounted for 3"));
     }
 
     private void add(String state) {
--- a/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/engine/DeterministicTextTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/engine/DeterministicTextTest.java
@@ -29,6 +29,6 @@
     @Test
     public void should_end_at_the_callers_maximum() {
         assertEquals(DeterministicText.tokens("Rain.", 5), 5);
-        assertEquals(DeterministicText.tokens("Rain.", 100_000), DeterministicText.naturalTokens("Rain."));
+        assertEquals(DeterministicText.tokens("Rain.", 100_000), DeterministicText.unlimitedTokens("Rain."));
     }
 }
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolTest.java
@@ -103,7 +103,7 @@
             if (path.startsWith("/v1/")) {
                 StandinCalls.post(server.address().resolve(path), call.body());
             }
-            call.refuse(429, "This is not true.");
+            call.respondError(429, "This is not true.");
         } catch (InterruptedException stopping) {
             Thread.currentThread().interrupt();
         }
