--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CacheEvent.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CacheEvent.java
@@ -4,14 +4,14 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * One change of the prefix cache.
+ * A change of the prefix cache.
  *
- * @param sequence counts up by one with every change; missing numbers are lost events
- * @param type what happened
- * @param piece the piece's name
+ * @param sequence increases by one with every change; a gap in the numbers means lost events
+ * @param type whether the piece was stored or removed
+ * @param piece hash that identifies the piece
  */
 record CacheEvent(long sequence, Type type, long piece) {
-    /** What happened to a piece. */
+    /** Kind of change. */
     enum Type {
         STORED,
         REMOVED
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Makes the answers of the completions protocol. */
+/** Builds the answers of the completions protocol, streamed or complete. */
 final class CompletionWriter {
     static final String DONE = "data: [DONE]\n\n";
 
@@ -14,7 +14,7 @@
         this.generation = generation;
     }
 
-    /** Makes one event of a stream. */
+    /** Returns one server-sent event of a streamed answer. */
     String streamEvent(String text, Optional<String> finishReason) {
         ObjectNode root = envelope(generation.chat() ? "chat.completion.chunk" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
@@ -27,7 +27,7 @@
         return "data: " + root + "\n\n";
     }
 
-    /** Makes a whole answer. */
+    /** Returns a complete answer with its token usage. */
     ObjectNode completeAnswer(String text, int tokens) {
         ObjectNode root = envelope(generation.chat() ? "chat.completion" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The answers of engine stand-ins: each token is a function of model, adapter, prompt and index, so that anyone can
- * check whether an answer is whole.
+ * The text that engine stand-ins generate: each token is a function of model, adapter, prompt and index, so that any
+ * caller can check whether an answer is complete and correct.
  */
 public final class DeterministicText {
     private static final List<String> WORDS = List.of(
@@ -19,22 +19,22 @@
 
     private DeterministicText() {}
 
-    /** Returns one token: a space, a word and a number that makes neighbours differ. */
+    /** Returns one token: a space, a word and a number that makes adjacent tokens differ. */
     public static String token(String model, String adapter, String prompt, int index) {
         return token(hash(model, adapter, prompt), index);
     }
 
-    /** Returns how many tokens the whole answer has. */
+    /** Returns the number of tokens of the complete answer, at most {@code maxTokens}. */
     public static int tokens(String prompt, int maxTokens) {
         return Math.min(maxTokens, unlimitedTokens(prompt));
     }
 
-    /** Returns how many tokens the answer has where the request sets no maximum. */
+    /** Returns the number of tokens of the answer to a request without a maximum. */
     public static int unlimitedTokens(String prompt) {
         return MIN_TOKENS + (int) Long.remainderUnsigned(mix(hash(prompt)), TOKEN_COUNT_RANGE);
     }
 
-    /** Returns the tokens from one index up to, not including, another. */
+    /** Returns the tokens from index {@code from} (inclusive) to {@code to} (exclusive), concatenated. */
     public static String text(String model, String adapter, String prompt, int from, int to) {
         long seed = hash(model, adapter, prompt);
         StringBuilder text = new StringBuilder();
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The faults that the engine stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the engine stand-in; set by POST to {@code /standin/faults}. */
 final class EngineFaults {
     private static final int NEVER = -1;
     private static final int CRASH_EXIT_CODE = 137;
@@ -26,14 +26,14 @@
         notifyAll();
     }
 
-    /** Waits as long as the engine is frozen. */
+    /** Blocks while the engine is frozen. */
     synchronized void waitWhileFrozen() throws InterruptedException {
         while (frozen) {
             wait();
         }
     }
 
-    /** Counts a token that was sent; ends the process at once where a crash is due. */
+    /** Records a sent token; halts the process when the configured number of tokens until the crash is reached. */
     synchronized void recordTokenSent() {
         if (crashAfterTokens == NEVER) {
             return;
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Says whether the connection of a stream is cut after that many tokens; cuts one stream only. */
+    /** Returns whether to close the connection of a stream after that many tokens; applies to one stream only. */
     synchronized boolean shouldCutStreamAfter(int tokensSent) {
         if (tokensSent != cutStreamAfterTokens) {
             return false;
@@ -53,7 +53,7 @@
         return true;
     }
 
-    /** Says whether a stream ends in good form after that many tokens though its text is not whole; once only. */
+    /** Returns whether to end a stream regularly after that many tokens, with its text incomplete; applies once. */
     synchronized boolean shouldTruncateStreamAfter(int tokensSent) {
         if (tokensSent != truncateStreamAfterTokens) {
             return false;
@@ -62,7 +62,7 @@
         return true;
     }
 
-    /** Says whether a wrong token is sent at that index; once only. */
+    /** Returns whether to send a wrong token at that index; applies once. */
     synchronized boolean shouldSendWrongTokenAt(int index) {
         if (index != wrongTokenAt) {
             return false;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Records every request that really ran and every order that came. */
+/** Records every request that ran on this engine and every order that it received. */
 final class EngineLedger {
     private static final int MAX_RECORDS = 200_000;
 
@@ -14,16 +14,16 @@
     private final List<OrderRecord> orders = new ArrayList<>();
 
     synchronized RunRecord recordRun(GenerationCall generation) {
-        RunRecord record = new RunRecord(generation);
+        RunRecord run = new RunRecord(generation);
         if (runs.size() < MAX_RECORDS) {
-            runs.add(record);
+            runs.add(run);
         }
-        return record;
+        return run;
     }
 
-    synchronized void recordOrder(OrderRecord record) {
+    synchronized void recordOrder(OrderRecord order) {
         if (orders.size() < MAX_RECORDS) {
-            orders.add(record);
+            orders.add(order);
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineSettings.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineSettings.java
@@ -4,17 +4,17 @@
 import org.aspenmoor.internal.engine.EngineRole;
 
 /**
- * How an engine stand-in behaves.
+ * Settings of an engine stand-in.
  *
- * @param name its name
- * @param role the role it starts with
- * @param ignoresFencing whether it takes orders with old fencing numbers
- * @param roleChangeMilliseconds how long a role change takes
- * @param tokenMilliseconds time between two tokens of a sequence
- * @param prefillTokensPerSecond speed of computing prompts
- * @param maxSequences how many requests generate at once
- * @param cachePieces pieces of cache memory
- * @param loaded models and adapters in memory at the start
+ * @param name the engine's name
+ * @param role the initial role
+ * @param ignoresFencing whether orders with outdated fencing numbers are accepted
+ * @param roleChangeMilliseconds duration of a role change
+ * @param tokenMilliseconds token interval of a sequence
+ * @param prefillTokensPerSecond prefill rate
+ * @param maxSequences maximum number of sequences that run concurrently
+ * @param cachePieces capacity of the prefix cache in pieces
+ * @param loaded models and adapters that are loaded initially
  */
 public record EngineSettings(
         String name,
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineStandin.java
@@ -16,7 +16,7 @@
 import org.aspenmoor.internal.standins.http.Handler;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** A model engine that generates {@link DeterministicText}, with orders, cache events and faults. */
+/** A model engine that generates {@link DeterministicText}; supports orders, cache events and injected faults. */
 public final class EngineStandin implements Handler {
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -50,7 +50,7 @@
     public void handle(Call call) throws IOException {
         try {
             route(call);
-        } catch (InterruptedException stopping) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             call.dropConnection();
         }
@@ -76,14 +76,14 @@
             case "/cache/events" -> respondWithCacheEvents(call);
             case "/cache/export" -> exportCache(call);
             case "/cache/import" -> importCache(call);
-            default -> call.respondError(NOT_FOUND, "The engine has no such path.");
+            default -> call.respondError(NOT_FOUND, "The engine stand-in does not serve this path.");
         }
     }
 
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "The body must be a JSON object of faults.");
             return;
         }
         faults.apply(change.get());
@@ -94,7 +94,7 @@
         Optional<GenerationCall> generation =
                 Json.parseObject(call.body()).flatMap(body -> GenerationCall.read(call, body, chat));
         if (generation.isEmpty()) {
-            call.respondError(BAD_REQUEST, "Send a JSON object with model and prompt.");
+            call.respondError(BAD_REQUEST, "The body must be a JSON object with model and prompt.");
             return;
         }
         slots.enter(generation.get().priority());
@@ -143,7 +143,7 @@
     private void receiveOrder(Call call) throws IOException {
         Optional<ObjectNode> order = Json.parseObject(call.body());
         if (order.isEmpty()) {
-            call.respondError(BAD_REQUEST, "Send the order as a JSON object.");
+            call.respondError(BAD_REQUEST, "The order must be a JSON object.");
             return;
         }
         Optional<String> refusal = orders.begin(order.get());
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/GenerationCall.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/GenerationCall.java
@@ -6,19 +6,19 @@
 import org.aspenmoor.internal.standins.http.Call;
 
 /**
- * A request of the completions protocol with this engine's extension fields.
+ * A request of the completions protocol with the engine's extension fields.
  *
- * @param requestId the caller's request, as the agent names it
- * @param attempt the attempt, as the agent counts it
+ * @param requestId id of the caller's request, from the agent's {@code X-Request-Id} header; empty if missing
+ * @param attempt number of the attempt, from the agent's {@code X-Attempt} header; empty if missing
  * @param model the model's name
- * @param adapter the adapter's name; empty where none is asked for
- * @param prompt the prompt, or the messages' contents, one a line
- * @param chat whether it came as a chat
+ * @param adapter the adapter's name; empty if none is requested
+ * @param prompt the prompt, or the contents of the chat messages joined by line breaks
+ * @param chat whether it is a chat request
  * @param stream whether the answer is streamed
- * @param answerTokens how many tokens the whole answer has
- * @param stoppedByMaximum whether the caller's maximum ends the answer
- * @param resumeFrom the first token to send
- * @param priority greater goes first
+ * @param answerTokens number of tokens of the complete answer
+ * @param stoppedByMaximum whether the answer ends because it reaches the caller's maximum
+ * @param resumeFrom index of the first token to send
+ * @param priority requests with a higher priority are admitted first
  */
 record GenerationCall(
         String requestId,
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/Generator.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/Generator.java
@@ -11,9 +11,9 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.standins.http.Call;
 
-/** Computes prompts and generates answers. */
+/** Simulates the prefill of prompts and the generation of answers. */
 final class Generator {
-    /** How much slower an engine does the work that its role is not made for. */
+    /** Slowdown of work that does not match the role: prefill on a decode engine, decode on a prefill engine. */
     private static final int WRONG_ROLE_FACTOR = 4;
 
     private static final double NANOSECONDS_OF_SECOND = TimeUnit.SECONDS.toNanos(1);
@@ -39,7 +39,7 @@
         this.queuedPrefillTokens = queuedPrefillTokens;
     }
 
-    /** Computes the prompt; cached pieces cost nothing. */
+    /** Waits for as long as the prefill of the prompt takes; cached tokens take no time. */
     void prefill(GenerationCall generation) {
         List<Long> pieces = PrefixCache.piecesOf(generation.model(), generation.prompt());
         int uncachedTokens = Math.max(0, generation.promptTokens() - cache.cachedPrefixTokens(pieces));
@@ -51,7 +51,7 @@
         cache.add(pieces);
     }
 
-    /** Streams the answer; a reader that is slow holds the generation back. */
+    /** Streams the answer; a slow reader delays the generation. */
     void stream(Call call, GenerationCall generation, RunRecord runRecord) throws IOException, InterruptedException {
         CompletionWriter writer = new CompletionWriter(generation);
         OutputStream output = call.beginStream("text/event-stream");
@@ -77,8 +77,9 @@
         runRecord.end(RunRecord.End.COMPLETED);
     }
 
-    /** Generates the whole answer and sends it at once. */
-    void respondComplete(Call call, GenerationCall generation, RunRecord runRecord) throws IOException, InterruptedException {
+    /** Generates the complete answer and sends it in one response. */
+    void respondComplete(Call call, GenerationCall generation, RunRecord runRecord)
+            throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder();
         for (int index = generation.resumeFrom(); index < generation.answerTokens(); index++) {
             int generated = index - generation.resumeFrom();
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderExecutor.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderExecutor.java
@@ -10,8 +10,9 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.engine.OrderState;
 
-/** Carries out one order at a time. */
+/** Executes orders one at a time; an order that arrives while another one runs is refused. */
 final class OrderExecutor {
+    /** Loading and unloading take the duration of a role change divided by this. */
     private static final long LOAD_DIVISOR = 4;
 
     private final EngineSettings settings;
@@ -32,7 +33,7 @@
         loaded.addAll(settings.loaded());
     }
 
-    /** Begins an order; returns why it is refused, if it is. */
+    /** Starts an order; returns the reason if it is refused. */
     synchronized Optional<String> begin(ObjectNode order) {
         Optional<String> refusal = refusal(order);
         ledger.recordOrder(new OrderRecord(
@@ -61,7 +62,7 @@
         return role;
     }
 
-    /** Writes what the engine says about its orders. */
+    /** Writes the role, the last order, the fencing number and the loaded models into a status response. */
     synchronized void writeStatus(ObjectNode root, Optional<String> queriedOrderId) {
         boolean known = queriedOrderId.isEmpty() || queriedOrderId.equals(lastOrderId);
         root.put("role", role.name());
@@ -74,19 +75,19 @@
 
     private Optional<String> refusal(ObjectNode order) {
         if (order.path("orderId").asText().isEmpty()) {
-            return Optional.of("The order has no orderId.");
+            return Optional.of("The order lacks the field orderId.");
         }
         if (!settings.ignoresFencing() && order.path("fencingNumber").asLong() < highestFencingNumber) {
-            return Optional.of("The fencing number is older than " + highestFencingNumber + ".");
+            return Optional.of("The fencing number is lower than the highest one seen, " + highestFencingNumber + ".");
         }
         if (lastOrderState == OrderState.RUNNING) {
-            return Optional.of("The engine is busy with another order.");
+            return Optional.of("The engine is executing another order.");
         }
         boolean knownType = switch (order.path("type").asText()) {
             case "changeRole", "loadModel", "loadAdapter", "unloadAdapter" -> true;
             default -> false;
         };
-        return knownType ? Optional.empty() : Optional.of("The order's type is not known.");
+        return knownType ? Optional.empty() : Optional.of("The type of the order is unknown.");
     }
 
     private void execute(ObjectNode order) {
@@ -94,7 +95,8 @@
         long durationMilliseconds = order.path("type").asText().equals("changeRole")
                 ? settings.roleChangeMilliseconds()
                 : settings.roleChangeMilliseconds() / LOAD_DIVISOR;
-        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(shouldFail ? durationMilliseconds / 2 : durationMilliseconds));
+        LockSupport.parkNanos(
+                TimeUnit.MILLISECONDS.toNanos(shouldFail ? durationMilliseconds / 2 : durationMilliseconds));
         finish(order, shouldFail);
     }
 
@@ -118,7 +120,7 @@
             case "loadModel" -> replaceLoaded(model, version);
             case "loadAdapter" -> replaceLoaded(adapter, version);
             case "unloadAdapter" -> loaded.removeIf(entry -> entry.startsWith(adapter + "@"));
-            default -> throw new IllegalStateException("An order of unknown type was begun.");
+            default -> throw new IllegalStateException("Started an order of unknown type.");
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderRecord.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderRecord.java
@@ -4,12 +4,12 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * One order that came.
+ * An order that the engine received.
  *
- * @param orderId its identity
- * @param fencingNumber the fencing number it carried
- * @param type its type
- * @param result {@code begun} or why it was refused
+ * @param orderId the id of the order
+ * @param fencingNumber the fencing number of the order
+ * @param type the type of the order
+ * @param result {@code begun}, or the reason if the order was refused
  */
 record OrderRecord(String orderId, long fencingNumber, String type, String result) {
     ObjectNode toJson() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * Which pieces of prompts are cached, the least recently used given up first.
+ * Simulated prefix cache with eviction of the least recently used pieces.
  *
- * <p>A piece stands for a fixed number of tokens and is named by the hash of the whole prompt up to its end.
+ * <p>A piece covers a fixed number of tokens and is identified by the hash of the complete prompt up to its end.
  */
 final class PrefixCache {
     static final int TOKENS_PER_PIECE = 16;
 
     private static final int CHARACTERS_PER_PIECE = 64;
     private static final int MAX_EVENTS = 10_000;
-    /** Every so many events one is lost, as engines publish them with gaps. */
+    /** One event is dropped in each interval of this many, because real engines publish events with gaps. */
     private static final int LOST_EVENT_INTERVAL = 97;
 
     private final int maxPieces;
@@ -29,7 +29,7 @@
         this.maxPieces = mostPieces;
     }
 
-    /** Names the pieces of a prompt. */
+    /** Returns the hashes that identify the pieces of a prompt. */
     static List<Long> piecesOf(String model, String prompt) {
         List<Long> names = new ArrayList<>();
         long hash = model.hashCode();
@@ -42,7 +42,7 @@
         return names;
     }
 
-    /** Returns how many tokens at the start of the prompt need no computing. */
+    /** Returns the number of tokens at the start of the prompt that are cached. */
     synchronized int cachedPrefixTokens(List<Long> names) {
         int cachedTokens = 0;
         for (Long name : names) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunRecord.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** One request that ran. */
+/** A request that ran on the engine. */
 final class RunRecord {
     private final GenerationCall generation;
     private volatile int tokensSent;
@@ -13,9 +13,9 @@
     enum End {
         RUNNING,
         COMPLETED,
-        /** The caller went away. */
+        /** The caller closed the connection before the end of the answer. */
         CANCELLED,
-        /** The engine cut it, by a fault or because it began a role change. */
+        /** The engine closed the connection because of an injected fault or a role change. */
         CUT
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/SequenceSlots.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/SequenceSlots.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Lets a bounded number of sequences run; of those that wait, greater priority goes first, then who came first. */
+/** Limits the number of running sequences; admits waiting ones by descending priority, then in order of arrival. */
 final class SequenceSlots {
     private static final Comparator<Waiting> ORDER =
             Comparator.comparingDouble(Waiting::priority).reversed().thenComparingLong(Waiting::arrival);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for a model engine. */
+/** Stand-in for a model engine. */
 package org.aspenmoor.internal.standins.engine;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Call.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Call.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** One HTTP call to a stand-in. */
+/** An HTTP request to a stand-in and its response. */
 public final class Call {
     private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
     private static final String JSON_TYPE = "application/json";
@@ -33,12 +33,12 @@
         return exchange.getRequestURI().getPath();
     }
 
-    /** Returns the parts of the path between the slashes. */
+    /** Returns the non-empty segments of the path. */
     public List<String> pathParts() {
         return Stream.of(path().split("/", -1)).filter(part -> !part.isEmpty()).toList();
     }
 
-    /** Returns a parameter of the query. */
+    /** Returns the decoded value of a query parameter; empty if it is missing. */
     public Optional<String> queryParameter(String name) {
         String query = exchange.getRequestURI().getRawQuery();
         if (query == null) {
@@ -51,18 +51,18 @@
                 .findFirst();
     }
 
-    /** Returns a header of the request. */
+    /** Returns a header of the request; empty if it is missing. */
     public Optional<String> header(String name) {
         return Optional.ofNullable(exchange.getRequestHeaders().getFirst(name));
     }
 
-    /** Reads the whole body. */
+    /** Reads the body, up to 8 MiB. */
     public String body() throws IOException {
         byte[] bytes = exchange.getRequestBody().readNBytes(MAX_BODY_BYTES);
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** Answers with JSON. */
+    /** Sends a JSON response. */
     public void respond(int status, JsonNode body) throws IOException {
         byte[] bytes = body.toString().getBytes(StandardCharsets.UTF_8);
         exchange.getResponseHeaders().set("Content-Type", JSON_TYPE);
@@ -72,26 +72,26 @@
         }
     }
 
-    /** Answers with an error in JSON. */
+    /** Sends a JSON response with the error message in the field {@code refused}. */
     public void respondError(int status, String problem) throws IOException {
         ObjectNode body = Json.object();
         body.put("refused", problem);
         respond(status, body);
     }
 
-    /** Adds a header to the answer; before the answer begins. */
+    /** Sets a response header; must be called before the response is started. */
     public void setResponseHeader(String name, String value) {
         exchange.getResponseHeaders().set(name, value);
     }
 
-    /** Begins an answer whose length is not known. */
+    /** Starts a response of unknown length with status 200. */
     public OutputStream beginStream(String contentType) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", contentType);
         exchange.sendResponseHeaders(200, 0);
         return exchange.getResponseBody();
     }
 
-    /** Has the connection closed without another byte; the caller cannot tell what was done. */
+    /** Closes the connection without sending anything more, so the caller cannot know whether the call took effect. */
     public void dropConnection() {
         dropped = true;
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Handler.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Handler.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Answers the calls of a stand-in. */
+/** Handles the HTTP calls to a stand-in. */
 @FunctionalInterface
 public interface Handler {
-    /** Answers one call, on a thread of its own. */
+    /** Handles one call; runs on a separate thread for each call. */
     void handle(Call call) throws IOException;
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Json.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/Json.java
@@ -6,18 +6,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Optional;
 
-/** Reads and makes JSON objects. */
+/** Parses and creates JSON objects. */
 public final class Json {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
 
-    /** Makes an empty object. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return MAPPER.createObjectNode();
     }
 
-    /** Reads an object; empty where the text is anything else. */
+    /** Parses a JSON object; empty if the text is not one. */
     public static Optional<ObjectNode> parseObject(String text) {
         try {
             JsonNode node = MAPPER.readTree(text);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import org.jboss.logging.Logger;
 
-/** An HTTP server on the loopback address with a virtual thread for each call. */
+/** An HTTP server on the loopback address that runs each call on a virtual thread. */
 public final class StandinServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(StandinServer.class);
     private static final int BACKLOG = 256;
@@ -21,8 +21,8 @@
     private final Handler handler;
 
     public StandinServer(int port, Handler handler) throws IOException {
-        // Without these, small pieces of a stream wait for the reader's delayed acknowledgement, and connections of
-        // more than 200 callers are closed while idle, which callers see as lost answers.
+        // Without TCP_NODELAY, small stream chunks wait for the reader's delayed acknowledgement. With the default
+        // limit of 200 idle connections, further ones are closed while idle, which callers see as lost answers.
         System.setProperty("sun.net.httpserver.nodelay", "true");
         System.setProperty("sun.net.httpserver.maxIdleConnections", "10000");
         System.setProperty("sun.net.httpserver.idleInterval", "600");
@@ -33,17 +33,17 @@
         server.createContext("/", this::handleExchange);
     }
 
-    /** Starts to take calls. */
+    /** Starts to accept calls. */
     public void start() {
         server.start();
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getAddress().getPort();
     }
 
-    /** Returns its address. */
+    /** Returns the base address of the server. */
     public URI address() {
         return URI.create("http://127.0.0.1:" + port());
     }
@@ -59,21 +59,24 @@
         try {
             handler.handle(call);
         } catch (RuntimeException failure) {
-            LOG.errorf(failure, "standin: %s %s failed.", call.method(), call.path());
+            LOG.errorf(
+                    failure, "standin: handling %s %s failed; answering with status 500", call.method(), call.path());
             tryRespondError(call);
         }
-        // Closing the exchange would end a stream in good form. The server breaks the connection of a call that fails.
+        // Closing the exchange would end a stream regularly; an exception makes the server close the connection.
         if (call.isDropped()) {
-            throw new IOException("dropped on purpose");
+            throw new IOException("connection dropped by an injected fault");
         }
         exchange.close();
     }
 
     private static void tryRespondError(Call call) {
         try {
-            call.respondError(INTERNAL_ERROR, "The stand-in failed; its log says why.");
+            call.respondError(INTERNAL_ERROR, "The stand-in failed; see its log for the cause.");
         } catch (IOException responseFailed) {
-            LOG.debugf("standin: %s could not be refused.", call.path());
+            LOG.debugf(
+                    "standin: cannot send status 500 for %s; the response has started or the connection is closed",
+                    call.path());
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** The small HTTP server that all stand-ins share. */
+/** HTTP server that all stand-ins use. */
 package org.aspenmoor.internal.standins.http;
