--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/Execution.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/Execution.java
@@ -4,13 +4,13 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * One call that ran.
+ * A call that the service executed.
  *
- * @param id the identity of the entry it made
- * @param path what was called
- * @param requestId the caller's request, as the agent names it
- * @param attempt the attempt, as the agent counts it
- * @param idempotencyKey the caller's key; empty where there was none
+ * @param id the id of the record that the call created
+ * @param path the path of the call
+ * @param requestId id of the caller's request, from the agent's {@code X-Request-Id} header; empty if missing
+ * @param attempt number of the attempt, from the agent's {@code X-Attempt} header; empty if missing
+ * @param idempotencyKey the caller's idempotency key; empty if there was none
  * @param bodyHash the hash of the caller's body
  */
 record Execution(String id, String path, String requestId, String attempt, String idempotencyKey, String bodyHash) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The faults that the plain service stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the service stand-in; set by POST to {@code /standin/faults}. */
 final class ServiceFaults {
     private static final int CRASH_EXIT_CODE = 137;
 
@@ -28,7 +28,7 @@
         return true;
     }
 
-    /** Counts a call that ran; ends the process before its answer where a crash is due. */
+    /** Records an executed call; halts the process before the answer if the configured number of calls is reached. */
     synchronized void recordCall() {
         if (crashAfterCalls == 0) {
             return;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceStandin.java
@@ -16,9 +16,9 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * A plain service that books, invoices or files, and reads back.
+ * A plain service that creates bookings, invoices and filings and reports their state.
  *
- * <p>It does not look at idempotency keys: a call that reaches it twice runs twice, and its ledger shows that.
+ * <p>It ignores idempotency keys: a call that arrives twice is executed twice, and the ledger shows both executions.
  */
 public final class ServiceStandin implements Handler {
     private static final List<String> CREATING_PATHS = List.of("bookings", "invoices", "filings");
@@ -70,14 +70,14 @@
             readState(call, parts.getLast());
             return;
         }
-        call.respondError(NOT_FOUND, "The service has no such path.");
+        call.respondError(NOT_FOUND, "The service stand-in does not serve this method and path.");
     }
 
     private void create(Call call, String kind) throws IOException {
         String body = call.body();
         Execution execution = record(call, kind, Integer.toHexString(body.hashCode()));
         faults.recordCall();
-        // The entry above stands; its caller hears nothing of it.
+        // The call has been executed, but the caller receives no answer.
         if (faults.shouldLoseAnswer()) {
             call.dropConnection();
             return;
@@ -120,7 +120,7 @@
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "The body must be a JSON object of faults.");
             return;
         }
         faults.apply(change.get());
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for a plain service. */
+/** Stand-in for a plain service. */
 package org.aspenmoor.internal.standins.service;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectEvent.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectEvent.java
@@ -4,13 +4,13 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * One change of an object.
+ * A change of an object.
  *
  * @param type ADDED, MODIFIED or DELETED
- * @param revision the object after it, or as it last was
+ * @param revision the object after the change, or its last state if it was deleted
  */
 record ObjectEvent(Type type, Revision revision) {
-    /** What happened to the object. */
+    /** Kind of change. */
     enum Type {
         ADDED,
         MODIFIED,
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
@@ -7,10 +7,10 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * Objects of one resource.
+ * The objects of one resource at one version.
  *
  * @param objects the objects
- * @param version where a watch starts
+ * @param version the version from which a watch continues the list
  */
 record ObjectListing(List<Revision> objects, long version) {
     static ObjectListing of(List<Revision> all, Optional<String> namespace, long version) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectTable.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectTable.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * All objects in memory.
+ * The objects of the store, held in memory.
  *
- * <p>Lists and watches of the host list show a change only after a lag, as the platform's own list does.
+ * <p>Lists and watches of hosts can show a change with a delay, as the platform's host list does.
  */
 final class ObjectTable implements AutoCloseable {
     static final String HOSTS = "hosts";
@@ -26,7 +26,7 @@
     private long hostLagMilliseconds;
     private Optional<Snapshot> staleSnapshot = Optional.empty();
 
-    /** Reads one object. */
+    /** Reads an object; empty if it does not exist. */
     synchronized Optional<Revision> read(ObjectName name) {
         if (staleSnapshot.isPresent()) {
             return Optional.ofNullable(staleSnapshot.get().objects().get(name));
@@ -34,7 +34,7 @@
         return Optional.ofNullable(objects.get(name));
     }
 
-    /** Lists the objects of a resource, of one namespace or of all. */
+    /** Lists the objects of a resource in one namespace, or in all if none is given. */
     synchronized ObjectListing list(String resource, Optional<String> namespace) {
         if (staleSnapshot.isPresent()) {
             return staleSnapshot.get().list(resource, namespace);
@@ -80,12 +80,12 @@
         return feeds.computeIfAbsent(resource, _ -> new ResourceFeed());
     }
 
-    /** Sets after how long lists and watches show a change of the host list. */
+    /** Sets the delay after which lists and watches show a change of the host list. */
     synchronized void setHostLag(long milliseconds) {
         hostLagMilliseconds = milliseconds;
     }
 
-    /** Begins or ends answering reads and lists from how things are now. */
+    /** Starts or stops answering reads and lists from a snapshot of the current state, as a lagging replica would. */
     synchronized void setStaleReads(boolean enabled) {
         if (!enabled) {
             staleSnapshot = Optional.empty();
@@ -96,12 +96,12 @@
         staleSnapshot = Optional.of(new Snapshot(Map.copyOf(objects), listings));
     }
 
-    /** Ends all waiting watches. */
+    /** Ends all open watches. */
     synchronized void endWatches() {
         feeds.values().forEach(ResourceFeed::endWatches);
     }
 
-    /** Forgets old events, so that watches from old versions are refused. */
+    /** Discards the event history, so that watches from old versions are refused. */
     synchronized void discardEvents() {
         feeds.values().forEach(ResourceFeed::discardEvents);
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What lists and watches of one resource show: its published objects and its recent events. */
+/** The published objects and recent events of one resource, as lists and watches see them. */
 final class ResourceFeed {
     private static final int MAX_EVENTS = 20_000;
 
@@ -44,7 +44,7 @@
         return version;
     }
 
-    /** Begins a watch; empty where events after that version are forgotten. */
+    /** Starts a watch; empty if events after that version have been discarded. */
     synchronized Optional<Watcher> watch(long fromVersion) {
         if (fromVersion < discardedUpTo) {
             return Optional.empty();
@@ -68,7 +68,7 @@
         watchers.forEach(Watcher::end);
     }
 
-    /** Forgets all events, as a store does that compacts its history. */
+    /** Discards all events, as a store does when it compacts its history. */
     synchronized void discardEvents() {
         recent.clear();
         discardedUpTo = version;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Revision.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Revision.java
@@ -4,11 +4,11 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * One version of an object.
+ * An object at one version.
  *
- * @param name its name
- * @param version the store's version of it
- * @param spec its content
+ * @param name the name of the object
+ * @param version the version that the store assigned
+ * @param spec the content of the object
  */
 record Revision(ObjectName name, long version, ObjectNode spec) {
     ObjectNode toJson() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Snapshot.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Snapshot.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * How things were at one moment, for answers of an old replica.
+ * The state of the store at one moment; used to answer as a lagging replica would.
  *
  * @param objects the objects
- * @param listings the lists by resource
+ * @param listings the lists, by resource
  */
 record Snapshot(Map<ObjectName, Revision> objects, Map<String, ObjectListing> listings) {
     ObjectListing list(String resource, Optional<String> namespace) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults that the store stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the store stand-in; set by POST to {@code /standin/faults}. */
 final class StoreFaults {
     private final AtomicInteger answersToLose = new AtomicInteger();
     private volatile Outage outage = Outage.NONE;
     private volatile long delayMilliseconds;
 
-    /** How the store is out of order. */
+    /** Kind of outage. */
     enum Outage {
-        /** It works. */
+        /** The store works. */
         NONE,
-        /** It answers that it did nothing. */
+        /** Every call is refused with status 503 and has no effect. */
         REFUSE,
-        /** It does nothing and closes the connection. */
+        /** The connection is closed without an answer; the call has no effect. */
         DROP
     }
 
@@ -55,6 +55,6 @@
     }
 
     boolean shouldLoseAnswer() {
-        return answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
+        return answersToLose.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLedger.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLedger.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Counts what the store was asked. */
+/** Counts the calls to the store and their results. */
 final class StoreLedger {
     private final Map<String, Long> writesByResource = new TreeMap<>();
     private long reads;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLimits.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreLimits.java
@@ -4,7 +4,7 @@
 import org.aspenmoor.internal.store.client.CallBudget;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** How many calls a second the store takes. */
+/** Limits of reads and writes per second. */
 final class StoreLimits {
     private final CallBudget reads;
     private final CallBudget writes;
@@ -26,7 +26,7 @@
         try {
             budget.acquire("store stand-in");
             return true;
-        } catch (StoreBudgetException spent) {
+        } catch (StoreBudgetException exceeded) {
             return false;
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreStandin.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.standins.http.Json;
 import org.aspenmoor.internal.time.TimeSource;
 
-/** The object API over objects in memory, with faults on request. */
+/** Serves the object API from memory, with injected faults. */
 public final class StoreStandin implements Handler, AutoCloseable {
     private static final List<String> API = List.of("apis", "aspenmoor.org", "v1");
     private static final int RESOURCE_PATH = 4;
@@ -66,7 +66,7 @@
     private void setFaults(Call call) throws IOException {
         Optional<ObjectNode> change = Json.parseObject(call.body());
         if (change.isEmpty()) {
-            call.respondError(BAD_REQUEST, "Send a JSON object of faults.");
+            call.respondError(BAD_REQUEST, "The body must be a JSON object of faults.");
             return;
         }
         faults.apply(change.get(), objects);
@@ -133,7 +133,7 @@
         }
         ledger.recordWrite(currentSecond(), parts.get(5));
         WriteResult result = write(call.method(), parts, body.get());
-        // The write above has taken effect; its caller hears nothing of it.
+        // The write has taken effect, but the caller receives no answer.
         if (faults.shouldLoseAnswer()) {
             ledger.recordAnswerLost();
             call.dropConnection();
@@ -146,7 +146,8 @@
         ObjectNode spec = body.path("spec") instanceof ObjectNode object ? object : Json.object();
         return switch (method) {
             case "POST" ->
-                objects.create(objectName(parts, body.path("metadata").path("name").asText()), spec);
+                objects.create(
+                        objectName(parts, body.path("metadata").path("name").asText()), spec);
             case "PUT" -> objects.update(objectName(parts, parts.getLast()), version(body, "metadata"), spec);
             case "DELETE" -> objects.delete(objectName(parts, parts.getLast()), version(body, "preconditions"));
             default -> new WriteResult.Missing();
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WatchStream.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WatchStream.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.standins.http.Call;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Streams the events of a resource to one watching caller, with a bookmark when nothing happens. */
+/** Streams the events of a resource to one caller; sends a bookmark whenever there was no event for a second. */
 final class WatchStream {
     private static final long BOOKMARK_MILLISECONDS = 1000;
     private static final int HTTP_GONE = 410;
@@ -27,11 +27,11 @@
         Optional<Watcher> watcher = feed.watch(fromVersion);
         try {
             if (watcher.isEmpty()) {
-                call.respondError(HTTP_GONE, "Events since that version are forgotten.");
+                call.respondError(HTTP_GONE, "Events since that version have been discarded; list the resource again.");
                 return;
             }
             stream(call, feed, watcher.get());
-        } catch (InterruptedException stopping) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } finally {
             watcher.ifPresent(feed::remove);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One waiting watch; it ends when its reader falls too far behind. */
+/** An open watch; it ends when its reader falls too far behind. */
 final class Watcher {
     private static final int MAX_PENDING_EVENTS = 4096;
 
@@ -32,7 +32,7 @@
         return ended;
     }
 
-    /** Waits for an event; empty where none came in time. */
+    /** Waits for an event; empty if there was none within the given time. */
     Optional<ObjectEvent> next(long milliseconds) throws InterruptedException {
         return Optional.ofNullable(pendingEvents.poll(milliseconds, TimeUnit.MILLISECONDS));
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WriteResult.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/WriteResult.java
@@ -1,21 +1,21 @@
 package org.aspenmoor.internal.standins.store;
 
-/** What became of a write. */
+/** Result of a write. */
 sealed interface WriteResult {
     /**
-     * It took effect.
+     * The write took effect.
      *
-     * @param revision the object after it
+     * @param revision the object after the write
      */
     record Written(Revision revision) implements WriteResult {}
 
     /**
-     * Its condition did not hold.
+     * The object exists already or has another version than expected; the write had no effect.
      *
-     * @param reason the API's word for it
+     * @param reason the reason code of the API
      */
     record Conflict(String reason) implements WriteResult {}
 
-    /** There is no such object. */
+    /** The object does not exist. */
     record Missing() implements WriteResult {}
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in for the platform's object store and host list. */
+/** Stand-in for the platform's object store and host list. */
 package org.aspenmoor.internal.standins.store;
