--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/StandinsMain.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/StandinsMain.java
@@ -18,10 +18,10 @@
 import org.aspenmoor.internal.standins.command.StoreCommand;
 import org.aspenmoor.internal.standins.command.Subcommand;
 
-/** Starts the stand-ins and their tools: {@code aspenmoor-standins SUBCOMMAND [options]}. */
+/** Entry point of the stand-ins and their tools: {@code aspenmoor-standins SUBCOMMAND [options]}. */
 public final class StandinsMain {
     private static final int FAILED = 1;
-    private static final int WRONG_USAGE = 2;
+    private static final int INVALID_USAGE = 2;
 
     private final List<Subcommand> subcommands;
     private final PrintStream output;
@@ -53,7 +53,7 @@
     int run(String... arguments) {
         if (arguments.length == 0 || arguments[0].equals("--help")) {
             printUsage(arguments.length == 0 ? errors : output);
-            return arguments.length == 0 ? WRONG_USAGE : 0;
+            return arguments.length == 0 ? INVALID_USAGE : 0;
         }
         if (arguments[0].equals("--version")) {
             output.println("aspenmoor-standins " + Aspenmoor.VERSION);
@@ -63,9 +63,9 @@
                 .filter(subcommand -> subcommand.name().equals(arguments[0]))
                 .findFirst();
         if (chosen.isEmpty()) {
-            errors.println("There is no subcommand '" + arguments[0] + "'.");
+            errors.println("Unknown subcommand '" + arguments[0] + "'.");
             printUsage(errors);
-            return WRONG_USAGE;
+            return INVALID_USAGE;
         }
         return run(chosen.get(), Arrays.copyOfRange(arguments, 1, arguments.length));
     }
@@ -73,17 +73,17 @@
     private int run(Subcommand subcommand, String[] arguments) {
         try {
             return subcommand.run(output, arguments);
-        } catch (OptionException wrongUsage) {
-            errors.println(wrongUsage.getMessage());
+        } catch (OptionException invalidUsage) {
+            errors.println(invalidUsage.getMessage());
             errors.println("  next:  aspenmoor-standins " + subcommand.name() + " --help");
-            return WRONG_USAGE;
+            return INVALID_USAGE;
         } catch (AspenmoorException failure) {
             errors.println(failure.getMessage());
             return FAILED;
         } catch (IOException failure) {
             errors.println("aspenmoor-standins " + subcommand.name() + " failed: " + failure.getMessage());
             return FAILED;
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             return FAILED;
         }
@@ -92,6 +92,6 @@
     private void printUsage(PrintStream stream) {
         stream.println("aspenmoor-standins SUBCOMMAND [options]");
         subcommands.forEach(subcommand -> stream.printf("  %-14s %s%n", subcommand.name(), subcommand.summary()));
-        stream.println("Each subcommand knows --help.");
+        stream.println("Run a subcommand with --help for its options.");
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountEquation.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountEquation.java
@@ -5,15 +5,15 @@
 import java.util.Optional;
 
 /**
- * An equation that a process's account must satisfy: one count is the sum of others.
+ * An equation that the counters of a process must satisfy: one count is the sum of others.
  *
- * @param account the object in the state dump that holds the counts
- * @param total the count on the left
- * @param parts the counts on the right
- * @param zeroAtRest the count that is zero once nothing is sent any more; empty where there is none
+ * @param account name of the object in the state dump that holds the counts
+ * @param total name of the count that must equal the sum
+ * @param parts names of the counts that are summed
+ * @param zeroAtRest name of the count that must be zero when the process is idle; empty if there is none
  */
 record AccountEquation(String account, String total, List<String> parts, Optional<String> zeroAtRest) {
-    /** All equations, of entries and of agents. */
+    /** The equations of entries and agents. */
     static final List<AccountEquation> ALL = List.of(
             new AccountEquation(
                     "requests",
@@ -27,17 +27,18 @@
                     List.of("refused", "complete", "failed", "cancelled", "running"),
                     Optional.of("running")));
 
-    /** Returns what is wrong with the counts of a process, if anything. */
+    /** Returns a description if the counts of a process violate the equation. */
     Optional<String> violation(String process, JsonNode counts) {
         long sum = parts.stream().mapToLong(part -> counts.path(part).asLong()).sum();
         if (counts.path(total).asLong() != sum) {
             return Optional.of(process + ": " + account + " do not balance: " + counts);
         }
-        return zeroAtRest.filter(count -> counts.path(count).asLong() != 0)
+        return zeroAtRest
+                .filter(count -> counts.path(count).asLong() != 0)
                 .map(count -> process + ": " + account + " still " + count + ": " + counts);
     }
 
-    /** Says whether the counts have all the equation's fields. */
+    /** Returns whether the counts contain every field of the equation. */
     boolean isComplete(JsonNode counts) {
         return counts.has(total) && parts.stream().allMatch(counts::has);
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** The counts of several processes added up, and every equation that does not hold. */
+/** Sums the counts of several processes and collects every violated equation. */
 final class AccountSums {
     private final Map<String, Map<String, Long>> sums = new LinkedHashMap<>();
     private final Map<String, Integer> processes = new LinkedHashMap<>();
     private final List<String> violations = new ArrayList<>();
 
-    /** Takes in the state dump of one process. */
+    /** Adds the state dump of one process. */
     void add(JsonNode state) {
         String process = state.path("process").asText();
         String imbalance = state.path("imbalance").asText();
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Notes a process whose state could not be read. */
+    /** Records a process whose state could not be read. */
     void addUnreadable(String address, String why) {
         violations.add(address + " cannot be read: " + why);
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountsCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountsCommand.java
@@ -13,7 +13,7 @@
 import joptsimple.OptionSpec;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Sums the accounts in the state dumps of processes and fails where an equation does not hold. */
+/** Sums the counts in the state dumps of processes; fails if an equation is violated. */
 public final class AccountsCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final int UNBALANCED = 1;
@@ -28,13 +28,13 @@
 
     @Override
     public String summary() {
-        return "sums the accounts of processes at rest and checks their equations";
+        return "sums the counts of idle processes and checks their equations";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> addresses = parser.nonOptions("addresses of processes");
         OptionSet options = parser.parse(arguments);
         if (options.has(help)) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
@@ -15,7 +15,7 @@
 import joptsimple.OptionSpec;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Asks one HTTP address, or waits until it answers as wished; scripts need no other HTTP tool. */
+/** Queries an HTTP address, or polls it until a condition holds; for scripts without another HTTP client. */
 public final class AskCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final long PAUSE_MILLISECONDS = 20;
@@ -32,29 +32,30 @@
 
     @Override
     public String summary() {
-        return "asks an address, or waits until a number in its JSON answer is reached";
+        return "queries an address, or polls it until a number in its JSON answer is reached";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> url =
-                parser.accepts("url", "what to ask").withRequiredArg().required();
+                parser.accepts("url", "the address to query").withRequiredArg().required();
         OptionSpec<String> post =
-                parser.accepts("post", "body to send; without it, GET").withRequiredArg();
+                parser.accepts("post", "body of a POST request; GET if missing").withRequiredArg();
         OptionSpec<String> pointer = parser.accepts(
-                        "pointer", "JSON pointer of the value to print; arrays by their size")
+                        "pointer", "JSON pointer of the value to print; an array is printed as its size")
                 .withRequiredArg()
                 .defaultsTo("");
-        OptionSpec<String> where = parser.accepts("where", "of an array, count the objects in which this field is true")
+        OptionSpec<String> where = parser.accepts(
+                        "where", "count only those objects of the array in which this field is true")
                 .withRequiredArg()
                 .defaultsTo("");
-        OptionSpec<Long> atLeast = parser.accepts("until-at-least", "ask again until the value is that great")
+        OptionSpec<Long> atLeast = parser.accepts("until-at-least", "poll until the value is at least this number")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(Long.MIN_VALUE);
-        OptionSpec<Integer> seconds = parser.accepts("seconds", "how long to ask again")
+        OptionSpec<Integer> seconds = parser.accepts("seconds", "maximum polling time in seconds")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(0);
@@ -64,8 +65,7 @@
             return 0;
         }
         HttpRequest request = request(URI.create(options.valueOf(url)), Optional.ofNullable(options.valueOf(post)));
-        Query query =
-                new Query(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
+        Query query = new Query(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
         return queryUntil(query, options.valueOf(seconds), output);
     }
 
@@ -84,7 +84,7 @@
                 return 0;
             }
             if (System.nanoTime() - deadline >= 0) {
-                output.println("not as wished: " + reply.text());
+                output.println("condition not met: " + reply.text());
                 return CONDITION_NOT_MET;
             }
             TimeUnit.MILLISECONDS.sleep(PAUSE_MILLISECONDS);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/DocumentFiles.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/DocumentFiles.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.finding.Findings;
 import org.aspenmoor.internal.finding.FindingsException;
 
-/** Reads teams' documents from files. */
+/** Reads and checks teams' documents from files. */
 final class DocumentFiles {
     private DocumentFiles() {}
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/EngineCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/EngineCommand.java
@@ -11,7 +11,7 @@
 import org.aspenmoor.internal.standins.engine.EngineSettings;
 import org.aspenmoor.internal.standins.engine.EngineStandin;
 
-/** Runs a model engine stand-in. */
+/** Runs a stand-in for a model engine. */
 public final class EngineCommand implements Subcommand {
     private static final int MILLISECONDS_PER_SECOND = 1000;
 
@@ -22,41 +22,43 @@
 
     @Override
     public String summary() {
-        return "a model engine that answers with text anyone can check";
+        return "a model engine that answers with deterministic text";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<Integer> port = StoreCommand.port(parser);
         OptionSpec<String> name =
                 parser.accepts("name", "the engine's name").withRequiredArg().required();
         OptionSpec<String> role = parser.accepts("role", "whole, prefill or decode")
                 .withRequiredArg()
                 .defaultsTo("whole");
-        OptionSpec<Void> ignoreFencing = parser.accepts("ignore-fencing", "take orders with old fencing numbers");
-        OptionSpec<Double> roleChangeSeconds = parser.accepts("seconds-per-role-change", "how long a role change takes")
+        OptionSpec<Void> ignoreFencing =
+                parser.accepts("ignore-fencing", "accept orders with outdated fencing numbers");
+        OptionSpec<Double> roleChangeSeconds = parser.accepts("seconds-per-role-change", "duration of a role change")
                 .withRequiredArg()
                 .ofType(Double.class)
                 .defaultsTo(3.0);
-        OptionSpec<Double> tokenMilliseconds = parser.accepts("token-milliseconds", "time between tokens")
+        OptionSpec<Double> tokenMilliseconds = parser.accepts("token-milliseconds", "token interval")
                 .withRequiredArg()
                 .ofType(Double.class)
                 .defaultsTo(20.0);
-        OptionSpec<Double> prefill = parser.accepts("prefill-tokens-per-second", "speed of computing prompts")
+        OptionSpec<Double> prefill = parser.accepts("prefill-tokens-per-second", "prefill rate")
                 .withRequiredArg()
                 .ofType(Double.class)
                 .defaultsTo(20_000.0);
-        OptionSpec<Integer> sequences = parser.accepts("sequences", "most requests that generate at once")
+        OptionSpec<Integer> sequences = parser.accepts("sequences", "maximum number of concurrent sequences")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(32);
-        OptionSpec<Integer> pieces = parser.accepts("cache-pieces", "pieces of cache memory")
+        OptionSpec<Integer> pieces = parser.accepts("cache-pieces", "capacity of the prefix cache in pieces")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(2000);
-        OptionSpec<String> loaded = parser.accepts("loaded", "MODEL@VERSION or MODEL:ADAPTER@VERSION; may repeat")
+        OptionSpec<String> loaded = parser.accepts(
+                        "loaded", "MODEL@VERSION or MODEL:ADAPTER@VERSION; separated by commas, may be repeated")
                 .withRequiredArg()
                 .withValuesSeparatedBy(',');
         OptionSet options = parser.parse(arguments);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/HostCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/HostCommand.java
@@ -12,7 +12,7 @@
 import org.aspenmoor.internal.store.ObjectKey;
 import org.aspenmoor.internal.store.ObjectKind;
 
-/** Puts a host into the platform's host list, or changes its state. */
+/** Adds a host to the platform's host list, or changes its state. */
 public final class HostCommand implements Subcommand {
     @Override
     public String name() {
@@ -21,24 +21,25 @@
 
     @Override
     public String summary() {
-        return "sets a host in the platform's host list live or leaving";
+        return "sets the state of hosts in the platform's host list to live or leaving";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws AspenmoorException, IOException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> store =
                 parser.accepts("store", "the store's address").withRequiredArg().required();
         OptionSpec<String> hosts = parser.accepts("name", "the hosts' names, separated by commas")
                 .withRequiredArg()
                 .withValuesSeparatedBy(',')
                 .required();
-        OptionSpec<String> dataCentre = parser.accepts("data-centre", "where they stand")
+        OptionSpec<String> dataCentre = parser.accepts("data-centre", "data centre of the hosts")
                 .withRequiredArg()
                 .required();
-        OptionSpec<String> address =
-                parser.accepts("address", "their IP number").withRequiredArg().defaultsTo("127.0.0.1");
+        OptionSpec<String> address = parser.accepts("address", "IP address of the hosts")
+                .withRequiredArg()
+                .defaultsTo("127.0.0.1");
         OptionSpec<String> state =
                 parser.accepts("state", "live or leaving").withRequiredArg().defaultsTo("live");
         OptionSet options = parser.parse(arguments);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/LoadCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/LoadCommand.java
@@ -16,7 +16,7 @@
 import org.aspenmoor.internal.standins.load.LoadRun;
 import org.aspenmoor.internal.standins.load.LoadSettings;
 
-/** Sends a seeded mix of a team's requests and checks every answer. */
+/** Sends a seeded random mix of a team's requests and checks every answer. */
 public final class LoadCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final int FAULTY = 1;
@@ -35,7 +35,7 @@
     public int run(PrintStream output, String... arguments)
             throws AspenmoorException, IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> entries =
                 addresses(parser, "entry", "addresses of entries").required();
         OptionSpec<String> ledgers = addresses(parser, "ledger", "addresses of stand-ins whose ledgers are read");
@@ -43,14 +43,15 @@
                 parser.accepts("token", "the team's token").withRequiredArg().required();
         OptionSpec<String> documents =
                 addresses(parser, "document", "the team's document files").required();
-        OptionSpec<Integer> requests = number(parser, "requests", "how many requests", 200);
-        OptionSpec<Integer> concurrency = number(parser, "concurrency", "how many at once", 16);
-        OptionSpec<Integer> tries = number(parser, "tries", "how often a refused request is sent at most", 10);
-        OptionSpec<Integer> seed = number(parser, "seed", "fixes what is sent", 1);
-        OptionSpec<Void> cutsAllowed =
-                parser.accepts("cuts-allowed", "do not fail for answers cut short, as when an entry is killed");
-        OptionSpec<Void> repeatKeys = parser.accepts("repeat-keys", "send every call with a key a second time");
-        OptionSpec<String> json = parser.accepts("json", "file for the figures").withRequiredArg();
+        OptionSpec<Integer> requests = number(parser, "requests", "number of requests", 200);
+        OptionSpec<Integer> concurrency = number(parser, "concurrency", "number of concurrent requests", 16);
+        OptionSpec<Integer> tries = number(parser, "tries", "maximum number of attempts for a refused request", 10);
+        OptionSpec<Integer> seed = number(parser, "seed", "seed of the random request mix", 1);
+        OptionSpec<Void> cutsAllowed = parser.accepts(
+                "cuts-allowed", "do not fail because of answers that are cut off, as when an entry is killed");
+        OptionSpec<Void> repeatKeys = parser.accepts("repeat-keys", "send every call with an idempotency key twice");
+        OptionSpec<String> json =
+                parser.accepts("json", "file for the totals as JSON").withRequiredArg();
         OptionSet options = parser.parse(arguments);
         if (options.has(help)) {
             parser.printHelpOn(output);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/PutDocumentCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/PutDocumentCommand.java
@@ -18,7 +18,7 @@
 import org.aspenmoor.internal.store.ObjectKind;
 import org.aspenmoor.internal.store.StoredObject;
 
-/** Puts teams' documents into a store without the checks of the operator's tool; for tests only. */
+/** Writes teams' documents to a store without the checks of the operator's tool; for tests only. */
 public final class PutDocumentCommand implements Subcommand {
     @Override
     public String name() {
@@ -27,13 +27,13 @@
 
     @Override
     public String summary() {
-        return "puts documents into the store, each with its next revision";
+        return "writes documents to the store, each with its next revision";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws AspenmoorException, IOException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> store =
                 parser.accepts("store", "the store's address").withRequiredArg().required();
         OptionSpec<String> files = parser.nonOptions("document files");
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRunner.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRunner.java
@@ -6,7 +6,7 @@
 import org.aspenmoor.internal.standins.http.Handler;
 import org.aspenmoor.internal.standins.http.StandinServer;
 
-/** Runs a stand-in's server until the process is stopped. */
+/** Runs the HTTP server of a stand-in until the process is stopped. */
 final class ServerRunner {
     private ServerRunner() {}
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServiceCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServiceCommand.java
@@ -8,7 +8,7 @@
 import joptsimple.OptionSpec;
 import org.aspenmoor.internal.standins.service.ServiceStandin;
 
-/** Runs a plain service stand-in. */
+/** Runs a stand-in for a plain service. */
 public final class ServiceCommand implements Subcommand {
     @Override
     public String name() {
@@ -17,17 +17,17 @@
 
     @Override
     public String summary() {
-        return "a studio desk or client registry that counts every call it runs";
+        return "a plain service that records every call it executes";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<Integer> port = StoreCommand.port(parser);
         OptionSpec<String> name =
                 parser.accepts("name", "the server's name").withRequiredArg().required();
-        OptionSpec<Integer> calls = parser.accepts("calls", "most calls it says it can run at once")
+        OptionSpec<Integer> calls = parser.accepts("calls", "maximum number of concurrent calls that it reports")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(16);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreAccess.java
@@ -26,16 +26,15 @@
         return store.read(key);
     }
 
-    /** Creates the object or replaces what was read. */
+    /** Creates the object, or replaces the version that was read. */
     void write(ObjectKey key, Optional<StoredObject> read, String value) throws AspenmoorException {
         WriteOutcome outcome = read.isPresent() ? writes.update(read.get(), value) : writes.create(key, value);
         switch (outcome) {
             case WriteOutcome.Applied applied -> {
-                // Nothing is left to do.
+                // The write took effect.
             }
             case WriteOutcome.Superseded superseded ->
-                throw new AspenmoorException(
-                        "Somebody else changed the object at the same moment.", key.toString(), "Try again.");
+                throw new AspenmoorException("The object was changed concurrently.", key.toString(), "Try again.");
             case WriteOutcome.Unknown unknown -> throw unknown.cause();
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/StoreCommand.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.standins.store.StoreStandin;
 import org.aspenmoor.internal.time.SystemTimeSource;
 
-/** Runs the store and host list stand-in. */
+/** Runs the stand-in for the object store and host list. */
 public final class StoreCommand implements Subcommand {
     private static final int DEFAULT_READS_PER_SECOND = 2000;
     private static final int DEFAULT_WRITES_PER_SECOND = 400;
@@ -26,13 +26,15 @@
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<Integer> port = port(parser);
-        OptionSpec<Integer> reads = parser.accepts("reads-per-second", "more are refused with 429")
+        OptionSpec<Integer> reads = parser.accepts(
+                        "reads-per-second", "limit; calls above it are refused with status 429")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(DEFAULT_READS_PER_SECOND);
-        OptionSpec<Integer> writes = parser.accepts("writes-per-second", "more are refused with 429")
+        OptionSpec<Integer> writes = parser.accepts(
+                        "writes-per-second", "limit; calls above it are refused with status 429")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(DEFAULT_WRITES_PER_SECOND);
@@ -48,7 +50,7 @@
     }
 
     static OptionSpec<Integer> port(OptionParser parser) {
-        return parser.accepts("port", "the loopback port; 0 picks a free one")
+        return parser.accepts("port", "port on the loopback address; 0 selects a free one")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(0);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/Subcommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/Subcommand.java
@@ -4,14 +4,14 @@
 import java.io.PrintStream;
 import org.aspenmoor.AspenmoorException;
 
-/** One subcommand of the program. */
+/** A subcommand of the program. */
 public interface Subcommand {
-    /** Returns the word that chooses it. */
+    /** Returns the name on the command line. */
     String name();
 
-    /** Returns one line about it. */
+    /** Returns a one-line description. */
     String summary();
 
-    /** Runs it and returns the exit code. */
+    /** Runs the subcommand and returns its exit code. */
     int run(PrintStream output, String... arguments) throws AspenmoorException, IOException, InterruptedException;
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/AnswerText.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/AnswerText.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** The text of a model's answer, collected from a stream or a whole answer. */
+/** The text of a model's answer, collected from a streamed or a complete answer. */
 final class AnswerText {
     private static final String DATA = "data:";
     private static final String DONE = "[DONE]";
@@ -17,7 +17,7 @@
     private boolean complete;
     private long firstTokenNanos;
 
-    /** Reads a stream to its end. */
+    /** Reads a streamed answer to its end. */
     void readStream(BufferedReader reader) throws IOException {
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
             if (!line.startsWith(DATA)) {
@@ -28,13 +28,16 @@
                 complete = true;
                 continue;
             }
-            Json.parseObject(data).ifPresentOrElse(this::append, () -> error = Optional.of("An event is no JSON."));
+            Json.parseObject(data)
+                    .ifPresentOrElse(
+                            this::append, () -> error = Optional.of("An event of the stream is not a JSON object."));
         }
     }
 
-    /** Reads a whole answer. */
+    /** Reads an answer that is sent in one piece. */
     void readComplete(String body) {
-        Json.parseObject(body).ifPresentOrElse(this::append, () -> error = Optional.of("The answer is no JSON."));
+        Json.parseObject(body)
+                .ifPresentOrElse(this::append, () -> error = Optional.of("The answer is not a JSON object."));
         complete = true;
     }
 
@@ -56,7 +59,7 @@
         return text.toString();
     }
 
-    /** Says whether the answer has its proper end. */
+    /** Returns whether the end of the answer was received: the end mark of a stream, or a body in one piece. */
     boolean isComplete() {
         return complete;
     }
@@ -65,7 +68,7 @@
         return error;
     }
 
-    /** Returns the clock at the first token; 0 where none came. */
+    /** Returns {@link System#nanoTime} at the first token; 0 if there was none. */
     long firstTokenNanos() {
         return firstTokenNanos;
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
@@ -7,20 +7,20 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * Totals of one kind of request.
+ * Totals of one kind of request; counts of requests unless noted otherwise.
  *
  * @param kind the kind's name
  * @param sent requests sent
- * @param answered answered whole
- * @param resumed of these, taken up by another engine in the middle
- * @param refused refused to the end, with the word that they did not run
- * @param refusals refusals altogether, those that were answered later included
- * @param unknown nobody knows whether they ran
- * @param cut cut short, as their callers can tell
- * @param broken in good form but short, wrong, or somebody else's
- * @param doubled entries made twice or more
- * @param refusedButRan refused though a ledger says that they ran
- * @param latencies how long answers took
+ * @param answered answered completely and correctly
+ * @param resumed answered requests whose answer was continued by another engine
+ * @param refused refused on the last attempt, reported as not run
+ * @param refusals number of refusals, including those of requests that were answered later
+ * @param unknown unknown whether they ran
+ * @param cut answer cut off, detectable by the caller
+ * @param broken answer well-formed but incomplete, wrong, or of another request
+ * @param doubled creating calls that were executed more than once
+ * @param refusedButRan refused as not run although a ledger contains them
+ * @param latencies latencies of answered requests
  */
 record KindTotals(
         String kind,
@@ -62,7 +62,7 @@
                 Latencies.of(results));
     }
 
-    /** Says whether something happened that must never happen. */
+    /** Returns whether there was a broken answer, a call executed twice, or a refusal of a request that ran. */
     boolean faulty() {
         return broken + doubled + refusedButRan > 0;
     }
@@ -92,12 +92,12 @@
     }
 
     /**
-     * Milliseconds that answered requests took: 50 and 99 in 100 took no longer.
+     * Latencies of answered requests in milliseconds: median (P50) and 99th percentile (P99).
      *
-     * @param firstToken50 until the first token
-     * @param firstToken99 until the first token
-     * @param whole50 until the end
-     * @param whole99 until the end
+     * @param firstTokenP50 median time to the first token
+     * @param firstTokenP99 99th percentile of the time to the first token
+     * @param totalP50 median time to the end of the answer
+     * @param totalP99 99th percentile of the time to the end of the answer
      */
     record Latencies(long firstTokenP50, long firstTokenP99, long totalP50, long totalP99) {
         private static final double MEDIAN = 0.5;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.standins.http.Json;
 import org.jboss.logging.Logger;
 
-/** What really ran, by the stand-ins' own ledgers; a stand-in that has crashed takes its ledger along. */
+/** Counts of executions, read from the ledgers of the stand-ins; the ledger of a crashed stand-in is lost. */
 final class Ledgers {
     private static final Logger LOG = Logger.getLogger(Ledgers.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -23,7 +23,7 @@
     private final Map<String, Integer> resumedRuns = new HashMap<>();
     private int unreadable;
 
-    /** Reads all ledgers. */
+    /** Reads the ledgers of all given stand-ins. */
     static Ledgers read(HttpClient client, List<URI> standins) throws InterruptedException {
         Ledgers ledgers = new Ledgers();
         for (URI standin : standins) {
@@ -32,12 +32,12 @@
         return ledgers;
     }
 
-    /** Returns how often the request ran. */
+    /** Returns the number of times the request ran. */
     int runs(PlannedRequest planned) {
         return runs.getOrDefault(ledgerKey(planned), 0);
     }
 
-    /** Returns how often the request was taken up in the middle of its answer. */
+    /** Returns the number of runs that resumed the answer after its first token. */
     int resumedRuns(PlannedRequest planned) {
         return resumedRuns.getOrDefault(ledgerKey(planned), 0);
     }
@@ -66,7 +66,7 @@
             count(Json.parseObject(response.body()).orElseGet(Json::object));
         } catch (IOException unreachable) {
             unreadable++;
-            LOG.debugf("load: the ledger of %s cannot be read: %s", standin, unreachable.getMessage());
+            LOG.debugf("load: cannot read the ledger of %s: %s", standin, unreachable.getMessage());
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadReport.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadReport.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** What a run of the load tool found. */
+/** Result of a run of the load tool. */
 public final class LoadReport {
     private static final int MAX_EXAMPLES = 5;
     private static final String ROW_FORMAT = "%-16s %6s %8s %7s %7s %8s %7s %5s %6s %7s %9s %14s %14s%n";
@@ -36,17 +36,17 @@
         this.ledgersUnreadable = ledgers.unreadable();
     }
 
-    /** Says whether something happened that must never happen. */
+    /** Returns whether there was a broken answer, a call executed twice, or a refusal of a request that ran. */
     public boolean faulty() {
         return kinds.stream().anyMatch(KindTotals::faulty);
     }
 
-    /** Says whether any answer was cut short. */
+    /** Returns whether any answer was cut off. */
     public boolean anyCut() {
         return kinds.stream().anyMatch(kind -> kind.cut() > 0);
     }
 
-    /** Prints a table and, for requests that were not answered, a few examples. */
+    /** Prints a table of all kinds and a few examples of requests that were not answered. */
     public void print(PrintStream output) {
         output.printf(
                 ROW_FORMAT,
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Returns the same as JSON. */
+    /** Returns the totals of all kinds as JSON. */
     public ObjectNode toJson() {
         ObjectNode root = Json.object();
         root.put("team", team);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Sends all requests of a plan on a fixed number of threads. */
+/** Sends generated requests on a fixed number of threads and checks their answers. */
 public final class LoadRun {
     private final LoadSettings settings;
     private final HttpClient client =
@@ -17,10 +17,11 @@
         this.settings = settings;
     }
 
-    /** Sends everything, reads the ledgers and reports. */
+    /** Sends all requests, reads the ledgers and returns the report. */
     public LoadReport run() throws InterruptedException {
         String team = settings.documents().getFirst().team();
-        RequestGenerator generator = new RequestGenerator(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
+        RequestGenerator generator =
+                new RequestGenerator(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
         List<RequestResult> results = sendAll(generator.generate(settings.requests()));
         return new LoadReport(team, results, Ledgers.read(client, settings.ledgers()));
     }
@@ -54,18 +55,19 @@
                     results.add(sendAgain(first, creation, sender));
                 }
             }
-        } catch (InterruptedException stopping) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Sends a keyed call again, as a caller does that did not trust its answer; the recorded answer must come back. */
+    /** Sends a call again with the same idempotency key; the answer must be the recorded one of the first call. */
     private static RequestResult sendAgain(RequestResult first, PlannedRequest.Creation creation, RequestSender sender)
             throws InterruptedException {
         RequestResult again = sender.send(new PlannedRequest.Repetition(creation));
         boolean bothAnswered = first.end() == RequestEnd.ANSWERED && again.end() == RequestEnd.ANSWERED;
         if (bothAnswered && !first.entryId().equals(again.entryId())) {
-            String detail = "The key's second answer names " + again.entryId() + " instead of " + first.entryId();
+            String detail = "The second answer for the same idempotency key has id " + again.entryId() + " instead of "
+                    + first.entryId();
             return again.withEnd(RequestEnd.BROKEN, detail);
         }
         return again;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadSettings.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadSettings.java
@@ -6,18 +6,18 @@
 import org.aspenmoor.internal.document.ServiceDocument;
 
 /**
- * What a run of the load tool sends and where.
+ * Settings of a run of the load tool.
  *
- * @param entries addresses of the entries, used in turn
- * @param ledgers addresses of the stand-ins whose ledgers are read afterwards
+ * @param entries addresses of the entries, used in rotation
+ * @param ledgers addresses of the stand-ins whose ledgers are read after the run
  * @param token the team's token
- * @param documents the team's documents, whose kinds are sent
- * @param requests how many requests
- * @param concurrency how many at once
- * @param maxAttempts how often a refused request is sent at most
- * @param timeout how long one try may take
- * @param repeatKeys whether calls with an idempotency key are sent a second time
- * @param seed fixes what is sent
+ * @param documents the team's documents, whose request kinds are sent
+ * @param requests number of requests
+ * @param concurrency number of concurrent requests
+ * @param maxAttempts maximum number of attempts for a request that is refused
+ * @param timeout timeout of one attempt
+ * @param repeatKeys whether calls with an idempotency key are sent twice
+ * @param seed seed of the random request mix
  */
 public record LoadSettings(
         List<URI> entries,
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/PlannedRequest.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/PlannedRequest.java
@@ -2,23 +2,23 @@
 
 import java.util.Optional;
 
-/** One request that the load tool will send. */
+/** A request that the load tool sends. */
 sealed interface PlannedRequest {
     /** Returns the kind's name in the team's document. */
     String kind();
 
-    /** Returns what makes the request recognisable in the ledgers. */
+    /** Returns the unique text of the request, or the id that it reads. */
     String marker();
 
     /**
-     * A draft.
+     * A completion request to a model.
      *
      * @param kind the kind's name
-     * @param mark unique; stands in the prompt
+     * @param marker unique text, part of the prompt
      * @param model the model's name
-     * @param adapter the adapter's name; empty for none
+     * @param adapter the adapter's name; empty if none is requested
      * @param prompt the prompt
-     * @param maximum the most tokens asked for
+     * @param maxTokens maximum number of tokens of the answer
      * @param chat whether it is sent as a chat
      * @param streamed whether the answer is streamed
      */
@@ -34,22 +34,23 @@
             implements PlannedRequest {}
 
     /**
-     * A call that makes an entry.
+     * A service call that creates a record.
      *
      * @param kind the kind's name
-     * @param mark unique; stands in the body
+     * @param marker unique text, part of the body
      * @param service the service's name
      * @param path the path below the service
      * @param body the body
-     * @param idempotencyKey the key, if it is sent with one
+     * @param idempotencyKey the idempotency key; empty if the call has none
      */
-    record Creation(String kind, String marker, String service, String path, String body, Optional<String> idempotencyKey)
+    record Creation(
+            String kind, String marker, String service, String path, String body, Optional<String> idempotencyKey)
             implements PlannedRequest {}
 
     /**
-     * A keyed call that is sent a second time; it must not run again.
+     * A call that is sent a second time with the same idempotency key; it must not run again.
      *
-     * @param original the call as it was sent first
+     * @param original the first call
      */
     record Repetition(Creation original) implements PlannedRequest {
         @Override
@@ -64,10 +65,10 @@
     }
 
     /**
-     * A call that reads an entry back.
+     * A call that reads the state of a record.
      *
      * @param kind the kind's name
-     * @param mark the identity that is read
+     * @param marker the id of the record
      * @param service the service's name
      * @param path the path below the service
      */
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestEnd.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestEnd.java
@@ -2,14 +2,14 @@
 
 /** How a request ended, as its caller sees it. */
 enum RequestEnd {
-    /** The whole right answer came. */
+    /** The complete, correct answer was received. */
     ANSWERED,
-    /** Refused with the word that it did not run. */
+    /** Refused; the request did not run. */
     REFUSED,
-    /** The system says that nobody knows whether it ran, or the connection broke. */
+    /** It is unknown whether the request ran: the entry reported so, or the connection broke. */
     UNKNOWN,
-    /** An answer began and was cut short in a way that its caller can tell from a whole one. */
+    /** The answer was cut off, and the caller can detect it. */
     CUT,
-    /** An answer came in good form that is short, wrong, or somebody else's. */
+    /** The answer is well-formed, but incomplete, wrong, or the answer to another request. */
     BROKEN
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestGenerator.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestGenerator.java
@@ -8,7 +8,7 @@
 import org.aspenmoor.internal.document.RequestKind;
 import org.aspenmoor.internal.document.ServiceDocument;
 
-/** Draws requests of all kinds of a team's documents, drafts and plain calls mixed. */
+/** Generates a random mix of the request kinds in a team's documents: completions and plain service calls. */
 final class RequestGenerator {
     private static final int MAX_PROMPT_WORDS = 400;
     private static final int MIN_OUTPUT_TOKENS = 10;
@@ -28,7 +28,7 @@
         this.runName = runName;
     }
 
-    /** Draws that many requests. */
+    /** Generates the given number of requests. */
     List<PlannedRequest> generate(int count) {
         List<DocumentKind> completionKinds = new ArrayList<>();
         List<DocumentKind> callKinds = new ArrayList<>();
@@ -40,34 +40,37 @@
         }
         List<PlannedRequest> planned = new ArrayList<>();
         for (int number = 0; number < count; number++) {
-            boolean isCompletion = callKinds.isEmpty() || (!completionKinds.isEmpty() && random.nextDouble() < COMPLETION_FRACTION);
+            boolean isCompletion =
+                    callKinds.isEmpty() || (!completionKinds.isEmpty() && random.nextDouble() < COMPLETION_FRACTION);
             List<DocumentKind> candidates = isCompletion ? completionKinds : callKinds;
             DocumentKind documentKind = candidates.get(random.nextInt(candidates.size()));
-            String mark = runName + "." + number;
-            planned.add(isCompletion ? generateCompletion(documentKind, mark) : generateCall(documentKind, mark));
+            String marker = runName + "." + number;
+            planned.add(isCompletion ? generateCompletion(documentKind, marker) : generateCall(documentKind, marker));
         }
         return planned;
     }
 
-    private PlannedRequest generateCompletion(DocumentKind documentKind, String mark) {
+    private PlannedRequest generateCompletion(DocumentKind documentKind, String marker) {
         KindMatch match = documentKind.kind().match();
         String model = match.model()
                 .orElseGet(() -> documentKind.document().models().getFirst().name());
         int maxOutputTokens = Math.min(
-                MAX_OUTPUT_TOKENS, Math.max(MIN_OUTPUT_TOKENS + 1, documentKind.kind().longestOutputTokens()));
+                MAX_OUTPUT_TOKENS,
+                Math.max(MIN_OUTPUT_TOKENS + 1, documentKind.kind().longestOutputTokens()));
         return new PlannedRequest.Completion(
                 documentKind.kind().name(),
-                mark,
+                marker,
                 model,
                 match.adapter().orElse(""),
-                generatePrompt(mark),
+                generatePrompt(marker),
                 random.nextInt(MIN_OUTPUT_TOKENS, maxOutputTokens),
                 random.nextDouble() < CHAT_FRACTION,
                 random.nextDouble() < STREAMED_FRACTION);
     }
 
-    private String generatePrompt(String mark) {
-        StringBuilder prompt = new StringBuilder("Describe scene ").append(mark).append('.');
+    private String generatePrompt(String marker) {
+        StringBuilder prompt =
+                new StringBuilder("Describe scene ").append(marker).append('.');
         int words = random.nextInt(MAX_PROMPT_WORDS);
         for (int word = 0; word < words; word++) {
             prompt.append(" line").append(random.nextInt(1000));
@@ -75,16 +78,16 @@
         return prompt.toString();
     }
 
-    private PlannedRequest generateCall(DocumentKind documentKind, String mark) {
+    private PlannedRequest generateCall(DocumentKind documentKind, String marker) {
         KindMatch match = documentKind.kind().match();
         String service = documentKind.document().service();
         String path = match.pathPrefix().orElseThrow();
         if (match.method().orElse("GET").equals("GET")) {
-            return new PlannedRequest.StatusRead(documentKind.kind().name(), mark, service, path + mark);
+            return new PlannedRequest.StatusRead(documentKind.kind().name(), marker, service, path + marker);
         }
-        Optional<String> key = random.nextDouble() < KEYED_FRACTION ? Optional.of("key-" + mark) : Optional.empty();
-        String body = "{\"mark\":\"" + mark + "\",\"amount\":" + random.nextInt(1000) + "}";
-        return new PlannedRequest.Creation(documentKind.kind().name(), mark, service, path, body, key);
+        Optional<String> key = random.nextDouble() < KEYED_FRACTION ? Optional.of("key-" + marker) : Optional.empty();
+        String body = "{\"mark\":\"" + marker + "\",\"amount\":" + random.nextInt(1000) + "}";
+        return new PlannedRequest.Creation(documentKind.kind().name(), marker, service, path, body, key);
     }
 
     private record DocumentKind(ServiceDocument document, RequestKind kind) {}
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestResult.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestResult.java
@@ -1,15 +1,15 @@
 package org.aspenmoor.internal.standins.load;
 
 /**
- * What became of a request.
+ * Result of a request after its last attempt.
  *
  * @param planned the request
  * @param end how it ended
- * @param detail one sentence where it was not answered
- * @param entryId the identity of the entry that a creation made; empty for all else
- * @param refusals how often it was refused on the way
- * @param firstTokenNanoseconds until the first token; 0 where there was none
- * @param totalNanoseconds until the end of the last try
+ * @param detail description of the failure; empty if it was answered
+ * @param entryId the id of the record that a service call created or read; empty if there is none
+ * @param refusals number of refused attempts
+ * @param firstTokenNanoseconds time to the first token of the last attempt; 0 if there was none
+ * @param totalNanoseconds duration of the last attempt
  */
 record RequestResult(
         PlannedRequest planned,
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestSender.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestSender.java
@@ -19,7 +19,7 @@
 import org.aspenmoor.internal.standins.engine.DeterministicText;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Sends one request, comes back after refusals as it is told to, and checks the answer. */
+/** Sends a request, retries after refusals as {@code Retry-After} says, and checks the answer. */
 final class RequestSender {
     private static final String NOT_RUN = "not-run";
     private static final int FIRST_ERROR_STATUS = 300;
@@ -43,7 +43,7 @@
         this.timeout = timeout;
     }
 
-    /** Sends a request until it is answered, unknown, or refused too often. */
+    /** Sends a request until an attempt is not refused, a refusal has no retry time, or the attempts are used up. */
     RequestResult send(PlannedRequest planned) throws InterruptedException {
         for (int refusals = 0; ; refusals++) {
             AttemptResult attempt = sendOnce(planned);
@@ -77,10 +77,15 @@
             }
         } catch (ConnectException unreachable) {
             Optional<Duration> wait = Optional.of(boundedWait(1));
-            return new AttemptResult(RequestEnd.REFUSED, "The entry cannot be reached.", wait, 0, System.nanoTime() - start);
+            return new AttemptResult(
+                    RequestEnd.REFUSED, "Cannot connect to the entry.", wait, 0, System.nanoTime() - start);
         } catch (IOException connectionBroken) {
             return new AttemptResult(
-                    RequestEnd.UNKNOWN, "The connection broke: " + connectionBroken, Optional.empty(), 0, System.nanoTime() - start);
+                    RequestEnd.UNKNOWN,
+                    "The connection broke: " + connectionBroken,
+                    Optional.empty(),
+                    0,
+                    System.nanoTime() - start);
         }
     }
 
@@ -114,7 +119,9 @@
 
     private static String completionBody(PlannedRequest.Completion completion) {
         ObjectNode root = Json.object();
-        root.put("model", completion.adapter().isEmpty() ? completion.model() : completion.model() + ":" + completion.adapter());
+        root.put(
+                "model",
+                completion.adapter().isEmpty() ? completion.model() : completion.model() + ":" + completion.adapter());
         if (completion.chat()) {
             root.putArray("messages").addObject().put("role", "user").put("content", completion.prompt());
         } else {
@@ -125,13 +132,15 @@
         return root.toString();
     }
 
-    // A refusal names itself in the body; a server error that does not is taken for unknown.
-    private static AttemptResult refusal(HttpResponse<InputStream> response, InputStream body, long start) throws IOException {
+    // The body of a refusal contains the outcome; a server error without one is treated as unknown.
+    private static AttemptResult refusal(HttpResponse<InputStream> response, InputStream body, long start)
+            throws IOException {
         String text = new String(body.readAllBytes(), StandardCharsets.UTF_8);
         String outcome = Json.parseObject(text)
                 .map(root -> root.path("error").path("outcome").asText())
                 .orElse("");
-        boolean notRun = outcome.isEmpty() ? response.statusCode() < FIRST_SERVER_ERROR_STATUS : outcome.equals(NOT_RUN);
+        boolean notRun =
+                outcome.isEmpty() ? response.statusCode() < FIRST_SERVER_ERROR_STATUS : outcome.equals(NOT_RUN);
         Optional<Duration> wait = response.headers().firstValue("Retry-After").map(RequestSender::parseRetryAfter);
         String detail = "status " + response.statusCode() + ": " + text;
         RequestEnd end = notRun ? RequestEnd.REFUSED : RequestEnd.UNKNOWN;
@@ -160,26 +169,31 @@
         };
     }
 
-    private static AttemptResult checkCompletion(PlannedRequest.Completion completion, InputStream body, long start) throws IOException {
+    private static AttemptResult checkCompletion(PlannedRequest.Completion completion, InputStream body, long start)
+            throws IOException {
         AnswerText answer = new AnswerText();
         Optional<String> cut = readCompletion(completion, body, answer);
         long totalNanoseconds = System.nanoTime() - start;
         long firstTokenNanoseconds = answer.firstTokenNanos() == 0 ? 0 : answer.firstTokenNanos() - start;
         if (cut.isPresent()) {
-            return new AttemptResult(RequestEnd.CUT, cut.get(), Optional.empty(), firstTokenNanoseconds, totalNanoseconds);
+            return new AttemptResult(
+                    RequestEnd.CUT, cut.get(), Optional.empty(), firstTokenNanoseconds, totalNanoseconds);
         }
         int tokens = DeterministicText.tokens(completion.prompt(), completion.maxTokens());
-        String expected = DeterministicText.text(completion.model(), completion.adapter(), completion.prompt(), 0, tokens);
+        String expected =
+                DeterministicText.text(completion.model(), completion.adapter(), completion.prompt(), 0, tokens);
         if (!answer.text().equals(expected)) {
-            String detail = "The text has " + answer.text().length() + " characters instead of " + expected.length()
-                    + ", or others.";
-            return new AttemptResult(RequestEnd.BROKEN, detail, Optional.empty(), firstTokenNanoseconds, totalNanoseconds);
+            String detail = "The text has " + answer.text().length() + " characters and differs from the expected "
+                    + expected.length() + " characters.";
+            return new AttemptResult(
+                    RequestEnd.BROKEN, detail, Optional.empty(), firstTokenNanoseconds, totalNanoseconds);
         }
         return new AttemptResult(RequestEnd.ANSWERED, "", Optional.empty(), firstTokenNanoseconds, totalNanoseconds);
     }
 
-    /** Reads a draft; returns how its caller can tell that it was cut, if it was. */
-    private static Optional<String> readCompletion(PlannedRequest.Completion completion, InputStream body, AnswerText answer) {
+    /** Reads a completion; returns the reason if the caller can detect that it was cut off. */
+    private static Optional<String> readCompletion(
+            PlannedRequest.Completion completion, InputStream body, AnswerText answer) {
         try {
             if (completion.streamed()) {
                 answer.readStream(new BufferedReader(new InputStreamReader(body, StandardCharsets.UTF_8)));
@@ -187,12 +201,12 @@
                 answer.readComplete(new String(body.readAllBytes(), StandardCharsets.UTF_8));
             }
         } catch (IOException connectionBroken) {
-            return Optional.of("The connection broke in the middle: " + connectionBroken);
+            return Optional.of("The connection broke during the answer: " + connectionBroken);
         }
         if (answer.error().isPresent()) {
             return answer.error();
         }
-        return answer.isComplete() ? Optional.empty() : Optional.of("The stream has no end mark.");
+        return answer.isComplete() ? Optional.empty() : Optional.of("The stream ended without its end mark.");
     }
 
     private static AttemptResult checkCreation(PlannedRequest.Creation creation, InputStream body, long start)
@@ -200,14 +214,21 @@
         return checkField(body, "bodyHash", Integer.toHexString(creation.body().hashCode()), start);
     }
 
-    private static AttemptResult checkField(InputStream body, String field, String expected, long start) throws IOException {
+    private static AttemptResult checkField(InputStream body, String field, String expected, long start)
+            throws IOException {
         String text = new String(body.readAllBytes(), StandardCharsets.UTF_8);
         long totalNanoseconds = System.nanoTime() - start;
         ObjectNode answer = Json.parseObject(text).orElseGet(Json::object);
         if (!answer.path(field).asText().equals(expected)) {
-            return new AttemptResult(RequestEnd.BROKEN, "The answer is not ours: " + text, Optional.empty(), 0, totalNanoseconds);
+            return new AttemptResult(
+                    RequestEnd.BROKEN,
+                    "The answer belongs to another request: " + text,
+                    Optional.empty(),
+                    0,
+                    totalNanoseconds);
         }
-        return new AttemptResult(RequestEnd.ANSWERED, "", answer.path("id").asText(), Optional.empty(), 0, totalNanoseconds);
+        return new AttemptResult(
+                RequestEnd.ANSWERED, "", answer.path("id").asText(), Optional.empty(), 0, totalNanoseconds);
     }
 
     private record AttemptResult(
@@ -217,7 +238,12 @@
             Optional<Duration> retryAfter,
             long firstTokenNanoseconds,
             long totalNanoseconds) {
-        AttemptResult(RequestEnd end, String detail, Optional<Duration> retryAfter, long firstTokenNanoseconds, long totalNanoseconds) {
+        AttemptResult(
+                RequestEnd end,
+                String detail,
+                Optional<Duration> retryAfter,
+                long firstTokenNanoseconds,
+                long totalNanoseconds) {
             this(end, detail, "", retryAfter, firstTokenNanoseconds, totalNanoseconds);
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load tool: seeded requests as the houses send them, each answer checked whole and against the ledgers. */
+/** The load tool: sends a seeded mix of requests and checks every answer for completeness and against the ledgers. */
 package org.aspenmoor.internal.standins.load;
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/package-info.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Small stand-ins for the platform and the backend servers, for tests and the demo only. */
+/** Stand-in processes for the platform and the backend servers; for tests and the demo only. */
 package org.aspenmoor.internal.standins;
