--- a/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/StandinsMainTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/StandinsMainTest.java
@@ -15,13 +15,13 @@
     private final ByteArrayOutputStream errors = new ByteArrayOutputStream();
 
     @Test
-    public void should_list_the_subcommands_where_help_is_asked_for() {
+    public void should_list_the_subcommands_when_help_is_requested() {
         assertEquals(run("--help"), 0);
         assertTrue(output.toString(StandardCharsets.UTF_8).contains("store"));
     }
 
     @Test
-    public void should_exit_with_2_where_it_is_used_wrongly() {
+    public void should_exit_with_2_when_the_usage_is_invalid() {
         assertEquals(run(), 2);
         assertEquals(run("shop"), 2);
         assertEquals(run("store", "--colour", "red"), 2);
--- a/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/command/AccountSumsTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/command/AccountSumsTest.java
@@ -17,7 +17,7 @@
     }
 
     @Test
-    public void should_accept_accounts_that_balance_at_rest() {
+    public void should_report_no_violation_when_the_counts_of_an_idle_process_balance() {
         add("{\"process\":\"entry-1\",\"imbalance\":\"\",\"requests\":{\"received\":9,\"answered\":5,\"notRun\":2,"
                 + "\"unknown\":1,\"cancelled\":1,\"inFlight\":0}}");
 
@@ -25,8 +25,9 @@
     }
 
     @Test
-    public void should_find_a_request_that_is_in_no_count() {
-        // A request is dropped without an end. Its caller waits until its time-out; only the sum shows it.
+    public void should_report_a_violation_when_a_request_is_in_no_count() {
+        // A request is dropped without being counted as ended. Its caller waits until its timeout; only the sum shows
+        // it.
         add("{\"process\":\"entry-1\",\"requests\":{\"received\":9,\"answered\":5,\"notRun\":2,"
                 + "\"unknown\":1,\"cancelled\":0,\"inFlight\":0}}");
 
@@ -34,7 +35,7 @@
     }
 
     @Test
-    public void should_find_work_that_goes_on_after_all_callers_have_their_answers() {
+    public void should_report_a_violation_when_dispatches_still_run() {
         add("{\"process\":\"agent-1\",\"dispatches\":{\"received\":3,\"refused\":0,\"complete\":2,\"failed\":0,"
                 + "\"cancelled\":0,\"running\":1}}");
 
@@ -42,7 +43,7 @@
     }
 
     @Test
-    public void should_not_take_a_missing_count_for_zero() {
+    public void should_report_a_violation_when_a_count_is_missing() {
         add("{\"process\":\"agent-1\",\"dispatches\":{\"received\":0}}");
         add("{\"process\":\"agent-2\"}");
 
@@ -50,7 +51,7 @@
     }
 
     @Test
-    public void should_pass_on_what_the_process_itself_found() {
+    public void should_report_the_imbalance_when_the_process_reports_one() {
         add("{\"process\":\"entry-1\",\"imbalance\":\"received 4 but accounted for 3\",\"chunks\":{\"received\":0,"
                 + "\"delivered\":0,\"discarded\":0,\"broken\":0}}");
 
--- a/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/engine/SequenceSlotsTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoor/internal/standins/engine/SequenceSlotsTest.java
@@ -10,7 +10,7 @@
 
 public class SequenceSlotsTest {
     @Test
-    public void should_let_the_greater_priority_go_first() throws InterruptedException {
+    public void should_admit_the_higher_priority_first_when_several_wait() throws InterruptedException {
         SequenceSlots slots = new SequenceSlots(1);
         BlockingQueue<Integer> entered = new LinkedBlockingQueue<>();
         slots.enter(0);
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/EngineStandinTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/EngineStandinTest.java
@@ -20,7 +20,7 @@
 
 /** The engine stand-in as an agent uses it. */
 public class EngineStandinTest {
-    private static final long LONG_CHANGE = 600_000;
+    private static final long LONG_ROLE_CHANGE_MILLISECONDS = 600_000;
 
     private StandinServer server;
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    public void should_stream_the_whole_text_and_its_end_mark() throws Exception {
+    public void should_stream_the_complete_text_and_the_end_mark() throws Exception {
         start(false, 0);
 
         HttpResponse<String> answer = complete("\"max_tokens\":12");
@@ -40,7 +40,7 @@
     }
 
     @Test
-    public void should_resume_at_the_token_asked_for() throws Exception {
+    public void should_resume_at_the_requested_token() throws Exception {
         start(false, 0);
 
         HttpResponse<String> answer = complete("\"max_tokens\":12,\"resume\":{\"tokens\":5}");
@@ -49,7 +49,7 @@
     }
 
     @Test
-    public void should_write_every_run_into_the_ledger() throws Exception {
+    public void should_record_every_run_in_the_ledger() throws Exception {
         start(false, 0);
         complete("\"max_tokens\":12");
 
@@ -62,9 +62,10 @@
     }
 
     @Test
-    public void should_refuse_an_old_fencing_number_and_a_second_order_at_once() throws Exception {
-        // A planner that was paused past its lease gives an order late. The engine has seen its successor's number.
-        start(false, LONG_CHANGE);
+    public void should_refuse_an_order_when_its_fencing_number_is_outdated_or_another_order_runs() throws Exception {
+        // A planner that was paused until after its lease expired sends an order late. The engine has already seen the
+        // fencing number of its successor.
+        start(false, LONG_ROLE_CHANGE_MILLISECONDS);
 
         assertEquals(order("first", 7), 202);
         assertEquals(order("late", 6), 409);
@@ -75,7 +76,7 @@
     }
 
     @Test
-    public void should_take_an_old_fencing_number_where_it_ignores_them() throws Exception {
+    public void should_accept_an_outdated_fencing_number_when_fencing_is_ignored() throws Exception {
         start(true, 0);
         order("first", 7);
         awaitOrderEnd();
@@ -85,8 +86,8 @@
     }
 
     @Test
-    public void should_serve_nothing_while_it_changes_its_role() throws Exception {
-        start(false, LONG_CHANGE);
+    public void should_refuse_requests_when_the_role_is_changing() throws Exception {
+        start(false, LONG_ROLE_CHANGE_MILLISECONDS);
         order("first", 7);
 
         assertEquals(complete("\"max_tokens\":12").statusCode(), 503);
@@ -94,9 +95,9 @@
     }
 
     @Test
-    public void should_stay_in_its_role_where_an_order_fails_halfway() throws Exception {
+    public void should_keep_its_role_when_a_role_change_fails() throws Exception {
         start(false, 0);
-        fault("{\"failOrdersHalfway\":1}");
+        injectFaults("{\"failOrdersHalfway\":1}");
         order("first", 7);
         awaitOrderEnd();
 
@@ -107,19 +108,19 @@
     }
 
     @Test
-    public void should_cut_a_stream_where_asked() throws Exception {
-        // An engine process dies in the middle of an answer; the agent sees a broken connection.
+    public void should_break_the_connection_when_a_stream_cut_is_injected() throws Exception {
+        // An engine process terminates during an answer; the agent sees a broken connection.
         start(false, 0);
-        fault("{\"cutStreamAfterTokens\":3}");
+        injectFaults("{\"cutStreamAfterTokens\":3}");
 
         assertThrows(IOException.class, () -> complete("\"max_tokens\":12"));
         assertEquals(get("/standin/ledger").path("requests").path(0).path("end").asText(), "CUT");
     }
 
     @Test
-    public void should_end_a_stream_early_in_good_form_where_asked() throws Exception {
+    public void should_end_a_stream_regularly_when_a_truncation_is_injected() throws Exception {
         start(false, 0);
-        fault("{\"truncateStreamAfterTokens\":3}");
+        injectFaults("{\"truncateStreamAfterTokens\":3}");
 
         HttpResponse<String> answer = complete("\"max_tokens\":12");
 
@@ -151,7 +152,7 @@
         }
     }
 
-    private void fault(String json) throws IOException, InterruptedException {
+    private void injectFaults(String json) throws IOException, InterruptedException {
         StandinCalls.post(at("/standin/faults"), json);
     }
 
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/ExampleDocumentsTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/ExampleDocumentsTest.java
@@ -40,20 +40,21 @@
     }
 
     @Test(dataProvider = "documents")
-    public void should_come_back_equal_after_writing(String file, int backends, int dataCentres) throws IOException {
+    public void should_read_back_an_equal_document_when_it_was_written(String file, int backends, int dataCentres)
+            throws IOException {
         ServiceDocument document = read(file, Files.readString(examples().resolve(file)));
 
         assertEquals(read("written", DocumentWriter.write(document)), document);
     }
 
     @Test
-    public void should_not_allow_bookings_invoices_and_filings_to_run_twice() throws IOException {
-        List<String> once = List.of("booking", "invoice", "filing");
+    public void should_not_be_idempotent_when_the_kind_is_a_booking_invoice_or_filing() throws IOException {
+        List<String> nonIdempotent = List.of("booking", "invoice", "filing");
         for (Object[] row : documents()) {
             String file = (String) row[0];
             for (RequestKind kind :
                     read(file, Files.readString(examples().resolve(file))).kinds()) {
-                assertEquals(kind.idempotent(), !once.contains(kind.name()), file + " " + kind.name());
+                assertEquals(kind.idempotent(), !nonIdempotent.contains(kind.name()), file + " " + kind.name());
             }
         }
     }
@@ -66,7 +67,7 @@
         return document;
     }
 
-    // Maven runs a module's tests in the module's folder.
+    // Maven runs the tests of a module in the folder of the module.
     private static Path examples() {
         return Path.of("..", "examples");
     }
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolKeysTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolKeysTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The load tool's second sending of keyed calls, with a small proxy in an entry's place. */
+/** Repeated calls of the load tool with the same idempotency key, sent to a proxy in place of an entry. */
 public class LoadToolKeysTest {
     private static final String PREFIX = "/services/studio-desk";
 
@@ -46,10 +46,10 @@
     }
 
     @Test
-    public void should_find_a_booking_that_runs_again_under_its_key() throws Exception {
-        // A process passes every call on without looking at the key. The narrator is paid twice.
-        try (StandinServer careless = new StandinServer(0, call -> passOn(call, false))) {
-            LoadReport report = run(careless);
+    public void should_report_a_fault_when_a_call_runs_twice_under_the_same_key() throws Exception {
+        // The proxy forwards every call and ignores the key, so that a booking is executed twice.
+        try (StandinServer proxy = new StandinServer(0, call -> forward(call, false))) {
+            LoadReport report = run(proxy);
 
             assertTrue(report.faulty());
             assertTrue(sum(report, "doubled") > 0);
@@ -58,9 +58,9 @@
     }
 
     @Test
-    public void should_be_content_where_a_key_brings_back_the_recorded_answer() throws Exception {
-        try (StandinServer careful = new StandinServer(0, call -> passOn(call, true))) {
-            LoadReport report = run(careful);
+    public void should_report_no_fault_when_a_key_returns_the_recorded_answer() throws Exception {
+        try (StandinServer proxy = new StandinServer(0, call -> forward(call, true))) {
+            LoadReport report = run(proxy);
 
             assertFalse(report.faulty());
             assertEquals(sum(report, "answered"), sum(report, "sent"));
@@ -68,7 +68,7 @@
         }
     }
 
-    private void passOn(Call call, boolean remembersKeys) throws IOException {
+    private void forward(Call call, boolean replaysRecordedAnswers) throws IOException {
         try {
             String path = call.path().substring(PREFIX.length());
             if (call.method().equals("GET")) {
@@ -76,7 +76,7 @@
                 return;
             }
             String key = call.header("Idempotency-Key").orElse("");
-            String recorded = remembersKeys && !key.isEmpty() ? answersByKey.get(key) : null;
+            String recorded = replaysRecordedAnswers && !key.isEmpty() ? answersByKey.get(key) : null;
             if (recorded != null) {
                 call.respond(201, StandinCalls.parse(recorded));
                 return;
@@ -84,7 +84,7 @@
             HttpResponse<String> answer = StandinCalls.post(service.address().resolve(path), call.body());
             answersByKey.put(key, answer.body());
             call.respond(answer.statusCode(), StandinCalls.parse(answer.body()));
-        } catch (InterruptedException stopping) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/LoadToolTest.java
@@ -26,7 +26,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The load tool against an engine in an entry's place: it must find what is wrong and nothing else. */
+/** The load tool against an engine in place of an entry: it must report every fault and nothing else. */
 public class LoadToolTest {
     private EngineStandin engine;
     private StandinServer server;
@@ -46,7 +46,7 @@
     }
 
     @Test
-    public void should_find_all_answers_whole_where_they_are() throws Exception {
+    public void should_report_no_fault_when_all_answers_are_complete() throws Exception {
         LoadReport report = load();
 
         assertFalse(report.faulty());
@@ -55,8 +55,8 @@
     }
 
     @Test
-    public void should_find_a_truncated_answer_that_ends_in_good_form() throws Exception {
-        // An engine stops early and closes its stream properly. Only the text itself shows that a cue is cut short.
+    public void should_report_a_broken_answer_when_a_truncated_stream_ends_regularly() throws Exception {
+        // An engine stops early and ends its stream regularly. Only the text shows that the answer is incomplete.
         StandinCalls.post(server.address().resolve("/standin/faults"), "{\"truncateStreamAfterTokens\":3}");
 
         LoadReport report = load();
@@ -66,8 +66,8 @@
     }
 
     @Test
-    public void should_tell_an_answer_whose_connection_breaks_from_a_whole_one() throws Exception {
-        // An entry is killed in the middle of a stream. Its caller sees the connection break and may ask again.
+    public void should_report_a_cut_answer_when_the_connection_breaks() throws Exception {
+        // An entry is killed during a stream. Its caller sees the broken connection and may retry.
         StandinCalls.post(server.address().resolve("/standin/faults"), "{\"cutStreamAfterTokens\":3}");
 
         LoadReport report = load();
@@ -78,33 +78,34 @@
     }
 
     @Test
-    public void should_find_a_wrong_token() throws Exception {
+    public void should_report_a_broken_answer_when_a_token_is_wrong() throws Exception {
         StandinCalls.post(server.address().resolve("/standin/faults"), "{\"wrongTokenAt\":2}");
 
         assertEquals(sum(load(), "broken"), 1);
     }
 
     @Test
-    public void should_find_a_refusal_of_a_request_that_ran() throws Exception {
-        // A process answers "not run" although the engine has run the request: the caller would send it elsewhere.
-        try (StandinServer lying = new StandinServer(0, this::runAndDeny)) {
-            lying.start();
+    public void should_report_a_fault_when_a_refused_request_has_run() throws Exception {
+        // A process answers "not run" although the engine has run the request: the caller would send it to another
+        // entry.
+        try (StandinServer proxy = new StandinServer(0, this::runAndRefuse)) {
+            proxy.start();
 
-            LoadReport report = run(lying);
+            LoadReport report = run(proxy);
 
             assertTrue(report.faulty());
             assertTrue(sum(report, "refusedButRan") > 0);
         }
     }
 
-    private void runAndDeny(Call call) throws IOException {
+    private void runAndRefuse(Call call) throws IOException {
         try {
             String path = call.path();
             if (path.startsWith("/v1/")) {
                 StandinCalls.post(server.address().resolve(path), call.body());
             }
-            call.respondError(429, "This is not true.");
-        } catch (InterruptedException stopping) {
+            call.respondError(429, "Not run (wrong on purpose).");
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/ServiceStandinTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/ServiceStandinTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The plain service stand-in as an agent uses it. */
+/** The service stand-in, called as an agent calls it. */
 public class ServiceStandinTest {
     private StandinServer server;
 
@@ -28,16 +28,16 @@
     }
 
     @Test
-    public void should_make_an_entry_and_read_it_back() throws Exception {
-        JsonNode made = StandinCalls.parse(
+    public void should_report_a_record_as_accepted_when_it_was_created() throws Exception {
+        JsonNode created = StandinCalls.parse(
                 StandinCalls.post(at("/bookings"), "{\"booth\":3}").body());
 
-        String id = made.path("id").asText();
+        String id = created.path("id").asText();
         assertEquals(StandinCalls.get(at("/status/" + id)).path("state").asText(), "accepted");
     }
 
     @Test
-    public void should_count_every_execution_also_of_the_same_key() throws Exception {
+    public void should_record_both_executions_when_an_idempotency_key_is_reused() throws Exception {
         StandinCalls.post(at("/filings"), "{\"sheet\":1}", "Idempotency-Key", "key-1");
         StandinCalls.post(at("/filings"), "{\"sheet\":1}", "Idempotency-Key", "key-1");
 
@@ -47,8 +47,8 @@
     }
 
     @Test
-    public void should_run_a_call_whose_answer_it_loses() throws Exception {
-        // The service books a booth and its answer is lost: whoever calls again books a second one.
+    public void should_execute_a_call_when_its_answer_is_lost() throws Exception {
+        // The service books a booth and its answer is lost: a caller that retries books a second one.
         StandinCalls.post(at("/standin/faults"), "{\"loseAnswers\":1}");
 
         assertThrows(IOException.class, () -> StandinCalls.post(at("/bookings"), "{\"booth\":3}"));
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StandinCalls.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StandinCalls.java
@@ -8,7 +8,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 
-/** Plain HTTP calls to stand-ins. */
+/** HTTP calls to stand-ins. */
 final class StandinCalls {
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StoreStandinTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/StoreStandinTest.java
@@ -30,10 +30,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The store client and the store stand-in together, as processes use them. */
+/** The store client against the store stand-in. */
 public class StoreStandinTest {
     private static final ObjectKey KEY = new ObjectKey(ObjectKind.DOCUMENT, "seitkali", "drafting");
-    private static final int MANY = 100_000;
+    private static final int UNLIMITED_CALLS = 100_000;
 
     private StoreStandin standin;
     private StandinServer server;
@@ -41,14 +41,14 @@
 
     @BeforeMethod
     public void start() throws IOException {
-        standin = new StoreStandin(new ManualTimeSource(), MANY, 5);
+        standin = new StoreStandin(new ManualTimeSource(), UNLIMITED_CALLS, 5);
         server = new StandinServer(0, standin);
         server.start();
         store = new HttpObjectStore(
                 server.address(),
                 new SystemTimeSource(),
                 new Random(1),
-                StoreSettings.defaults().withBudget(MANY, MANY));
+                StoreSettings.defaults().withBudget(UNLIMITED_CALLS, UNLIMITED_CALLS));
     }
 
     @AfterMethod
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void should_keep_what_is_written_and_refuse_old_versions() throws StoreException {
+    public void should_refuse_a_write_when_its_version_is_outdated() throws StoreException {
         StoredObject first = store.create(KEY, "{\"revision\":1}");
         StoredObject second = store.update(first, "{\"revision\":2}");
 
@@ -72,17 +72,17 @@
     }
 
     @Test
-    public void should_settle_a_write_whose_answer_the_store_loses() throws Exception {
-        // The store takes an operator's document and the connection breaks before the answer. Without settling, the
-        // operator would be told of a failure while the change is in force everywhere.
-        fault("{\"loseAnswers\":1}");
+    public void should_resolve_a_write_when_its_response_is_lost() throws Exception {
+        // The store writes an operator's document and the connection breaks before the response. If the outcome were
+        // not resolved, the operator would see a failure although the change is in force everywhere.
+        injectFaults("{\"loseAnswers\":1}");
 
         assertTrue(new OutcomeResolvingWriter(store).create(KEY, "{\"revision\":1}") instanceof WriteOutcome.Applied);
-        assertEquals(ledger("writes"), 1);
+        assertEquals(ledgerCount("writes"), 1);
     }
 
     @Test
-    public void should_refuse_writes_above_the_limit_without_doing_them() throws StoreException {
+    public void should_refuse_a_write_without_effect_when_the_limit_is_exceeded() throws StoreException {
         StoredObject object = store.create(KEY, "{}");
         for (int write = 1; write < 5; write++) {
             object = store.update(object, "{}");
@@ -94,83 +94,83 @@
     }
 
     @Test
-    public void should_tell_an_outage_that_answers_from_one_that_is_silent() throws Exception {
-        fault("{\"outage\":\"refuse\"}");
+    public void should_distinguish_a_refused_call_from_a_dropped_one_when_the_store_is_out() throws Exception {
+        injectFaults("{\"outage\":\"refuse\"}");
         assertThrows(StoreUnavailableException.class, () -> store.create(KEY, "{}"));
 
-        fault("{\"outage\":\"drop\"}");
+        injectFaults("{\"outage\":\"drop\"}");
         assertThrows(StoreOutcomeUnknownException.class, () -> store.create(KEY, "{}"));
 
-        fault("{\"outage\":\"none\"}");
+        injectFaults("{\"outage\":\"none\"}");
         assertTrue(store.read(KEY).isEmpty());
     }
 
     @Test
-    public void should_answer_reads_from_an_old_replica_while_writes_go_on() throws Exception {
-        // One replica of the store lags: reads show an old document while the new one is in force. A process that
-        // trusted the read would go back to the old revision.
+    public void should_answer_reads_from_a_snapshot_when_stale_reads_are_injected() throws Exception {
+        // A replica of the store lags: reads return an old document while the new one is in force. A process that
+        // trusted the read would return to the old revision.
         StoredObject old = store.create(KEY, "{\"revision\":1}");
-        fault("{\"staleReads\":true}");
+        injectFaults("{\"staleReads\":true}");
         StoredObject current = store.update(old, "{\"revision\":2}");
 
         assertEquals(store.read(KEY).orElseThrow(), old);
         assertEquals(store.list(ObjectKind.DOCUMENT).objects().getFirst(), old);
-        fault("{\"staleReads\":false}");
+        injectFaults("{\"staleReads\":false}");
         assertEquals(store.read(KEY).orElseThrow(), current);
     }
 
     @Test
-    public void should_follow_a_collection_through_lost_events() throws Exception {
-        // The store ends all watches and compacts its history, so that the old place cannot be taken up again.
-        BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    public void should_follow_a_collection_when_events_are_discarded() throws Exception {
+        // The store ends all watches and compacts its history, so that a watch cannot resume from its last version.
+        BlockingQueue<String> received = new LinkedBlockingQueue<>();
         StoredObject first = store.create(KEY, "{\"revision\":1}");
         try (WatchedCollection collection = new WatchedCollection(
-                store, ObjectKind.DOCUMENT, new Versions(heard), new Random(1), StoreSettings.defaults())) {
+                store, ObjectKind.DOCUMENT, new Versions(received), new Random(1), StoreSettings.defaults())) {
             collection.start();
-            assertEquals(take(heard), first.version());
+            assertEquals(take(received), first.version());
 
             StoredObject second = store.update(first, "{\"revision\":2}");
-            assertEquals(take(heard), second.version());
+            assertEquals(take(received), second.version());
 
-            fault("{\"endWatches\":true,\"forgetEvents\":true}");
+            injectFaults("{\"endWatches\":true,\"forgetEvents\":true}");
             StoredObject third = store.update(second, "{\"revision\":3}");
-            assertEquals(take(heard), third.version());
+            assertEquals(take(received), third.version());
         }
     }
 
-    private void fault(String json) throws Exception {
+    private void injectFaults(String json) throws Exception {
         StandinCalls.post(server.address().resolve("/standin/faults"), json);
     }
 
-    private int ledger(String name) throws Exception {
+    private int ledgerCount(String name) throws Exception {
         return StandinCalls.get(server.address().resolve("/standin/ledger"))
                 .path(name)
                 .asInt();
     }
 
-    private static String take(BlockingQueue<String> heard) throws InterruptedException {
-        return heard.poll(30, TimeUnit.SECONDS);
+    private static String take(BlockingQueue<String> received) throws InterruptedException {
+        return received.poll(30, TimeUnit.SECONDS);
     }
 
-    private record Versions(BlockingQueue<String> heard) implements CollectionListener {
+    private record Versions(BlockingQueue<String> received) implements CollectionListener {
         @Override
         public void changed(StoredObject object) {
-            heard.add(object.version());
+            received.add(object.version());
         }
 
         @Override
         public void deleted(StoredObject object) {
-            heard.add("deleted");
+            received.add("deleted");
         }
 
         @Override
         public void synchronised() {
-            // Only versions are of interest here.
+            // This test checks versions only.
         }
 
         @Override
         public void interrupted(StoreException cause) {
-            // Only versions are of interest here.
+            // This test checks versions only.
         }
     }
 }
