--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AccountSums.java
@@ -40,8 +40,8 @@
     }
 
     /** Records a process whose state could not be read. */
-    void addUnreadable(String address, String why) {
-        violations.add(address + " cannot be read: " + why);
+    void addUnreadable(String address, String cause) {
+        violations.add(address + " cannot be read: " + cause);
     }
 
     void print(PrintStream output) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
@@ -63,13 +63,13 @@
     /** Sends a call again with the same idempotency key; the answer must be the recorded one of the first call. */
     private static RequestResult sendAgain(RequestResult first, PlannedRequest.Creation creation, RequestSender sender)
             throws InterruptedException {
-        RequestResult again = sender.send(new PlannedRequest.Repetition(creation));
-        boolean bothAnswered = first.end() == RequestEnd.ANSWERED && again.end() == RequestEnd.ANSWERED;
-        if (bothAnswered && !first.entryId().equals(again.entryId())) {
-            String detail = "The second answer for the same idempotency key has id " + again.entryId() + " instead of "
-                    + first.entryId();
-            return again.withEnd(RequestEnd.BROKEN, detail);
+        RequestResult second = sender.send(new PlannedRequest.Repetition(creation));
+        boolean bothAnswered = first.end() == RequestEnd.ANSWERED && second.end() == RequestEnd.ANSWERED;
+        if (bothAnswered && !first.recordId().equals(second.recordId())) {
+            String detail = "The second answer for the same idempotency key has id " + second.recordId()
+                    + " instead of " + first.recordId();
+            return second.withEnd(RequestEnd.BROKEN, detail);
         }
-        return again;
+        return second;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestSender.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/RequestSender.java
@@ -50,13 +50,13 @@
             if (attempt.end() != RequestEnd.REFUSED
                     || refusals + 1 >= maxAttempts
                     || attempt.retryAfter().isEmpty()) {
-                int counted = attempt.end() == RequestEnd.REFUSED ? refusals + 1 : refusals;
+                int refusalCount = attempt.end() == RequestEnd.REFUSED ? refusals + 1 : refusals;
                 return new RequestResult(
                         planned,
                         attempt.end(),
                         attempt.detail(),
-                        attempt.entryId(),
-                        counted,
+                        attempt.recordId(),
+                        refusalCount,
                         attempt.firstTokenNanoseconds(),
                         attempt.totalNanoseconds());
             }
@@ -222,7 +222,7 @@
         if (!answer.path(field).asText().equals(expected)) {
             return new AttemptResult(
                     RequestEnd.BROKEN,
-                    "The answer belongs to another request: " + text,
+                    "The answer does not match the request: " + text,
                     Optional.empty(),
                     0,
                     totalNanoseconds);
@@ -234,7 +234,7 @@
     private record AttemptResult(
             RequestEnd end,
             String detail,
-            String entryId,
+            String recordId,
             Optional<Duration> retryAfter,
             long firstTokenNanoseconds,
             long totalNanoseconds) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
@@ -14,11 +14,11 @@
  */
 record ObjectListing(List<Revision> objects, long version) {
     static ObjectListing of(List<Revision> all, Optional<String> namespace, long version) {
-        List<Revision> chosen = all.stream()
+        List<Revision> matching = all.stream()
                 .filter(revision -> namespace.isEmpty()
                         || namespace.get().equals(revision.name().namespace()))
                 .toList();
-        return new ObjectListing(chosen, version);
+        return new ObjectListing(matching, version);
     }
 
     ObjectNode toJson() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
@@ -49,13 +49,13 @@
         if (fromVersion < discardedUpTo) {
             return Optional.empty();
         }
-        List<ObjectEvent> missed = new ArrayList<>();
+        List<ObjectEvent> pastEvents = new ArrayList<>();
         for (ObjectEvent event : recent) {
             if (event.revision().version() > fromVersion) {
-                missed.add(event);
+                pastEvents.add(event);
             }
         }
-        Watcher watcher = new Watcher(missed);
+        Watcher watcher = new Watcher(pastEvents);
         watchers.add(watcher);
         return Optional.of(watcher);
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
@@ -13,9 +13,9 @@
     private final BlockingQueue<ObjectEvent> pendingEvents;
     private volatile boolean ended;
 
-    Watcher(List<ObjectEvent> missed) {
-        this.pendingEvents = new ArrayBlockingQueue<>(MAX_PENDING_EVENTS + missed.size());
-        pendingEvents.addAll(missed);
+    Watcher(List<ObjectEvent> pastEvents) {
+        this.pendingEvents = new ArrayBlockingQueue<>(MAX_PENDING_EVENTS + pastEvents.size());
+        pendingEvents.addAll(pastEvents);
     }
 
     void offer(ObjectEvent event) {
--- a/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/EngineStandinTest.java
+++ b/aspenmoor-standins/src/test/java/org/aspenmoorusage/standins/EngineStandinTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.Test;
 
-/** The engine stand-in as an agent uses it. */
+/** The engine stand-in, called as an agent calls it. */
 public class EngineStandinTest {
     private static final long LONG_ROLE_CHANGE_MILLISECONDS = 600_000;
 
