--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/EntryQueueing.java
@@ -6,7 +6,10 @@
 
 /** Decides which prompts an entry queues until an engine has room, and how long prompts may wait at engines. */
 final class EntryQueueing {
-    /** With fewer prompts within the tolerated wait, an engine idles whenever one entry reduces its window. */
+    /**
+     * Minimum number of typical prompts that an engine must be able to compute within the tolerated wait; with fewer,
+     * an engine idles whenever one entry reduces its window.
+     */
     private static final double MIN_PROMPTS_WITHIN_WAIT = 2.5;
 
     /**
@@ -51,9 +54,9 @@
      * long as the tolerated wait, each entry sends too few prompts to learn in time, and requests would wait at the
      * entry for seconds while engines are idle.
      */
-    static boolean applicable(Duration objective, List<ServerEstimate> usable) {
+    static boolean applicable(Duration objective, List<ServerEstimate> engines) {
         double toleratedSeconds = toleratedWaitSeconds(objective);
-        double typicalPromptSeconds = usable.stream()
+        double typicalPromptSeconds = engines.stream()
                 .filter(each -> each.server().role() != EngineRole.DECODE)
                 .mapToDouble(ServerEstimate::typicalPromptSeconds)
                 .filter(seconds -> seconds > 0)
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/PromptWindow.java
@@ -16,7 +16,7 @@
 final class PromptWindow {
     private static final double INITIAL_WINDOW = 1;
 
-    /** One prompt in sixteen times its duration; sufficient for as many entries as use one engine at the same time. */
+    /** One prompt per sixteen times its duration; sufficient for as many entries as use one engine at the same time. */
     private static final double MIN_WINDOW = 1.0 / 16;
 
     private static final double MAX_WINDOW = 64;
@@ -88,7 +88,7 @@
             window = Math.max(MIN_WINDOW, window * DECREASE_FACTOR);
             decreasedAt = now;
         }
-        double pause = window >= 1 ? 0 : (now - sentAt) * (1 / window - 1);
-        pausedUntil = now + (long) pause;
+        double pauseNanoseconds = window >= 1 ? 0 : (now - sentAt) * (1 / window - 1);
+        pausedUntil = now + (long) pauseNanoseconds;
     }
 }
--- a/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
+++ b/aspenmoor-core/src/main/java/org/aspenmoor/internal/serving/WaitQueue.java
@@ -12,7 +12,8 @@
 
 /**
  * The requests of one service that wait at this entry because no engine has room. Decides which request is dispatched
- * next and which are refused at once because they cannot be served.
+ * next and which are refused at once because they cannot be served. Times are in nanoseconds of the monotonic clock
+ * unless the name states seconds.
  *
  * <p>For some seconds, one and a half to three times as many prompts may arrive as engines can compute. In
  * first-come-first-served order all of them would be slightly late, and so would those of the following seconds.
@@ -29,8 +30,8 @@
     private static final double ANSWER_TIME_WEIGHT = 0.05;
 
     /**
-     * Answer time until answers have been measured, in seconds: some tens of milliseconds each for the prompt and the
-     * first token.
+     * Typical answer time assumed until answers have been measured, in seconds: some tens of milliseconds each for the
+     * prompt and the first token.
      */
     private static final double INITIAL_ANSWER_SECONDS = 0.1;
 
@@ -41,14 +42,17 @@
     private static final double DISPATCH_INTERVAL_WEIGHT = 0.1;
 
     /**
-     * A request yields to shorter ones that arrived later, by up to this many times the difference in computing time.
-     * Without this, the longest tenth of the prompts, which takes a third of the engines' time, makes several callers
-     * late for each one that it serves; with a far higher weight, the longest prompts would never be dispatched during
-     * a burst.
+     * Seconds by which a request is ranked as if it had arrived later, per second that an engine computes its prompt.
+     * Without this weight, the longest tenth of the prompts, which takes a third of the engines' time, makes several
+     * callers late for each one that it serves; with a far higher weight, the longest prompts would never be dispatched
+     * during a burst.
      */
     private static final double WORK_WEIGHT = 50;
 
-    /** The same weight for requests that are already late, which are ordered by their deadlines. */
+    /**
+     * Corresponds to {@link #WORK_WEIGHT} for requests that are already late, which are ordered by their deadlines
+     * instead of their arrival.
+     */
     private static final double LATE_WORK_WEIGHT = 100;
 
     private final List<QueuedRequest<T>> queued = new ArrayList<>();
@@ -103,8 +107,8 @@
     public Optional<QueuedRequest<T>> takeNext(long now) {
         Optional<QueuedRequest<T>> next = queued.stream()
                 .filter(each -> canBeOnTime(each.objectiveDeadline(), now))
-                .min(byTime(WaitQueue::rank))
-                .or(() -> queued.stream().min(byTime(WaitQueue::lateRank)));
+                .min(bySortKey(WaitQueue::rank))
+                .or(() -> queued.stream().min(bySortKey(WaitQueue::lateRank)));
         next.ifPresent(queued::remove);
         return next;
     }
@@ -112,7 +116,7 @@
     /** Removes and returns the requests that cannot be answered before their deadline at the current dispatch rate. */
     public List<T> takeUnservable(long now) {
         List<QueuedRequest<T>> late = lateRequests(now);
-        late.sort(byTime(WaitQueue::lateRank));
+        late.sort(bySortKey(WaitQueue::lateRank));
         // At the start of a burst no late request has been dispatched yet, and most bursts end before the deadlines of
         // late requests. So the estimate uses the overall dispatch rate, or the recent rate of late dispatches if that
         // is higher.
@@ -162,7 +166,7 @@
     private List<QueuedRequest<T>> lateRequests(long now) {
         List<QueuedRequest<T>> late = new ArrayList<>();
         int ahead = 0;
-        queued.sort(byTime(WaitQueue::rank));
+        queued.sort(bySortKey(WaitQueue::rank));
         for (QueuedRequest<T> each : queued) {
             if (canBeOnTime(
                     each.objectiveDeadline(),
@@ -189,8 +193,8 @@
         return (deadline - now) / NANOSECONDS_PER_SECOND >= typicalAnswerSeconds;
     }
 
-    private static <T> Comparator<QueuedRequest<T>> byTime(ToLongFunction<QueuedRequest<T>> time) {
-        return Comparator.comparingLong(time);
+    private static <T> Comparator<QueuedRequest<T>> bySortKey(ToLongFunction<QueuedRequest<T>> sortKey) {
+        return Comparator.comparingLong(sortKey);
     }
 
     /**
--- a/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
+++ b/aspenmoor-core/src/test/java/org/aspenmoor/internal/serving/roles/LoadBasedRolePolicyTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 public final class LoadBasedRolePolicyTest {
-    private static final double REQUIRED_INTERVAL = 0.07;
+    private static final double REQUIRED_EVENT_SECONDS = 0.07;
 
     private LoadBasedRolePolicy policy;
 
@@ -86,7 +86,7 @@
     // Guards against a slow engine that keeps decoding: the reassigned engine is fast, so the slow one returns to
     // prefill.
     @Test
-    public void should_return_the_slowest_engine_when_prompts_need_it() {
+    public void should_change_the_slowest_engine_back_to_prefill_when_prompts_need_it() {
         ServiceLoad load = load(
                 PromptLoad.PRESSED,
                 decodeEngine("a", 0.05),
@@ -103,7 +103,7 @@
 
     // Guards against prompts that have to wait because an engine returns to prefill only after they queue.
     @Test
-    public void should_return_an_engine_before_prompts_wait_when_the_others_can_serve_the_answers() {
+    public void should_change_an_engine_back_to_prefill_before_prompts_wait_when_the_others_can_serve_the_answers() {
         assertEquals(
                 policy.nextChange(loadWithReassignedEngine(PromptLoad.USUAL, 0.05)),
                 Optional.of(new PlannedRoleChange(server("a", EngineRole.DECODE), EngineRole.PREFILL)));
@@ -208,23 +208,24 @@
      * Returns three decode engines with the same event interval, where the target is two, and three prefill
      * engines.
      */
-    private static ServiceLoad loadWithReassignedEngine(PromptLoad prompts, double eventInterval) {
+    private static ServiceLoad loadWithReassignedEngine(PromptLoad prompts, double eventSeconds) {
         return load(
                 prompts,
-                decodeEngine("a", eventInterval),
-                decodeEngine("b", eventInterval),
-                decodeEngine("c", eventInterval),
+                decodeEngine("a", eventSeconds),
+                decodeEngine("b", eventSeconds),
+                decodeEngine("c", eventSeconds),
                 fastPrefillEngine("d"),
                 fastPrefillEngine("e"),
                 fastPrefillEngine("f"));
     }
 
     private static ServiceLoad load(PromptLoad prompts, EngineState... engines) {
-        return new ServiceLoad("drafting", new ArrayList<>(List.of(engines)), Optional.of(REQUIRED_INTERVAL), prompts);
+        return new ServiceLoad(
+                "drafting", new ArrayList<>(List.of(engines)), Optional.of(REQUIRED_EVENT_SECONDS), prompts);
     }
 
-    private static EngineState decodeEngine(String id, double eventInterval) {
-        return new EngineState(server(id, EngineRole.DECODE), new EngineLoad(30, Optional.of(eventInterval)), 1, false);
+    private static EngineState decodeEngine(String id, double eventSeconds) {
+        return new EngineState(server(id, EngineRole.DECODE), new EngineLoad(30, Optional.of(eventSeconds)), 1, false);
     }
 
     private static EngineState fastPrefillEngine(String id) {
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/FatalRequestTest.java
@@ -24,7 +24,7 @@
     private static final String PLAIN = "registry";
     private static final String MODEL = "model";
     private static final String FATAL_BODY = "fatal";
-    private static final String SERVER_ENDED_EVENT = "\"event\":\"server-ended\"";
+    private static final String SERVER_TERMINATED_EVENT = "\"event\":\"server-ended\"";
 
     private static final int SERVERS = 10;
     private static final int ARRIVALS = 10;
@@ -72,7 +72,7 @@
     // Guards against one arrival that is sent to one server after another although earlier attempts terminated
     // servers.
     @Test
-    public void should_count_terminations_when_one_arrival_is_repeated() throws Exception {
+    public void should_count_terminations_when_one_arrival_is_retried() throws Exception {
         startPlainServers();
 
         sendFatalRequestRepeatedly("/read/a");
@@ -117,17 +117,17 @@
     @Test
     public void should_not_prefill_when_request_is_quarantined() throws Exception {
         List<ScriptedBackend> prefillEngines = new ArrayList<>();
-        for (int number = 0; number < 2; number++) {
+        for (int index = 0; index < 2; index++) {
             prefillEngines.add(gateway.backend(
-                    "prompts-" + number,
+                    "prompts-" + index,
                     MODEL,
                     EngineRole.PREFILL,
                     TestGateway.LOCAL_DATA_CENTRE,
                     FatalRequestTest::prefillAnswer));
         }
-        for (int number = 0; number < SERVERS; number++) {
+        for (int index = 0; index < SERVERS; index++) {
             servers.add(gateway.backend(
-                    "answers-" + number,
+                    "answers-" + index,
                     MODEL,
                     EngineRole.DECODE,
                     TestGateway.LOCAL_DATA_CENTRE,
@@ -145,8 +145,8 @@
         assertTrue(prefills <= MAX_TERMINATIONS, "prefills: " + prefills);
     }
 
-    // Guards against callers who are told to retry at once although they will be refused again, or that it may have
-    // run.
+    // Guards against an answer that makes callers retry at once although they would be refused again, and against one
+    // that states that the request may have run.
     @Test
     public void should_answer_not_run_with_retry_after_when_request_is_quarantined() throws Exception {
         startPlainServers();
@@ -188,13 +188,13 @@
     private void sendFatalRequestRepeatedly(String path) throws IOException {
         for (int arrival = 0; arrival < ARRIVALS; arrival++) {
             call(gateway, path, FATAL_BODY, arrival);
-            gateway.awaitLogged(SERVER_ENDED_EVENT, terminatedServers());
+            gateway.awaitLogged(SERVER_TERMINATED_EVENT, terminatedServers());
         }
     }
 
     private void startPlainServers() throws AspenmoorException, IOException {
-        for (int number = 0; number < SERVERS; number++) {
-            servers.add(gateway.backend("server-" + number, PLAIN, FatalRequestTest::crashIfFatal));
+        for (int index = 0; index < SERVERS; index++) {
+            servers.add(gateway.backend("server-" + index, PLAIN, FatalRequestTest::crashIfFatal));
         }
         gateway.publish();
     }
--- a/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
+++ b/aspenmoor-gateway/src/test/java/org/aspenmoorusage/gateway/StreamTest.java
@@ -97,10 +97,10 @@
 
             assertEquals(caller.readAnswer().body(), eventText(1) + eventText(2) + eventText(3));
         }
-        List<ReceivedRequest> all = new ArrayList<>(callerRequests(first));
-        all.addAll(callerRequests(second));
-        assertEquals(all.size(), 2);
-        assertTrue(all.stream()
+        List<ReceivedRequest> requests = new ArrayList<>(callerRequests(first));
+        requests.addAll(callerRequests(second));
+        assertEquals(requests.size(), 2);
+        assertTrue(requests.stream()
                 .anyMatch(request ->
                         request.header(TestProtocols.LAST_EVENT).orElse("").equals("1")));
     }
@@ -247,10 +247,10 @@
     }
 
     // A decode engine rejects a request because it is out of memory. The prefill is repeated, which loads an engine
-    // a second time. Both repeats have to count against the repeat budget; otherwise a fleet that is short of
-    // memory gets twice the load.
+    // a second time. Both the new prefill and the new attempt at decoding have to count against the retry budget;
+    // otherwise a fleet that is short of memory gets twice the load.
     @Test
-    public void should_count_repeat_when_prefill_is_repeated() throws Exception {
+    public void should_count_retry_when_prefill_is_repeated() throws Exception {
         backend("prefill", EngineRole.PREFILL, StreamTest::prefillAnswer);
         backend("prefill-too", EngineRole.PREFILL, StreamTest::prefillAnswer);
         boolean[] refused = {false};
@@ -279,7 +279,7 @@
                 gateway.metrics());
     }
 
-    // The prefill engine accepts no request. The other engine can do both stages, only slower.
+    // The prefill engine breaks each connection. The other engine can do both stages, but more slowly.
     @Test
     public void should_answer_without_separate_prefill_when_prefill_fails() throws Exception {
         backend("prefill", EngineRole.PREFILL, request -> Reply.thenClose(""));
@@ -297,7 +297,8 @@
     }
 
     // All entries have been restarted and have lost their state, while the engines still have prompts cached.
-    // Prompts placed at other engines would all be computed again within the seconds in which the callers retry.
+    // If the prompts were assigned to other engines, all of them would be prefilled again within the seconds in which
+    // the callers retry.
     @Test
     public void should_use_cached_prompts_of_engines_when_entry_starts() throws Exception {
         for (int engine = 0; engine < 5; engine++) {
@@ -367,8 +368,8 @@
         return "POST " + path + "a HTTP/1.1\r\nHost: house.example\r\nTest-Id: r1\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private static String eventText(int number) {
-        return "id: " + number + "\ndata: token " + number + "\n\n";
+    private static String eventText(int eventId) {
+        return "id: " + eventId + "\ndata: token " + eventId + "\n\n";
     }
 
     private static String eventsFrom(int first) {
@@ -377,7 +378,7 @@
                 .collect(Collectors.joining());
     }
 
-    private static String eventChunk(int number) {
-        return HttpText.chunk(eventText(number));
+    private static String eventChunk(int eventId) {
+        return HttpText.chunk(eventText(eventId));
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/AskCommand.java
@@ -15,12 +15,12 @@
 import joptsimple.OptionSpec;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Asks one HTTP address, or waits until it answers as wished; scripts need no other HTTP tool. */
+/** Queries an HTTP address, or polls it until a condition holds; for scripts without another HTTP client. */
 public final class AskCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final long PAUSE_MILLISECONDS = 20;
     private static final int OK = 200;
-    private static final int NOT_AS_WISHED = 1;
+    private static final int CONDITION_NOT_MET = 1;
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -32,29 +32,30 @@
 
     @Override
     public String summary() {
-        return "asks an address, or waits until a number in its JSON answer is reached";
+        return "queries an address, or polls it until a number in its JSON answer is reached";
     }
 
     @Override
     public int run(PrintStream output, String... arguments) throws IOException, InterruptedException {
         OptionParser parser = new OptionParser();
-        OptionSpec<Void> help = parser.accepts("help", "print this").forHelp();
+        OptionSpec<Void> help = parser.accepts("help", "print this help").forHelp();
         OptionSpec<String> url =
-                parser.accepts("url", "what to ask").withRequiredArg().required();
+                parser.accepts("url", "the address to query").withRequiredArg().required();
         OptionSpec<String> post =
-                parser.accepts("post", "body to send; without it, GET").withRequiredArg();
+                parser.accepts("post", "body of a POST request; GET if missing").withRequiredArg();
         OptionSpec<String> pointer = parser.accepts(
-                        "pointer", "JSON pointer of the value to print; arrays by their size")
+                        "pointer", "JSON pointer of the value to print; an array is printed as its size")
                 .withRequiredArg()
                 .defaultsTo("");
-        OptionSpec<String> where = parser.accepts("where", "of an array, count the objects in which this field is true")
+        OptionSpec<String> where = parser.accepts(
+                        "where", "count only those objects of the array in which this field is true")
                 .withRequiredArg()
                 .defaultsTo("");
-        OptionSpec<Long> atLeast = parser.accepts("until-at-least", "ask again until the value is that great")
+        OptionSpec<Long> atLeast = parser.accepts("until-at-least", "poll until the value is at least this number")
                 .withRequiredArg()
                 .ofType(Long.class)
                 .defaultsTo(Long.MIN_VALUE);
-        OptionSpec<Integer> seconds = parser.accepts("seconds", "how long to ask again")
+        OptionSpec<Integer> seconds = parser.accepts("seconds", "maximum polling time in seconds")
                 .withRequiredArg()
                 .ofType(Integer.class)
                 .defaultsTo(0);
@@ -64,9 +65,8 @@
             return 0;
         }
         HttpRequest request = request(URI.create(options.valueOf(url)), Optional.ofNullable(options.valueOf(post)));
-        Question question =
-                new Question(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
-        return askUntil(question, options.valueOf(seconds), output);
+        Query query = new Query(request, options.valueOf(pointer), options.valueOf(where), options.valueOf(atLeast));
+        return queryUntil(query, options.valueOf(seconds), output);
     }
 
     private static HttpRequest request(URI url, Optional<String> body) {
@@ -75,38 +75,38 @@
         return builder.build();
     }
 
-    private int askUntil(Question question, int seconds, PrintStream output) throws InterruptedException {
+    private int queryUntil(Query query, int seconds, PrintStream output) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
         while (true) {
-            Reply reply = ask(question);
-            if (reply.asWished()) {
+            Reply reply = query(query);
+            if (reply.conditionMet()) {
                 output.println(reply.text());
                 return 0;
             }
             if (System.nanoTime() - deadline >= 0) {
-                output.println("not as wished: " + reply.text());
-                return NOT_AS_WISHED;
+                output.println("condition not met: " + reply.text());
+                return CONDITION_NOT_MET;
             }
             TimeUnit.MILLISECONDS.sleep(PAUSE_MILLISECONDS);
         }
     }
 
-    private Reply ask(Question question) throws InterruptedException {
+    private Reply query(Query query) throws InterruptedException {
         try {
-            HttpResponse<String> response = client.send(question.request(), HttpResponse.BodyHandlers.ofString());
+            HttpResponse<String> response = client.send(query.request(), HttpResponse.BodyHandlers.ofString());
             if (response.statusCode() != OK) {
                 return new Reply(false, response.statusCode() + " " + response.body());
             }
-            if (question.pointer().isEmpty()) {
+            if (query.pointer().isEmpty()) {
                 return new Reply(true, response.body());
             }
             JsonNode value =
-                    Json.parseObject(response.body()).orElseGet(Json::object).at(question.pointer());
-            long number = value.isArray() ? count(value, question.where()) : value.asLong();
-            boolean reached = !value.isMissingNode() && number >= question.atLeast();
+                    Json.parseObject(response.body()).orElseGet(Json::object).at(query.pointer());
+            long number = value.isArray() ? count(value, query.where()) : value.asLong();
+            boolean reached = !value.isMissingNode() && number >= query.atLeast();
             return new Reply(reached, value.isArray() ? String.valueOf(number) : value.asText());
-        } catch (IOException away) {
-            return new Reply(false, away.toString());
+        } catch (IOException unreachable) {
+            return new Reply(false, unreachable.toString());
         }
     }
 
@@ -121,7 +121,7 @@
         return counted;
     }
 
-    private record Question(HttpRequest request, String pointer, String where, long atLeast) {}
+    private record Query(HttpRequest request, String pointer, String where, long atLeast) {}
 
-    private record Reply(boolean asWished, String text) {}
+    private record Reply(boolean conditionMet, String text) {}
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/command/ServerRunner.java
@@ -6,9 +6,9 @@
 import org.aspenmoor.internal.standins.http.Handler;
 import org.aspenmoor.internal.standins.http.StandinServer;
 
-/** Runs a stand-in's server until the process is stopped. */
-final class ServerRun {
-    private ServerRun() {}
+/** Runs the HTTP server of a stand-in until the process is stopped. */
+final class ServerRunner {
+    private ServerRunner() {}
 
     static int serve(PrintStream output, String name, int port, Handler handler)
             throws IOException, InterruptedException {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/CompletionWriter.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Makes the answers of the completions protocol. */
+/** Builds the answers of the completions protocol, streamed or complete. */
 final class CompletionWriter {
     static final String DONE = "data: [DONE]\n\n";
 
@@ -14,9 +14,9 @@
         this.generation = generation;
     }
 
-    /** Makes one event of a stream. */
-    String event(String text, Optional<String> finishReason) {
-        ObjectNode root = head(generation.chat() ? "chat.completion.chunk" : "text_completion");
+    /** Returns one server-sent event of a streamed answer. */
+    String streamEvent(String text, Optional<String> finishReason) {
+        ObjectNode root = envelope(generation.chat() ? "chat.completion.chunk" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
         if (generation.chat()) {
             choice.putObject("delta").put("content", text);
@@ -27,9 +27,9 @@
         return "data: " + root + "\n\n";
     }
 
-    /** Makes a whole answer. */
-    ObjectNode whole(String text, int tokens) {
-        ObjectNode root = head(generation.chat() ? "chat.completion" : "text_completion");
+    /** Returns a complete answer with its token usage. */
+    ObjectNode completeAnswer(String text, int tokens) {
+        ObjectNode root = envelope(generation.chat() ? "chat.completion" : "text_completion");
         ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
         if (generation.chat()) {
             choice.putObject("message").put("role", "assistant").put("content", text);
@@ -45,10 +45,10 @@
     }
 
     String finishReason() {
-        return generation.cutByMaximum() ? "length" : "stop";
+        return generation.stoppedByMaximum() ? "length" : "stop";
     }
 
-    private ObjectNode head(String objectType) {
+    private ObjectNode envelope(String objectType) {
         ObjectNode root = Json.object();
         root.put("id", "cmpl-" + generation.requestId());
         root.put("object", objectType);
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/DeterministicText.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The answers of engine stand-ins: each token is a function of model, adapter, prompt and index, so that anyone can
- * check whether an answer is whole.
+ * The text that engine stand-ins generate: each token is a function of model, adapter, prompt and index, so that any
+ * caller can check whether an answer is complete and correct.
  */
 public final class DeterministicText {
     private static final List<String> WORDS = List.of(
@@ -13,28 +13,28 @@
             "valley", "willow", "xenon", "yarrow", "zinc");
     private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long PRIME = 0x100000001b3L;
-    private static final int SHORTEST = 20;
-    private static final int SPREAD = 180;
-    private static final int MARK_VALUES = 1000;
+    private static final int MIN_TOKENS = 20;
+    private static final int TOKEN_COUNT_RANGE = 180;
+    private static final int NUMBER_RANGE = 1000;
 
     private DeterministicText() {}
 
-    /** Returns one token: a space, a word and a number that makes neighbours differ. */
+    /** Returns one token: a space, a word and a number that makes adjacent tokens differ. */
     public static String token(String model, String adapter, String prompt, int index) {
         return token(hash(model, adapter, prompt), index);
     }
 
-    /** Returns how many tokens the whole answer has. */
-    public static int tokens(String prompt, int maximum) {
-        return Math.min(maximum, naturalTokens(prompt));
+    /** Returns the number of tokens of the complete answer, at most {@code maxTokens}. */
+    public static int tokens(String prompt, int maxTokens) {
+        return Math.min(maxTokens, unlimitedTokens(prompt));
     }
 
-    /** Returns how many tokens the answer has where the request sets no maximum. */
-    public static int naturalTokens(String prompt) {
-        return SHORTEST + (int) Long.remainderUnsigned(mix(hash(prompt)), SPREAD);
+    /** Returns the number of tokens of the answer to a request without a maximum. */
+    public static int unlimitedTokens(String prompt) {
+        return MIN_TOKENS + (int) Long.remainderUnsigned(mix(hash(prompt)), TOKEN_COUNT_RANGE);
     }
 
-    /** Returns the tokens from one index up to, not including, another. */
+    /** Returns the tokens from index {@code from} (inclusive) to {@code to} (exclusive), concatenated. */
     public static String text(String model, String adapter, String prompt, int from, int to) {
         long seed = hash(model, adapter, prompt);
         StringBuilder text = new StringBuilder();
@@ -47,7 +47,7 @@
     private static String token(long seed, int index) {
         long value = mix(seed + index * 0x9e3779b97f4a7c15L);
         String word = WORDS.get((int) Long.remainderUnsigned(value, WORDS.size()));
-        return " " + word + Long.remainderUnsigned(value >>> 8, MARK_VALUES);
+        return " " + word + Long.remainderUnsigned(value >>> 8, NUMBER_RANGE);
     }
 
     private static long hash(String... parts) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineFaults.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The faults that the engine stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the engine stand-in; set by POST to {@code /standin/faults}. */
 final class EngineFaults {
     private static final int NEVER = -1;
-    private static final int HALTED = 137;
+    private static final int CRASH_EXIT_CODE = 137;
 
     private int crashAfterTokens = NEVER;
     private int cutStreamAfterTokens = NEVER;
@@ -26,26 +26,26 @@
         notifyAll();
     }
 
-    /** Waits as long as the engine is frozen. */
+    /** Blocks while the engine is frozen. */
     synchronized void waitWhileFrozen() throws InterruptedException {
         while (frozen) {
             wait();
         }
     }
 
-    /** Counts a token that was sent; ends the process at once where a crash is due. */
-    synchronized void tokenSent() {
+    /** Records a sent token; halts the process when the configured number of tokens until the crash is reached. */
+    synchronized void recordTokenSent() {
         if (crashAfterTokens == NEVER) {
             return;
         }
         crashAfterTokens--;
         if (crashAfterTokens <= 0) {
-            Runtime.getRuntime().halt(HALTED);
+            Runtime.getRuntime().halt(CRASH_EXIT_CODE);
         }
     }
 
-    /** Says whether the connection of a stream is cut after that many tokens; cuts one stream only. */
-    synchronized boolean cutsStreamAfter(int tokensSent) {
+    /** Returns whether to close the connection of a stream after that many tokens; applies to one stream only. */
+    synchronized boolean shouldCutStreamAfter(int tokensSent) {
         if (tokensSent != cutStreamAfterTokens) {
             return false;
         }
@@ -53,8 +53,8 @@
         return true;
     }
 
-    /** Says whether a stream ends in good form after that many tokens though its text is not whole; once only. */
-    synchronized boolean truncatesStreamAfter(int tokensSent) {
+    /** Returns whether to end a stream regularly after that many tokens, with its text incomplete; applies once. */
+    synchronized boolean shouldTruncateStreamAfter(int tokensSent) {
         if (tokensSent != truncateStreamAfterTokens) {
             return false;
         }
@@ -62,8 +62,8 @@
         return true;
     }
 
-    /** Says whether a wrong token is sent at that index; once only. */
-    synchronized boolean wrongTokenAt(int index) {
+    /** Returns whether to send a wrong token at that index; applies once. */
+    synchronized boolean shouldSendWrongTokenAt(int index) {
         if (index != wrongTokenAt) {
             return false;
         }
@@ -71,7 +71,7 @@
         return true;
     }
 
-    synchronized boolean failsThisOrder() {
+    synchronized boolean shouldFailOrder() {
         if (ordersToFail == 0) {
             return false;
         }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/EngineLedger.java
@@ -6,24 +6,24 @@
 import java.util.List;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** Records every request that really ran and every order that came. */
+/** Records every request that ran on this engine and every order that it received. */
 final class EngineLedger {
-    private static final int MOST_ENTRIES = 200_000;
+    private static final int MAX_RECORDS = 200_000;
 
-    private final List<RunEntry> runs = new ArrayList<>();
-    private final List<OrderEntry> orders = new ArrayList<>();
+    private final List<RunRecord> runs = new ArrayList<>();
+    private final List<OrderRecord> orders = new ArrayList<>();
 
-    synchronized RunEntry begin(GenerationCall generation) {
-        RunEntry entry = new RunEntry(generation);
-        if (runs.size() < MOST_ENTRIES) {
-            runs.add(entry);
+    synchronized RunRecord recordRun(GenerationCall generation) {
+        RunRecord run = new RunRecord(generation);
+        if (runs.size() < MAX_RECORDS) {
+            runs.add(run);
         }
-        return entry;
+        return run;
     }
 
-    synchronized void order(OrderEntry entry) {
-        if (orders.size() < MOST_ENTRIES) {
-            orders.add(entry);
+    synchronized void recordOrder(OrderRecord order) {
+        if (orders.size() < MAX_RECORDS) {
+            orders.add(order);
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderQueue.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/OrderExecutor.java
@@ -10,8 +10,9 @@
 import org.aspenmoor.internal.engine.EngineRole;
 import org.aspenmoor.internal.engine.OrderState;
 
-/** Carries out one order at a time. */
-final class OrderQueue {
+/** Executes orders one at a time; an order that arrives while another one runs is refused. */
+final class OrderExecutor {
+    /** Loading and unloading take the duration of a role change divided by this. */
     private static final long LOAD_DIVISOR = 4;
 
     private final EngineSettings settings;
@@ -22,9 +23,9 @@
     private long highestFencingNumber;
     private Optional<String> lastOrderId = Optional.empty();
     private OrderState lastOrderState = OrderState.NEVER_SEEN;
-    private boolean away;
+    private boolean changingRole;
 
-    OrderQueue(EngineSettings settings, EngineFaults faults, EngineLedger ledger) {
+    OrderExecutor(EngineSettings settings, EngineFaults faults, EngineLedger ledger) {
         this.settings = settings;
         this.faults = faults;
         this.ledger = ledger;
@@ -32,10 +33,10 @@
         loaded.addAll(settings.loaded());
     }
 
-    /** Begins an order; returns why it is refused, if it is. */
+    /** Starts an order; returns the reason if it is refused. */
     synchronized Optional<String> begin(ObjectNode order) {
         Optional<String> refusal = refusal(order);
-        ledger.order(new OrderEntry(
+        ledger.recordOrder(new OrderRecord(
                 order.path("orderId").asText(),
                 order.path("fencingNumber").asLong(),
                 order.path("type").asText(),
@@ -48,24 +49,24 @@
         }
         lastOrderId = Optional.of(order.path("orderId").asText());
         lastOrderState = OrderState.RUNNING;
-        away = order.path("type").asText().equals("changeRole");
-        Thread.ofPlatform().daemon().name("engine-order").start(() -> carryOut(order));
+        changingRole = order.path("type").asText().equals("changeRole");
+        Thread.ofPlatform().daemon().name("engine-order").start(() -> execute(order));
         return Optional.empty();
     }
 
-    synchronized boolean isAway() {
-        return away;
+    synchronized boolean isChangingRole() {
+        return changingRole;
     }
 
     synchronized EngineRole role() {
         return role;
     }
 
-    /** Writes what the engine says about its orders. */
-    synchronized void writeStatus(ObjectNode root, Optional<String> askedOrder) {
-        boolean known = askedOrder.isEmpty() || askedOrder.equals(lastOrderId);
+    /** Writes the role, the last order, the fencing number and the loaded models into a status response. */
+    synchronized void writeStatus(ObjectNode root, Optional<String> queriedOrderId) {
+        boolean known = queriedOrderId.isEmpty() || queriedOrderId.equals(lastOrderId);
         root.put("role", role.name());
-        root.put("ready", !away);
+        root.put("ready", !changingRole);
         root.put("lastOrderId", lastOrderId.orElse(null));
         root.put("lastOrderState", known ? lastOrderState.name() : OrderState.NEVER_SEEN.name());
         root.put("highestFencingNumber", highestFencingNumber);
@@ -74,32 +75,33 @@
 
     private Optional<String> refusal(ObjectNode order) {
         if (order.path("orderId").asText().isEmpty()) {
-            return Optional.of("The order has no orderId.");
+            return Optional.of("The order lacks the field orderId.");
         }
         if (!settings.ignoresFencing() && order.path("fencingNumber").asLong() < highestFencingNumber) {
-            return Optional.of("The fencing number is older than " + highestFencingNumber + ".");
+            return Optional.of("The fencing number is lower than the highest one seen, " + highestFencingNumber + ".");
         }
         if (lastOrderState == OrderState.RUNNING) {
-            return Optional.of("The engine is busy with another order.");
+            return Optional.of("The engine is executing another order.");
         }
         boolean knownType = switch (order.path("type").asText()) {
             case "changeRole", "loadModel", "loadAdapter", "unloadAdapter" -> true;
             default -> false;
         };
-        return knownType ? Optional.empty() : Optional.of("The order's type is not known.");
+        return knownType ? Optional.empty() : Optional.of("The type of the order is unknown.");
     }
 
-    private void carryOut(ObjectNode order) {
-        boolean fails = faults.failsThisOrder();
-        long whole = order.path("type").asText().equals("changeRole")
+    private void execute(ObjectNode order) {
+        boolean shouldFail = faults.shouldFailOrder();
+        long durationMilliseconds = order.path("type").asText().equals("changeRole")
                 ? settings.roleChangeMilliseconds()
                 : settings.roleChangeMilliseconds() / LOAD_DIVISOR;
-        LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(fails ? whole / 2 : whole));
-        finish(order, fails);
+        LockSupport.parkNanos(
+                TimeUnit.MILLISECONDS.toNanos(shouldFail ? durationMilliseconds / 2 : durationMilliseconds));
+        finish(order, shouldFail);
     }
 
     private synchronized void finish(ObjectNode order, boolean failed) {
-        away = false;
+        changingRole = false;
         if (failed) {
             lastOrderState = OrderState.FAILED;
             return;
@@ -118,7 +120,7 @@
             case "loadModel" -> replaceLoaded(model, version);
             case "loadAdapter" -> replaceLoaded(adapter, version);
             case "unloadAdapter" -> loaded.removeIf(entry -> entry.startsWith(adapter + "@"));
-            default -> throw new IllegalStateException("An order of unknown type was begun.");
+            default -> throw new IllegalStateException("Started an order of unknown type.");
         }
     }
 
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/PrefixCache.java
@@ -8,50 +8,50 @@
 import java.util.Map;
 
 /**
- * Which pieces of prompts are cached, the least recently used given up first.
+ * Simulated prefix cache with eviction of the least recently used pieces.
  *
- * <p>A piece stands for a fixed number of tokens and is named by the hash of the whole prompt up to its end.
+ * <p>A piece covers a fixed number of tokens and is identified by the hash of the complete prompt up to its end.
  */
 final class PrefixCache {
-    static final int TOKENS_OF_PIECE = 16;
+    static final int TOKENS_PER_PIECE = 16;
 
-    private static final int CHARACTERS_OF_PIECE = 64;
-    private static final int MOST_EVENTS = 10_000;
-    /** Every so many events one is lost, as engines publish them with gaps. */
-    private static final int GAP = 97;
+    private static final int CHARACTERS_PER_PIECE = 64;
+    private static final int MAX_EVENTS = 10_000;
+    /** One event is dropped in each interval of this many, because real engines publish events with gaps. */
+    private static final int LOST_EVENT_INTERVAL = 97;
 
-    private final int mostPieces;
+    private final int maxPieces;
     private final Map<Long, Boolean> pieces = new LinkedHashMap<>(16, 0.75f, true);
     private final Deque<CacheEvent> events = new ArrayDeque<>();
     private long sequence;
 
     PrefixCache(int mostPieces) {
-        this.mostPieces = mostPieces;
+        this.maxPieces = mostPieces;
     }
 
-    /** Names the pieces of a prompt. */
+    /** Returns the hashes that identify the pieces of a prompt. */
     static List<Long> piecesOf(String model, String prompt) {
         List<Long> names = new ArrayList<>();
         long hash = model.hashCode();
         for (int index = 0; index < prompt.length(); index++) {
             hash = hash * 31 + prompt.charAt(index);
-            if ((index + 1) % CHARACTERS_OF_PIECE == 0) {
+            if ((index + 1) % CHARACTERS_PER_PIECE == 0) {
                 names.add(hash);
             }
         }
         return names;
     }
 
-    /** Returns how many tokens at the start of the prompt need no computing. */
-    synchronized int coveredTokens(List<Long> names) {
-        int covered = 0;
+    /** Returns the number of tokens at the start of the prompt that are cached. */
+    synchronized int cachedPrefixTokens(List<Long> names) {
+        int cachedTokens = 0;
         for (Long name : names) {
             if (pieces.get(name) == null) {
                 break;
             }
-            covered += TOKENS_OF_PIECE;
+            cachedTokens += TOKENS_PER_PIECE;
         }
-        return covered;
+        return cachedTokens;
     }
 
     synchronized void add(List<Long> names) {
@@ -60,10 +60,10 @@
                 publish(CacheEvent.Type.STORED, name);
             }
         }
-        while (pieces.size() > mostPieces) {
-            Long eldest = pieces.keySet().iterator().next();
-            pieces.remove(eldest);
-            publish(CacheEvent.Type.REMOVED, eldest);
+        while (pieces.size() > maxPieces) {
+            Long leastRecentlyUsed = pieces.keySet().iterator().next();
+            pieces.remove(leastRecentlyUsed);
+            publish(CacheEvent.Type.REMOVED, leastRecentlyUsed);
         }
     }
 
@@ -71,8 +71,8 @@
         return pieces.size();
     }
 
-    int mostPieces() {
-        return mostPieces;
+    int maxPieces() {
+        return maxPieces;
     }
 
     synchronized List<CacheEvent> eventsAfter(long after) {
@@ -81,11 +81,11 @@
 
     private void publish(CacheEvent.Type type, long piece) {
         sequence++;
-        if (sequence % GAP == 0) {
+        if (sequence % LOST_EVENT_INTERVAL == 0) {
             return;
         }
         events.addLast(new CacheEvent(sequence, type, piece));
-        if (events.size() > MOST_EVENTS) {
+        if (events.size() > MAX_EVENTS) {
             events.removeFirst();
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunEntry.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/engine/RunRecord.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.aspenmoor.internal.standins.http.Json;
 
-/** One request that ran. */
-final class RunEntry {
+/** A request that ran on the engine. */
+final class RunRecord {
     private final GenerationCall generation;
     private volatile int tokensSent;
     private volatile End end = End.RUNNING;
@@ -13,13 +13,13 @@
     enum End {
         RUNNING,
         COMPLETED,
-        /** The caller went away. */
+        /** The caller closed the connection before the end of the answer. */
         CANCELLED,
-        /** The engine cut it, by a fault or because it began a role change. */
+        /** The engine closed the connection because of an injected fault or a role change. */
         CUT
     }
 
-    RunEntry(GenerationCall generation) {
+    RunRecord(GenerationCall generation) {
         this.generation = generation;
     }
 
@@ -27,8 +27,8 @@
         tokensSent = count;
     }
 
-    void end(End how) {
-        end = how;
+    void end(End newEnd) {
+        end = newEnd;
     }
 
     End end() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/http/StandinServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.Executors;
 import org.jboss.logging.Logger;
 
-/** An HTTP server on the loopback address with a virtual thread for each call. */
+/** An HTTP server on the loopback address that runs each call on a virtual thread. */
 public final class StandinServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(StandinServer.class);
     private static final int BACKLOG = 256;
@@ -21,8 +21,8 @@
     private final Handler handler;
 
     public StandinServer(int port, Handler handler) throws IOException {
-        // Without these, small pieces of a stream wait for the reader's delayed acknowledgement, and connections of
-        // more than 200 callers are closed while idle, which callers see as lost answers.
+        // Without TCP_NODELAY, small stream chunks wait for the reader's delayed acknowledgement. With the default
+        // limit of 200 idle connections, further ones are closed while idle, which callers see as lost answers.
         System.setProperty("sun.net.httpserver.nodelay", "true");
         System.setProperty("sun.net.httpserver.maxIdleConnections", "10000");
         System.setProperty("sun.net.httpserver.idleInterval", "600");
@@ -30,20 +30,20 @@
         this.threads = Executors.newVirtualThreadPerTaskExecutor();
         this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         server.setExecutor(threads);
-        server.createContext("/", this::answer);
+        server.createContext("/", this::handleExchange);
     }
 
-    /** Starts to take calls. */
+    /** Starts to accept calls. */
     public void start() {
         server.start();
     }
 
-    /** Returns the port it listens on. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return server.getAddress().getPort();
     }
 
-    /** Returns its address. */
+    /** Returns the base address of the server. */
     public URI address() {
         return URI.create("http://127.0.0.1:" + port());
     }
@@ -54,26 +54,29 @@
         threads.shutdownNow();
     }
 
-    private void answer(HttpExchange exchange) throws IOException {
+    private void handleExchange(HttpExchange exchange) throws IOException {
         Call call = new Call(exchange);
         try {
             handler.handle(call);
-        } catch (RuntimeException mistake) {
-            LOG.errorf(mistake, "standin: %s %s failed.", call.method(), call.path());
-            refuseQuietly(call);
+        } catch (RuntimeException failure) {
+            LOG.errorf(
+                    failure, "standin: handling %s %s failed; answering with status 500", call.method(), call.path());
+            tryRespondError(call);
         }
-        // Closing the exchange would end a stream in good form. The server breaks the connection of a call that fails.
+        // Closing the exchange would end a stream regularly; an exception makes the server close the connection.
         if (call.isDropped()) {
-            throw new IOException("dropped on purpose");
+            throw new IOException("connection dropped by an injected fault");
         }
         exchange.close();
     }
 
-    private static void refuseQuietly(Call call) {
+    private static void tryRespondError(Call call) {
         try {
-            call.refuse(INTERNAL_ERROR, "The stand-in failed; its log says why.");
-        } catch (IOException alreadyAnswered) {
-            LOG.debugf("standin: %s could not be refused.", call.path());
+            call.respondError(INTERNAL_ERROR, "The stand-in failed; see its log for the cause.");
+        } catch (IOException responseFailed) {
+            LOG.debugf(
+                    "standin: cannot send status 500 for %s; the response has started or the connection is closed",
+                    call.path());
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/KindTotals.java
@@ -7,20 +7,20 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * Totals of one kind of request.
+ * Totals of one kind of request; counts of requests unless noted otherwise.
  *
  * @param kind the kind's name
  * @param sent requests sent
- * @param answered answered whole
- * @param resumed of these, taken up by another engine in the middle
- * @param refused refused to the end, with the word that they did not run
- * @param refusals refusals altogether, those that were answered later included
- * @param unknown nobody knows whether they ran
- * @param cut cut short, as their callers can tell
- * @param broken in good form but short, wrong, or somebody else's
- * @param doubled entries made twice or more
- * @param refusedButRan refused though a ledger says that they ran
- * @param latencies how long answers took
+ * @param answered answered completely and correctly
+ * @param resumed answered requests whose answer was continued by another engine
+ * @param refused refused on the last attempt, reported as not run
+ * @param refusals number of refusals, including those of requests that were answered later
+ * @param unknown unknown whether they ran
+ * @param cut answer cut off, detectable by the caller
+ * @param broken answer well-formed but incomplete, wrong, or of another request
+ * @param doubled creating calls that were executed more than once
+ * @param refusedButRan refused as not run although a ledger contains them
+ * @param latencies latencies of answered requests
  */
 record KindTotals(
         String kind,
@@ -40,29 +40,29 @@
         return new KindTotals(
                 kind,
                 results.size(),
-                count(results, Ending.ANSWERED),
+                count(results, RequestEnd.ANSWERED),
                 results.stream()
-                        .filter(result -> result.ending() == Ending.ANSWERED)
+                        .filter(result -> result.end() == RequestEnd.ANSWERED)
                         .filter(result -> ledgers.resumedRuns(result.planned()) > 0)
                         .count(),
-                count(results, Ending.REFUSED),
+                count(results, RequestEnd.REFUSED),
                 results.stream().mapToLong(RequestResult::refusals).sum(),
-                count(results, Ending.UNKNOWN),
-                count(results, Ending.CUT),
-                count(results, Ending.BROKEN),
+                count(results, RequestEnd.UNKNOWN),
+                count(results, RequestEnd.CUT),
+                count(results, RequestEnd.BROKEN),
                 results.stream()
                         .filter(result -> result.planned() instanceof PlannedRequest.Creation)
                         .filter(result -> ledgers.runs(result.planned()) > 1)
                         .count(),
                 results.stream()
-                        .filter(result -> result.ending() == Ending.REFUSED)
+                        .filter(result -> result.end() == RequestEnd.REFUSED)
                         .filter(result -> !(result.planned() instanceof PlannedRequest.Repetition))
                         .filter(result -> ledgers.runs(result.planned()) > 0)
                         .count(),
                 Latencies.of(results));
     }
 
-    /** Says whether something happened that must never happen. */
+    /** Returns whether there was a broken answer, a call executed twice, or a refusal of a request that ran. */
     boolean faulty() {
         return broken + doubled + refusedButRan > 0;
     }
@@ -80,51 +80,51 @@
         root.put("broken", broken);
         root.put("doubled", doubled);
         root.put("refusedButRan", refusedButRan);
-        root.put("firstToken50", latencies.firstToken50());
-        root.put("firstToken99", latencies.firstToken99());
-        root.put("whole50", latencies.whole50());
-        root.put("whole99", latencies.whole99());
+        root.put("firstToken50", latencies.firstTokenP50());
+        root.put("firstToken99", latencies.firstTokenP99());
+        root.put("whole50", latencies.totalP50());
+        root.put("whole99", latencies.totalP99());
         return root;
     }
 
-    private static long count(List<RequestResult> results, Ending ending) {
-        return results.stream().filter(result -> result.ending() == ending).count();
+    private static long count(List<RequestResult> results, RequestEnd end) {
+        return results.stream().filter(result -> result.end() == end).count();
     }
 
     /**
-     * Milliseconds that answered requests took: 50 and 99 in 100 took no longer.
+     * Latencies of answered requests in milliseconds: median (P50) and 99th percentile (P99).
      *
-     * @param firstToken50 until the first token
-     * @param firstToken99 until the first token
-     * @param whole50 until the end
-     * @param whole99 until the end
+     * @param firstTokenP50 median time to the first token
+     * @param firstTokenP99 99th percentile of the time to the first token
+     * @param totalP50 median time to the end of the answer
+     * @param totalP99 99th percentile of the time to the end of the answer
      */
-    record Latencies(long firstToken50, long firstToken99, long whole50, long whole99) {
-        private static final double HALF = 0.5;
-        private static final double ALMOST_ALL = 0.99;
+    record Latencies(long firstTokenP50, long firstTokenP99, long totalP50, long totalP99) {
+        private static final double MEDIAN = 0.5;
+        private static final double PERCENTILE_99 = 0.99;
 
         static Latencies of(List<RequestResult> results) {
             long[] first = results.stream()
-                    .filter(result -> result.ending() == Ending.ANSWERED && result.firstTokenNanoseconds() > 0)
+                    .filter(result -> result.end() == RequestEnd.ANSWERED && result.firstTokenNanoseconds() > 0)
                     .mapToLong(RequestResult::firstTokenNanoseconds)
                     .toArray();
-            long[] whole = results.stream()
-                    .filter(result -> result.ending() == Ending.ANSWERED)
-                    .mapToLong(RequestResult::wholeNanoseconds)
+            long[] total = results.stream()
+                    .filter(result -> result.end() == RequestEnd.ANSWERED)
+                    .mapToLong(RequestResult::totalNanoseconds)
                     .toArray();
             return new Latencies(
-                    quantile(first, HALF),
-                    quantile(first, ALMOST_ALL),
-                    quantile(whole, HALF),
-                    quantile(whole, ALMOST_ALL));
+                    quantile(first, MEDIAN),
+                    quantile(first, PERCENTILE_99),
+                    quantile(total, MEDIAN),
+                    quantile(total, PERCENTILE_99));
         }
 
-        private static long quantile(long[] values, double share) {
+        private static long quantile(long[] values, double fraction) {
             if (values.length == 0) {
                 return 0;
             }
             Arrays.sort(values);
-            int index = (int) Math.ceil(share * values.length) - 1;
+            int index = (int) Math.ceil(fraction * values.length) - 1;
             return TimeUnit.NANOSECONDS.toMillis(values[Math.max(0, index)]);
         }
     }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/Ledgers.java
@@ -14,7 +14,7 @@
 import org.aspenmoor.internal.standins.http.Json;
 import org.jboss.logging.Logger;
 
-/** What really ran, by the stand-ins' own ledgers; a stand-in that has crashed takes its ledger along. */
+/** Counts of executions, read from the ledgers of the stand-ins; the ledger of a crashed stand-in is lost. */
 final class Ledgers {
     private static final Logger LOG = Logger.getLogger(Ledgers.class);
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -23,7 +23,7 @@
     private final Map<String, Integer> resumedRuns = new HashMap<>();
     private int unreadable;
 
-    /** Reads all ledgers. */
+    /** Reads the ledgers of all given stand-ins. */
     static Ledgers read(HttpClient client, List<URI> standins) throws InterruptedException {
         Ledgers ledgers = new Ledgers();
         for (URI standin : standins) {
@@ -32,28 +32,28 @@
         return ledgers;
     }
 
-    /** Returns how often the request ran. */
+    /** Returns the number of times the request ran. */
     int runs(PlannedRequest planned) {
-        return runs.getOrDefault(traceOf(planned), 0);
+        return runs.getOrDefault(ledgerKey(planned), 0);
     }
 
-    /** Returns how often the request was taken up in the middle of its answer. */
+    /** Returns the number of runs that resumed the answer after its first token. */
     int resumedRuns(PlannedRequest planned) {
-        return resumedRuns.getOrDefault(traceOf(planned), 0);
+        return resumedRuns.getOrDefault(ledgerKey(planned), 0);
     }
 
     int unreadable() {
         return unreadable;
     }
 
-    private static String traceOf(PlannedRequest planned) {
+    private static String ledgerKey(PlannedRequest planned) {
         return switch (planned) {
-            case PlannedRequest.Draft draft ->
-                Integer.toHexString(draft.prompt().hashCode());
+            case PlannedRequest.Completion completion ->
+                Integer.toHexString(completion.prompt().hashCode());
             case PlannedRequest.Creation creation ->
                 Integer.toHexString(creation.body().hashCode());
-            case PlannedRequest.Repetition repetition -> traceOf(repetition.original());
-            case PlannedRequest.StatusRead read -> read.mark();
+            case PlannedRequest.Repetition repetition -> ledgerKey(repetition.original());
+            case PlannedRequest.StatusRead read -> read.marker();
         };
     }
 
@@ -64,18 +64,18 @@
                     .build();
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             count(Json.parseObject(response.body()).orElseGet(Json::object));
-        } catch (IOException away) {
+        } catch (IOException unreachable) {
             unreadable++;
-            LOG.debugf("load: the ledger of %s cannot be read: %s", standin, away.getMessage());
+            LOG.debugf("load: cannot read the ledger of %s: %s", standin, unreachable.getMessage());
         }
     }
 
     private void count(ObjectNode ledger) {
         for (JsonNode run : ledger.path("requests")) {
-            String trace = run.path("promptHash").asText();
-            runs.merge(trace, 1, Integer::sum);
+            String key = run.path("promptHash").asText();
+            runs.merge(key, 1, Integer::sum);
             if (run.path("resumedFrom").asInt() > 0) {
-                resumedRuns.merge(trace, 1, Integer::sum);
+                resumedRuns.merge(key, 1, Integer::sum);
             }
         }
         for (JsonNode execution : ledger.path("executions")) {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/load/LoadRun.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Sends all requests of a plan on a fixed number of threads. */
+/** Sends generated requests on a fixed number of threads and checks their answers. */
 public final class LoadRun {
     private final LoadSettings settings;
     private final HttpClient client =
@@ -17,23 +17,24 @@
         this.settings = settings;
     }
 
-    /** Sends everything, reads the ledgers and reports. */
+    /** Sends all requests, reads the ledgers and returns the report. */
     public LoadReport run() throws InterruptedException {
         String team = settings.documents().getFirst().team();
-        LoadPlan plan = new LoadPlan(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
-        List<RequestResult> results = sendAll(plan.draw(settings.requests()));
+        RequestGenerator generator =
+                new RequestGenerator(settings.documents(), new Random(settings.seed()), team + "-" + settings.seed());
+        List<RequestResult> results = sendAll(generator.generate(settings.requests()));
         return new LoadReport(team, results, Ledgers.read(client, settings.ledgers()));
     }
 
     private List<RequestResult> sendAll(List<PlannedRequest> planned) throws InterruptedException {
         RequestSender sender = new RequestSender(
-                client, settings.entries(), settings.token(), settings.mostTries(), settings.timeout());
+                client, settings.entries(), settings.token(), settings.maxAttempts(), settings.timeout());
         List<RequestResult> results = Collections.synchronizedList(new ArrayList<>());
         AtomicInteger next = new AtomicInteger();
         List<Thread> threads = new ArrayList<>();
         for (int number = 0; number < settings.concurrency(); number++) {
             threads.add(Thread.ofVirtual().name("caller-" + number).start(() -> {
-                sendInTurn(planned, next, sender, results);
+                sendRemaining(planned, next, sender, results);
             }));
         }
         for (Thread thread : threads) {
@@ -42,7 +43,7 @@
         return results;
     }
 
-    private void sendInTurn(
+    private void sendRemaining(
             List<PlannedRequest> planned, AtomicInteger next, RequestSender sender, List<RequestResult> results) {
         try {
             for (int index = next.getAndIncrement(); index < planned.size(); index = next.getAndIncrement()) {
@@ -54,20 +55,21 @@
                     results.add(sendAgain(first, creation, sender));
                 }
             }
-        } catch (InterruptedException stopping) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Sends a keyed call again, as a caller does that did not trust its answer; the recorded answer must come back. */
+    /** Sends a call again with the same idempotency key; the answer must be the recorded one of the first call. */
     private static RequestResult sendAgain(RequestResult first, PlannedRequest.Creation creation, RequestSender sender)
             throws InterruptedException {
-        RequestResult again = sender.send(new PlannedRequest.Repetition(creation));
-        boolean bothAnswered = first.ending() == Ending.ANSWERED && again.ending() == Ending.ANSWERED;
-        if (bothAnswered && !first.entryId().equals(again.entryId())) {
-            String detail = "The key's second answer names " + again.entryId() + " instead of " + first.entryId();
-            return again.withEnding(Ending.BROKEN, detail);
+        RequestResult second = sender.send(new PlannedRequest.Repetition(creation));
+        boolean bothAnswered = first.end() == RequestEnd.ANSWERED && second.end() == RequestEnd.ANSWERED;
+        if (bothAnswered && !first.recordId().equals(second.recordId())) {
+            String detail = "The second answer for the same idempotency key has id " + second.recordId()
+                    + " instead of " + first.recordId();
+            return second.withEnd(RequestEnd.BROKEN, detail);
         }
-        return again;
+        return second;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/service/ServiceFaults.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The faults that the plain service stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the service stand-in; set by POST to {@code /standin/faults}. */
 final class ServiceFaults {
-    private static final int HALTED = 137;
+    private static final int CRASH_EXIT_CODE = 137;
 
     private int answersToLose;
     private int crashAfterCalls;
@@ -20,7 +20,7 @@
         return delayMilliseconds;
     }
 
-    synchronized boolean losesThisAnswer() {
+    synchronized boolean shouldLoseAnswer() {
         if (answersToLose == 0) {
             return false;
         }
@@ -28,14 +28,14 @@
         return true;
     }
 
-    /** Counts a call that ran; ends the process before its answer where a crash is due. */
-    synchronized void callRan() {
+    /** Records an executed call; halts the process before the answer if the configured number of calls is reached. */
+    synchronized void recordCall() {
         if (crashAfterCalls == 0) {
             return;
         }
         crashAfterCalls--;
         if (crashAfterCalls == 0) {
-            Runtime.getRuntime().halt(HALTED);
+            Runtime.getRuntime().halt(CRASH_EXIT_CODE);
         }
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ObjectListing.java
@@ -7,18 +7,18 @@
 import org.aspenmoor.internal.standins.http.Json;
 
 /**
- * Objects of one resource.
+ * The objects of one resource at one version.
  *
  * @param objects the objects
- * @param version where a watch starts
+ * @param version the version from which a watch continues the list
  */
 record ObjectListing(List<Revision> objects, long version) {
     static ObjectListing of(List<Revision> all, Optional<String> namespace, long version) {
-        List<Revision> chosen = all.stream()
+        List<Revision> matching = all.stream()
                 .filter(revision -> namespace.isEmpty()
                         || namespace.get().equals(revision.name().namespace()))
                 .toList();
-        return new ObjectListing(chosen, version);
+        return new ObjectListing(matching, version);
     }
 
     ObjectNode toJson() {
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/ResourceFeed.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What lists and watches of one resource show: its published objects and its recent events. */
+/** The published objects and recent events of one resource, as lists and watches see them. */
 final class ResourceFeed {
-    private static final int MOST_EVENTS = 20_000;
+    private static final int MAX_EVENTS = 20_000;
 
     private final Map<String, Revision> published = new TreeMap<>();
     private final Deque<ObjectEvent> recent = new ArrayDeque<>();
     private final Set<Watcher> watchers = ConcurrentHashMap.newKeySet();
-    private long forgottenUpTo;
+    private long discardedUpTo;
     private long version;
 
     synchronized void publish(ObjectEvent event) {
@@ -30,8 +30,8 @@
         }
         version = revision.version();
         recent.addLast(event);
-        if (recent.size() > MOST_EVENTS) {
-            forgottenUpTo = recent.removeFirst().revision().version();
+        if (recent.size() > MAX_EVENTS) {
+            discardedUpTo = recent.removeFirst().revision().version();
         }
         watchers.forEach(watcher -> watcher.offer(event));
     }
@@ -44,18 +44,18 @@
         return version;
     }
 
-    /** Begins a watch; empty where events after that version are forgotten. */
+    /** Starts a watch; empty if events after that version have been discarded. */
     synchronized Optional<Watcher> watch(long fromVersion) {
-        if (fromVersion < forgottenUpTo) {
+        if (fromVersion < discardedUpTo) {
             return Optional.empty();
         }
-        List<ObjectEvent> missed = new ArrayList<>();
+        List<ObjectEvent> pastEvents = new ArrayList<>();
         for (ObjectEvent event : recent) {
             if (event.revision().version() > fromVersion) {
-                missed.add(event);
+                pastEvents.add(event);
             }
         }
-        Watcher watcher = new Watcher(missed);
+        Watcher watcher = new Watcher(pastEvents);
         watchers.add(watcher);
         return Optional.of(watcher);
     }
@@ -68,9 +68,9 @@
         watchers.forEach(Watcher::end);
     }
 
-    /** Forgets all events, as a store does that compacts its history. */
-    synchronized void forgetEvents() {
+    /** Discards all events, as a store does when it compacts its history. */
+    synchronized void discardEvents() {
         recent.clear();
-        forgottenUpTo = version;
+        discardedUpTo = version;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/StoreFaults.java
@@ -3,27 +3,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults that the store stand-in shows now; set through its control path. */
+/** Faults that are currently injected into the store stand-in; set by POST to {@code /standin/faults}. */
 final class StoreFaults {
     private final AtomicInteger answersToLose = new AtomicInteger();
     private volatile Outage outage = Outage.NONE;
     private volatile long delayMilliseconds;
 
-    /** How the store is out of order. */
+    /** Kind of outage. */
     enum Outage {
-        /** It works. */
+        /** The store works. */
         NONE,
-        /** It answers that it did nothing. */
+        /** Every call is refused with status 503 and has no effect. */
         REFUSE,
-        /** It does nothing and closes the connection. */
+        /** The connection is closed without an answer; the call has no effect. */
         DROP
     }
 
-    void apply(JsonNode change, ObjectBook book) {
+    void apply(JsonNode change, ObjectTable objects) {
         if (change.has("outage")) {
             outage = Outage.valueOf(change.path("outage").asText().toUpperCase(java.util.Locale.ROOT));
             if (outage != Outage.NONE) {
-                book.endWatches();
+                objects.endWatches();
             }
         }
         if (change.has("delayMilliseconds")) {
@@ -33,16 +33,16 @@
             answersToLose.set(change.path("loseAnswers").asInt());
         }
         if (change.has("staleReads")) {
-            book.staleReads(change.path("staleReads").asBoolean());
+            objects.setStaleReads(change.path("staleReads").asBoolean());
         }
         if (change.has("hostLagMilliseconds")) {
-            book.hostLag(change.path("hostLagMilliseconds").asLong());
+            objects.setHostLag(change.path("hostLagMilliseconds").asLong());
         }
         if (change.path("endWatches").asBoolean()) {
-            book.endWatches();
+            objects.endWatches();
         }
         if (change.path("forgetEvents").asBoolean()) {
-            book.forgetEvents();
+            objects.discardEvents();
         }
     }
 
@@ -54,7 +54,7 @@
         return delayMilliseconds;
     }
 
-    boolean losesThisAnswer() {
-        return answersToLose.getAndUpdate(left -> Math.max(0, left - 1)) > 0;
+    boolean shouldLoseAnswer() {
+        return answersToLose.getAndUpdate(remaining -> Math.max(0, remaining - 1)) > 0;
     }
 }
--- a/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
+++ b/aspenmoor-standins/src/main/java/org/aspenmoor/internal/standins/store/Watcher.java
@@ -6,20 +6,20 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** One waiting watch; it ends when its reader falls too far behind. */
+/** An open watch; it ends when its reader falls too far behind. */
 final class Watcher {
-    private static final int MOST_WAITING = 4096;
+    private static final int MAX_PENDING_EVENTS = 4096;
 
-    private final BlockingQueue<ObjectEvent> waiting;
+    private final BlockingQueue<ObjectEvent> pendingEvents;
     private volatile boolean ended;
 
-    Watcher(List<ObjectEvent> missed) {
-        this.waiting = new ArrayBlockingQueue<>(MOST_WAITING + missed.size());
-        waiting.addAll(missed);
+    Watcher(List<ObjectEvent> pastEvents) {
+        this.pendingEvents = new ArrayBlockingQueue<>(MAX_PENDING_EVENTS + pastEvents.size());
+        pendingEvents.addAll(pastEvents);
     }
 
     void offer(ObjectEvent event) {
-        if (!waiting.offer(event)) {
+        if (!pendingEvents.offer(event)) {
             ended = true;
         }
     }
@@ -32,8 +32,8 @@
         return ended;
     }
 
-    /** Waits for an event; empty where none came in time. */
+    /** Waits for an event; empty if there was none within the given time. */
     Optional<ObjectEvent> next(long milliseconds) throws InterruptedException {
-        return Optional.ofNullable(waiting.poll(milliseconds, TimeUnit.MILLISECONDS));
+        return Optional.ofNullable(pendingEvents.poll(milliseconds, TimeUnit.MILLISECONDS));
     }
 }
