--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/agent/AgentMetrics.java
@@ -12,12 +12,12 @@
     public AgentMetrics(PrometheusRegistry registry) {
         this.dispatches = Counter.builder()
                 .name("aspenmoor_agent_dispatches_total")
-                .help("Dispatches by outcome: refused, complete, failed, cancelled.")
+                .help("Dispatches by what became of them: refused, complete, failed, cancelled.")
                 .labelNames("end")
                 .register(registry);
         this.running = Gauge.builder()
                 .name("aspenmoor_agent_running")
-                .help("Attempts currently running at the backend server.")
+                .help("Attempts that run at the backend server now.")
                 .register(registry);
     }
 
--- a/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMetrics.java
+++ b/aspenmoor-daemon/src/main/java/org/aspenmoor/internal/entry/EntryMetrics.java
@@ -31,7 +31,7 @@
                 .register(registry);
         this.resumedStreams = Counter.builder()
                 .name("aspenmoor_streams_resumed_total")
-                .help("Streams resumed at another engine after tokens were delivered.")
+                .help("Streams continued at another engine after tokens had been delivered.")
                 .register(registry);
         this.retriedAttempts = Counter.builder()
                 .name("aspenmoor_attempts_retried_total")
@@ -44,15 +44,15 @@
                 .register(registry);
         this.discardedChunks = Counter.builder()
                 .name("aspenmoor_chunks_discarded_total")
-                .help("Chunks discarded as belonging to an old attempt, duplicate, or after the end.")
+                .help("Chunks of old attempts, doubled or after the end.")
                 .register(registry);
         this.imbalances = Counter.builder()
                 .name("aspenmoor_account_imbalances_total")
-                .help("Consistency checks at which the request counts did not add up.")
+                .help("Checks at which a conservation equation did not hold.")
                 .register(registry);
         this.firstTokenSeconds = Histogram.builder()
                 .name("aspenmoor_first_token_seconds")
-                .help("Time from receiving a request to its first token, in seconds.")
+                .help("From the request's arrival to its first token.")
                 .labelNames("team", "service", "kind")
                 .register(registry);
     }
--- a/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
+++ b/aspenmoor-gateway/src/main/java/org/aspenmoor/internal/gateway/Gateway.java
@@ -140,7 +140,7 @@
         fatalRequestSynchroniser.start();
         GaugeWithCallback.builder()
                 .name("aspenmoor_store_generation")
-                .help("Generation of the store's history; increases when the store is restored from an older copy.")
+                .help("Generation of the store's history; rises where the store came back from an older copy.")
                 .callback(callback -> callback.call((double) store.generation()))
                 .register(registry);
         readinessAddress = new OperatorHttpServer(Map.of(settings.readinessPath(), this::readinessAnswer))
