--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Cancel.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Cancel.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to agent: the answer is no longer wanted.
+ * Entry to agent: the answer is no longer needed.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Cancel}
@@ -247,7 +247,7 @@
   }
   /**
    * <pre>
-   * Entry to agent: the answer is no longer wanted.
+   * Entry to agent: the answer is no longer needed.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Cancel}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Chunk.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Chunk.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Agent to entry: a piece of the answer.
+ * Agent to entry: a part of the answer.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Chunk}
@@ -318,7 +318,7 @@
   }
   /**
    * <pre>
-   * Agent to entry: a piece of the answer.
+   * Agent to entry: a part of the answer.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Chunk}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Credit.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Credit.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to agent: the caller has taken this many more chunks.
+ * Entry to agent: the number of further chunks that the caller has received.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Credit}
@@ -269,7 +269,7 @@
   }
   /**
    * <pre>
-   * Entry to agent: the caller has taken this many more chunks.
+   * Entry to agent: the number of further chunks that the caller has received.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Credit}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Dispatch.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Dispatch.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to agent: run this.
+ * Entry to agent: run this attempt.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Dispatch}
@@ -256,7 +256,7 @@
   private int deadlineMilliseconds_ = 0;
   /**
    * <pre>
-   * What is left of the caller's deadline when the frame is sent.
+   * The time remaining until the caller's deadline when the frame is sent.
    * </pre>
    *
    * <code>uint32 deadline_milliseconds = 6;</code>
@@ -293,7 +293,7 @@
   private int chunkCredit_ = 0;
   /**
    * <pre>
-   * How many chunks the agent may send before it is given more credit.
+   * The number of chunks that the agent may send before it receives more credit.
    * </pre>
    *
    * <code>uint32 chunk_credit = 9;</code>
@@ -662,7 +662,7 @@
   }
   /**
    * <pre>
-   * Entry to agent: run this.
+   * Entry to agent: run this attempt.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Dispatch}
@@ -1351,7 +1351,7 @@
     private int deadlineMilliseconds_ ;
     /**
      * <pre>
-     * What is left of the caller's deadline when the frame is sent.
+     * The time remaining until the caller's deadline when the frame is sent.
      * </pre>
      *
      * <code>uint32 deadline_milliseconds = 6;</code>
@@ -1363,7 +1363,7 @@
     }
     /**
      * <pre>
-     * What is left of the caller's deadline when the frame is sent.
+     * The time remaining until the caller's deadline when the frame is sent.
      * </pre>
      *
      * <code>uint32 deadline_milliseconds = 6;</code>
@@ -1379,7 +1379,7 @@
     }
     /**
      * <pre>
-     * What is left of the caller's deadline when the frame is sent.
+     * The time remaining until the caller's deadline when the frame is sent.
      * </pre>
      *
      * <code>uint32 deadline_milliseconds = 6;</code>
@@ -1459,7 +1459,7 @@
     private int chunkCredit_ ;
     /**
      * <pre>
-     * How many chunks the agent may send before it is given more credit.
+     * The number of chunks that the agent may send before it receives more credit.
      * </pre>
      *
      * <code>uint32 chunk_credit = 9;</code>
@@ -1471,7 +1471,7 @@
     }
     /**
      * <pre>
-     * How many chunks the agent may send before it is given more credit.
+     * The number of chunks that the agent may send before it receives more credit.
      * </pre>
      *
      * <code>uint32 chunk_credit = 9;</code>
@@ -1487,7 +1487,7 @@
     }
     /**
      * <pre>
-     * How many chunks the agent may send before it is given more credit.
+     * The number of chunks that the agent may send before it receives more credit.
      * </pre>
      *
      * <code>uint32 chunk_credit = 9;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DispatchOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DispatchOrBuilder.java
@@ -69,7 +69,7 @@
 
   /**
    * <pre>
-   * What is left of the caller's deadline when the frame is sent.
+   * The time remaining until the caller's deadline when the frame is sent.
    * </pre>
    *
    * <code>uint32 deadline_milliseconds = 6;</code>
@@ -91,7 +91,7 @@
 
   /**
    * <pre>
-   * How many chunks the agent may send before it is given more credit.
+   * The number of chunks that the agent may send before it receives more credit.
    * </pre>
    *
    * <code>uint32 chunk_credit = 9;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentAsk.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentAsk.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks for a document newer than the revision the asker has.
+ * Requests a document if it is newer than the given revision, which the sender has.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.DocumentAsk}
@@ -327,7 +327,7 @@
   }
   /**
    * <pre>
-   * Asks for a document newer than the revision the asker has.
+   * Requests a document if it is newer than the given revision, which the sender has.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.DocumentAsk}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentDigest.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentDigest.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to entry and agent to entry: one step of comparing which documents both know.
+ * Entry to entry and agent to entry: one step of comparing the document revisions known to both sides.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.DocumentDigest}
@@ -67,7 +67,7 @@
     STEP_UNSPECIFIED(0),
     /**
      * <pre>
-     * Are our tables equal? Carries number and root_hash.
+     * Asks whether the tables are equal. Contains number and root_hash.
      * </pre>
      *
      * <code>COMPARE = 1;</code>
@@ -75,7 +75,7 @@
     COMPARE(1),
     /**
      * <pre>
-     * They are. Carries number and confirmed_age_milliseconds.
+     * The tables are equal. Contains number and confirmed_age_milliseconds.
      * </pre>
      *
      * <code>EQUAL = 2;</code>
@@ -83,7 +83,7 @@
     EQUAL(2),
     /**
      * <pre>
-     * They are not. Carries number and bucket_hashes.
+     * The tables differ. Contains number and bucket_hashes.
      * </pre>
      *
      * <code>DIFFERS = 3;</code>
@@ -91,7 +91,7 @@
     DIFFERS(3),
     /**
      * <pre>
-     * All my lines of some buckets. Carries buckets and lines.
+     * All lines of the sender in some buckets. Contains buckets and lines.
      * </pre>
      *
      * <code>BUCKET_LINES = 4;</code>
@@ -99,7 +99,7 @@
     BUCKET_LINES(4),
     /**
      * <pre>
-     * What I have newer than your lines. Carries lines.
+     * The lines of the sender that are newer than those received. Contains lines.
      * </pre>
      *
      * <code>NEWER_LINES = 5;</code>
@@ -123,7 +123,7 @@
     public static final int STEP_UNSPECIFIED_VALUE = 0;
     /**
      * <pre>
-     * Are our tables equal? Carries number and root_hash.
+     * Asks whether the tables are equal. Contains number and root_hash.
      * </pre>
      *
      * <code>COMPARE = 1;</code>
@@ -131,7 +131,7 @@
     public static final int COMPARE_VALUE = 1;
     /**
      * <pre>
-     * They are. Carries number and confirmed_age_milliseconds.
+     * The tables are equal. Contains number and confirmed_age_milliseconds.
      * </pre>
      *
      * <code>EQUAL = 2;</code>
@@ -139,7 +139,7 @@
     public static final int EQUAL_VALUE = 2;
     /**
      * <pre>
-     * They are not. Carries number and bucket_hashes.
+     * The tables differ. Contains number and bucket_hashes.
      * </pre>
      *
      * <code>DIFFERS = 3;</code>
@@ -147,7 +147,7 @@
     public static final int DIFFERS_VALUE = 3;
     /**
      * <pre>
-     * All my lines of some buckets. Carries buckets and lines.
+     * All lines of the sender in some buckets. Contains buckets and lines.
      * </pre>
      *
      * <code>BUCKET_LINES = 4;</code>
@@ -155,7 +155,7 @@
     public static final int BUCKET_LINES_VALUE = 4;
     /**
      * <pre>
-     * What I have newer than your lines. Carries lines.
+     * The lines of the sender that are newer than those received. Contains lines.
      * </pre>
      *
      * <code>NEWER_LINES = 5;</code>
@@ -1146,7 +1146,7 @@
   private long confirmedAgeMilliseconds_ = 0L;
   /**
    * <pre>
-   * How long ago the sender was known to hold every accepted document; missing for never.
+   * The time since the sender was last known to hold every accepted document; absent if it never was.
    * </pre>
    *
    * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -1158,7 +1158,7 @@
   }
   /**
    * <pre>
-   * How long ago the sender was known to hold every accepted document; missing for never.
+   * The time since the sender was last known to hold every accepted document; absent if it never was.
    * </pre>
    *
    * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -1502,7 +1502,7 @@
   }
   /**
    * <pre>
-   * Entry to entry and agent to entry: one step of comparing which documents both know.
+   * Entry to entry and agent to entry: one step of comparing the document revisions known to both sides.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.DocumentDigest}
@@ -2154,7 +2154,7 @@
     private long confirmedAgeMilliseconds_ ;
     /**
      * <pre>
-     * How long ago the sender was known to hold every accepted document; missing for never.
+     * The time since the sender was last known to hold every accepted document; absent if it never was.
      * </pre>
      *
      * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -2166,7 +2166,7 @@
     }
     /**
      * <pre>
-     * How long ago the sender was known to hold every accepted document; missing for never.
+     * The time since the sender was last known to hold every accepted document; absent if it never was.
      * </pre>
      *
      * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -2178,7 +2178,7 @@
     }
     /**
      * <pre>
-     * How long ago the sender was known to hold every accepted document; missing for never.
+     * The time since the sender was last known to hold every accepted document; absent if it never was.
      * </pre>
      *
      * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -2194,7 +2194,7 @@
     }
     /**
      * <pre>
-     * How long ago the sender was known to hold every accepted document; missing for never.
+     * The time since the sender was last known to hold every accepted document; absent if it never was.
      * </pre>
      *
      * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentDigestOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentDigestOrBuilder.java
@@ -59,7 +59,7 @@
 
   /**
    * <pre>
-   * How long ago the sender was known to hold every accepted document; missing for never.
+   * The time since the sender was last known to hold every accepted document; absent if it never was.
    * </pre>
    *
    * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
@@ -68,7 +68,7 @@
   boolean hasConfirmedAgeMilliseconds();
   /**
    * <pre>
-   * How long ago the sender was known to hold every accepted document; missing for never.
+   * The time since the sender was last known to hold every accepted document; absent if it never was.
    * </pre>
    *
    * <code>optional uint64 confirmed_age_milliseconds = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentUpdate.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentUpdate.java
@@ -159,7 +159,7 @@
   private int inflatedLength_ = 0;
   /**
    * <pre>
-   * How long the document is once inflated; 0 where it is sent as it is.
+   * The length of the decompressed document in bytes; 0 if it is not compressed.
    * </pre>
    *
    * <code>uint32 inflated_length = 5;</code>
@@ -775,7 +775,7 @@
     private int inflatedLength_ ;
     /**
      * <pre>
-     * How long the document is once inflated; 0 where it is sent as it is.
+     * The length of the decompressed document in bytes; 0 if it is not compressed.
      * </pre>
      *
      * <code>uint32 inflated_length = 5;</code>
@@ -787,7 +787,7 @@
     }
     /**
      * <pre>
-     * How long the document is once inflated; 0 where it is sent as it is.
+     * The length of the decompressed document in bytes; 0 if it is not compressed.
      * </pre>
      *
      * <code>uint32 inflated_length = 5;</code>
@@ -803,7 +803,7 @@
     }
     /**
      * <pre>
-     * How long the document is once inflated; 0 where it is sent as it is.
+     * The length of the decompressed document in bytes; 0 if it is not compressed.
      * </pre>
      *
      * <code>uint32 inflated_length = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentUpdateOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/DocumentUpdateOrBuilder.java
@@ -48,7 +48,7 @@
 
   /**
    * <pre>
-   * How long the document is once inflated; 0 where it is sent as it is.
+   * The length of the decompressed document in bytes; 0 if it is not compressed.
    * </pre>
    *
    * <code>uint32 inflated_length = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Generation.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Generation.java
@@ -201,7 +201,7 @@
   private int deliveredTokens_ = 0;
   /**
    * <pre>
-   * For a resumed stream: what the caller was given so far.
+   * For a resumed stream: the part of the answer already delivered to the caller.
    * </pre>
    *
    * <code>uint32 delivered_tokens = 6;</code>
@@ -256,7 +256,7 @@
   private volatile java.lang.Object cacheSource_ = "";
   /**
    * <pre>
-   * The engine that may hold the cache of this prompt, if any.
+   * The engine that may hold the cache of this prompt; empty if none is known.
    * </pre>
    *
    * <code>string cache_source = 8;</code>
@@ -277,7 +277,7 @@
   }
   /**
    * <pre>
-   * The engine that may hold the cache of this prompt, if any.
+   * The engine that may hold the cache of this prompt; empty if none is known.
    * </pre>
    *
    * <code>string cache_source = 8;</code>
@@ -313,7 +313,7 @@
   private int mostTokens_ = 0;
   /**
    * <pre>
-   * The most tokens the answer may have, counted from its first token over all attempts.
+   * The maximum number of tokens of the answer, over all attempts.
    * </pre>
    *
    * <code>uint32 most_tokens = 10;</code>
@@ -1127,7 +1127,7 @@
     private int deliveredTokens_ ;
     /**
      * <pre>
-     * For a resumed stream: what the caller was given so far.
+     * For a resumed stream: the part of the answer already delivered to the caller.
      * </pre>
      *
      * <code>uint32 delivered_tokens = 6;</code>
@@ -1139,7 +1139,7 @@
     }
     /**
      * <pre>
-     * For a resumed stream: what the caller was given so far.
+     * For a resumed stream: the part of the answer already delivered to the caller.
      * </pre>
      *
      * <code>uint32 delivered_tokens = 6;</code>
@@ -1155,7 +1155,7 @@
     }
     /**
      * <pre>
-     * For a resumed stream: what the caller was given so far.
+     * For a resumed stream: the part of the answer already delivered to the caller.
      * </pre>
      *
      * <code>uint32 delivered_tokens = 6;</code>
@@ -1243,7 +1243,7 @@
     private java.lang.Object cacheSource_ = "";
     /**
      * <pre>
-     * The engine that may hold the cache of this prompt, if any.
+     * The engine that may hold the cache of this prompt; empty if none is known.
      * </pre>
      *
      * <code>string cache_source = 8;</code>
@@ -1263,7 +1263,7 @@
     }
     /**
      * <pre>
-     * The engine that may hold the cache of this prompt, if any.
+     * The engine that may hold the cache of this prompt; empty if none is known.
      * </pre>
      *
      * <code>string cache_source = 8;</code>
@@ -1284,7 +1284,7 @@
     }
     /**
      * <pre>
-     * The engine that may hold the cache of this prompt, if any.
+     * The engine that may hold the cache of this prompt; empty if none is known.
      * </pre>
      *
      * <code>string cache_source = 8;</code>
@@ -1301,7 +1301,7 @@
     }
     /**
      * <pre>
-     * The engine that may hold the cache of this prompt, if any.
+     * The engine that may hold the cache of this prompt; empty if none is known.
      * </pre>
      *
      * <code>string cache_source = 8;</code>
@@ -1315,7 +1315,7 @@
     }
     /**
      * <pre>
-     * The engine that may hold the cache of this prompt, if any.
+     * The engine that may hold the cache of this prompt; empty if none is known.
      * </pre>
      *
      * <code>string cache_source = 8;</code>
@@ -1367,7 +1367,7 @@
     private int mostTokens_ ;
     /**
      * <pre>
-     * The most tokens the answer may have, counted from its first token over all attempts.
+     * The maximum number of tokens of the answer, over all attempts.
      * </pre>
      *
      * <code>uint32 most_tokens = 10;</code>
@@ -1379,7 +1379,7 @@
     }
     /**
      * <pre>
-     * The most tokens the answer may have, counted from its first token over all attempts.
+     * The maximum number of tokens of the answer, over all attempts.
      * </pre>
      *
      * <code>uint32 most_tokens = 10;</code>
@@ -1395,7 +1395,7 @@
     }
     /**
      * <pre>
-     * The most tokens the answer may have, counted from its first token over all attempts.
+     * The maximum number of tokens of the answer, over all attempts.
      * </pre>
      *
      * <code>uint32 most_tokens = 10;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/GenerationOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/GenerationOrBuilder.java
@@ -64,7 +64,7 @@
 
   /**
    * <pre>
-   * For a resumed stream: what the caller was given so far.
+   * For a resumed stream: the part of the answer already delivered to the caller.
    * </pre>
    *
    * <code>uint32 delivered_tokens = 6;</code>
@@ -86,7 +86,7 @@
 
   /**
    * <pre>
-   * The engine that may hold the cache of this prompt, if any.
+   * The engine that may hold the cache of this prompt; empty if none is known.
    * </pre>
    *
    * <code>string cache_source = 8;</code>
@@ -95,7 +95,7 @@
   java.lang.String getCacheSource();
   /**
    * <pre>
-   * The engine that may hold the cache of this prompt, if any.
+   * The engine that may hold the cache of this prompt; empty if none is known.
    * </pre>
    *
    * <code>string cache_source = 8;</code>
@@ -112,7 +112,7 @@
 
   /**
    * <pre>
-   * The most tokens the answer may have, counted from its first token over all attempts.
+   * The maximum number of tokens of the answer, over all attempts.
    * </pre>
    *
    * <code>uint32 most_tokens = 10;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Hello.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Hello.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Who speaks, and in which version of this protocol.
+ * Identifies the sender and its protocol version.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Hello}
@@ -189,7 +189,7 @@
   private volatile java.lang.Object backend_ = "";
   /**
    * <pre>
-   * The backend server an agent stands beside; empty for an entry.
+   * The backend server that the agent belongs to; empty for an entry.
    * </pre>
    *
    * <code>string backend = 5;</code>
@@ -210,7 +210,7 @@
   }
   /**
    * <pre>
-   * The backend server an agent stands beside; empty for an entry.
+   * The backend server that the agent belongs to; empty for an entry.
    * </pre>
    *
    * <code>string backend = 5;</code>
@@ -235,7 +235,7 @@
   private int requestCredit_ = 0;
   /**
    * <pre>
-   * How many requests the agent takes from this link at once.
+   * The number of requests that the agent accepts from this link at the same time.
    * </pre>
    *
    * <code>uint32 request_credit = 6;</code>
@@ -460,7 +460,7 @@
   }
   /**
    * <pre>
-   * Who speaks, and in which version of this protocol.
+   * Identifies the sender and its protocol version.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Hello}
@@ -915,7 +915,7 @@
     private java.lang.Object backend_ = "";
     /**
      * <pre>
-     * The backend server an agent stands beside; empty for an entry.
+     * The backend server that the agent belongs to; empty for an entry.
      * </pre>
      *
      * <code>string backend = 5;</code>
@@ -935,7 +935,7 @@
     }
     /**
      * <pre>
-     * The backend server an agent stands beside; empty for an entry.
+     * The backend server that the agent belongs to; empty for an entry.
      * </pre>
      *
      * <code>string backend = 5;</code>
@@ -956,7 +956,7 @@
     }
     /**
      * <pre>
-     * The backend server an agent stands beside; empty for an entry.
+     * The backend server that the agent belongs to; empty for an entry.
      * </pre>
      *
      * <code>string backend = 5;</code>
@@ -973,7 +973,7 @@
     }
     /**
      * <pre>
-     * The backend server an agent stands beside; empty for an entry.
+     * The backend server that the agent belongs to; empty for an entry.
      * </pre>
      *
      * <code>string backend = 5;</code>
@@ -987,7 +987,7 @@
     }
     /**
      * <pre>
-     * The backend server an agent stands beside; empty for an entry.
+     * The backend server that the agent belongs to; empty for an entry.
      * </pre>
      *
      * <code>string backend = 5;</code>
@@ -1007,7 +1007,7 @@
     private int requestCredit_ ;
     /**
      * <pre>
-     * How many requests the agent takes from this link at once.
+     * The number of requests that the agent accepts from this link at the same time.
      * </pre>
      *
      * <code>uint32 request_credit = 6;</code>
@@ -1019,7 +1019,7 @@
     }
     /**
      * <pre>
-     * How many requests the agent takes from this link at once.
+     * The number of requests that the agent accepts from this link at the same time.
      * </pre>
      *
      * <code>uint32 request_credit = 6;</code>
@@ -1035,7 +1035,7 @@
     }
     /**
      * <pre>
-     * How many requests the agent takes from this link at once.
+     * The number of requests that the agent accepts from this link at the same time.
      * </pre>
      *
      * <code>uint32 request_credit = 6;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/HelloOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/HelloOrBuilder.java
@@ -54,7 +54,7 @@
 
   /**
    * <pre>
-   * The backend server an agent stands beside; empty for an entry.
+   * The backend server that the agent belongs to; empty for an entry.
    * </pre>
    *
    * <code>string backend = 5;</code>
@@ -63,7 +63,7 @@
   java.lang.String getBackend();
   /**
    * <pre>
-   * The backend server an agent stands beside; empty for an entry.
+   * The backend server that the agent belongs to; empty for an entry.
    * </pre>
    *
    * <code>string backend = 5;</code>
@@ -74,7 +74,7 @@
 
   /**
    * <pre>
-   * How many requests the agent takes from this link at once.
+   * The number of requests that the agent accepts from this link at the same time.
    * </pre>
    *
    * <code>uint32 request_credit = 6;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Last.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Last.java
@@ -239,7 +239,7 @@
   private int count_ = 0;
   /**
    * <pre>
-   * How many chunks the attempt had.
+   * The number of chunks of the attempt.
    * </pre>
    *
    * <code>uint32 count = 3;</code>
@@ -954,7 +954,7 @@
     private int count_ ;
     /**
      * <pre>
-     * How many chunks the attempt had.
+     * The number of chunks of the attempt.
      * </pre>
      *
      * <code>uint32 count = 3;</code>
@@ -966,7 +966,7 @@
     }
     /**
      * <pre>
-     * How many chunks the attempt had.
+     * The number of chunks of the attempt.
      * </pre>
      *
      * <code>uint32 count = 3;</code>
@@ -982,7 +982,7 @@
     }
     /**
      * <pre>
-     * How many chunks the attempt had.
+     * The number of chunks of the attempt.
      * </pre>
      *
      * <code>uint32 count = 3;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LastOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LastOrBuilder.java
@@ -38,7 +38,7 @@
 
   /**
    * <pre>
-   * How many chunks the attempt had.
+   * The number of chunks of the attempt.
    * </pre>
    *
    * <code>uint32 count = 3;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Leaving.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Leaving.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Agent to entry: give this backend server no new work.
+ * Agent to entry: send this backend server no new work.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Leaving}
@@ -304,7 +304,7 @@
   }
   /**
    * <pre>
-   * Agent to entry: give this backend server no new work.
+   * Agent to entry: send this backend server no new work.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Leaving}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LoadReport.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LoadReport.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Agent to entry: what the back end says of its load.
+ * Agent to entry: the load that the backend server reports.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.LoadReport}
@@ -252,7 +252,7 @@
   private int ageMilliseconds_ = 0;
   /**
    * <pre>
-   * How old the back end's own report was when the agent read it.
+   * The age of the backend server's own report when the agent read it.
    * </pre>
    *
    * <code>uint32 age_milliseconds = 11;</code>
@@ -543,7 +543,7 @@
   }
   /**
    * <pre>
-   * Agent to entry: what the back end says of its load.
+   * Agent to entry: the load that the backend server reports.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.LoadReport}
@@ -1294,7 +1294,7 @@
     private int ageMilliseconds_ ;
     /**
      * <pre>
-     * How old the back end's own report was when the agent read it.
+     * The age of the backend server's own report when the agent read it.
      * </pre>
      *
      * <code>uint32 age_milliseconds = 11;</code>
@@ -1306,7 +1306,7 @@
     }
     /**
      * <pre>
-     * How old the back end's own report was when the agent read it.
+     * The age of the backend server's own report when the agent read it.
      * </pre>
      *
      * <code>uint32 age_milliseconds = 11;</code>
@@ -1322,7 +1322,7 @@
     }
     /**
      * <pre>
-     * How old the back end's own report was when the agent read it.
+     * The age of the backend server's own report when the agent read it.
      * </pre>
      *
      * <code>uint32 age_milliseconds = 11;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LoadReportOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/LoadReportOrBuilder.java
@@ -103,7 +103,7 @@
 
   /**
    * <pre>
-   * How old the back end's own report was when the agent read it.
+   * The age of the backend server's own report when the agent read it.
    * </pre>
    *
    * <code>uint32 age_milliseconds = 11;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/PeerLoad.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/PeerLoad.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * An entry's own part of the load on backend servers; servers without any of it are left out.
+ * The load that one entry's own requests put on backend servers; servers without such load are left out.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.PeerLoad}
@@ -77,7 +77,7 @@
 
     /**
      * <pre>
-     * Work placed there whose answer has not begun.
+     * Expected time for the work assigned to the server whose answer has not begun.
      * </pre>
      *
      * <code>uint32 unanswered_microseconds = 2;</code>
@@ -93,7 +93,8 @@
 
     /**
      * <pre>
-     * The events of answers from there that were lately seen, older ones counting for less, and the pauses before them.
+     * The number of recent events in the server's answers and the total time between them in seconds; older events have
+     * less weight.
      * </pre>
      *
      * <code>float pace_events = 4;</code>
@@ -193,7 +194,7 @@
     private int unansweredMicroseconds_ = 0;
     /**
      * <pre>
-     * Work placed there whose answer has not begun.
+     * Expected time for the work assigned to the server whose answer has not begun.
      * </pre>
      *
      * <code>uint32 unanswered_microseconds = 2;</code>
@@ -219,7 +220,8 @@
     private float paceEvents_ = 0F;
     /**
      * <pre>
-     * The events of answers from there that were lately seen, older ones counting for less, and the pauses before them.
+     * The number of recent events in the server's answers and the total time between them in seconds; older events have
+     * less weight.
      * </pre>
      *
      * <code>float pace_events = 4;</code>
@@ -708,7 +710,7 @@
       private int unansweredMicroseconds_ ;
       /**
        * <pre>
-       * Work placed there whose answer has not begun.
+       * Expected time for the work assigned to the server whose answer has not begun.
        * </pre>
        *
        * <code>uint32 unanswered_microseconds = 2;</code>
@@ -720,7 +722,7 @@
       }
       /**
        * <pre>
-       * Work placed there whose answer has not begun.
+       * Expected time for the work assigned to the server whose answer has not begun.
        * </pre>
        *
        * <code>uint32 unanswered_microseconds = 2;</code>
@@ -736,7 +738,7 @@
       }
       /**
        * <pre>
-       * Work placed there whose answer has not begun.
+       * Expected time for the work assigned to the server whose answer has not begun.
        * </pre>
        *
        * <code>uint32 unanswered_microseconds = 2;</code>
@@ -784,7 +786,8 @@
       private float paceEvents_ ;
       /**
        * <pre>
-       * The events of answers from there that were lately seen, older ones counting for less, and the pauses before them.
+       * The number of recent events in the server's answers and the total time between them in seconds; older events have
+       * less weight.
        * </pre>
        *
        * <code>float pace_events = 4;</code>
@@ -796,7 +799,8 @@
       }
       /**
        * <pre>
-       * The events of answers from there that were lately seen, older ones counting for less, and the pauses before them.
+       * The number of recent events in the server's answers and the total time between them in seconds; older events have
+       * less weight.
        * </pre>
        *
        * <code>float pace_events = 4;</code>
@@ -812,7 +816,8 @@
       }
       /**
        * <pre>
-       * The events of answers from there that were lately seen, older ones counting for less, and the pauses before them.
+       * The number of recent events in the server's answers and the total time between them in seconds; older events have
+       * less weight.
        * </pre>
        *
        * <code>float pace_events = 4;</code>
@@ -1916,7 +1921,7 @@
 
     /**
      * <pre>
-     * The number of the role as the product's engine roles are counted.
+     * The ordinal of the role in EngineRole.
      * </pre>
      *
      * <code>uint32 role = 2;</code>
@@ -1926,7 +1931,7 @@
 
     /**
      * <pre>
-     * How many times longer than the settings say work takes.
+     * Actual duration of the work, as a multiple of the duration according to the settings.
      * </pre>
      *
      * <code>float factor = 3;</code>
@@ -1936,7 +1941,7 @@
 
     /**
      * <pre>
-     * What an answer takes beside its work.
+     * Part of the time until an answer begins that does not depend on its work.
      * </pre>
      *
      * <code>float fixed_seconds = 4;</code>
@@ -1946,7 +1951,7 @@
   }
   /**
    * <pre>
-   * How fast the sender has found the engines of one service with one role; one that has just started goes by it.
+   * The sender's estimate of the speed of one service's engines with one role; an entry that has just started uses it.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.Speed}
@@ -2034,7 +2039,7 @@
     private int role_ = 0;
     /**
      * <pre>
-     * The number of the role as the product's engine roles are counted.
+     * The ordinal of the role in EngineRole.
      * </pre>
      *
      * <code>uint32 role = 2;</code>
@@ -2049,7 +2054,7 @@
     private float factor_ = 0F;
     /**
      * <pre>
-     * How many times longer than the settings say work takes.
+     * Actual duration of the work, as a multiple of the duration according to the settings.
      * </pre>
      *
      * <code>float factor = 3;</code>
@@ -2064,7 +2069,7 @@
     private float fixedSeconds_ = 0F;
     /**
      * <pre>
-     * What an answer takes beside its work.
+     * Part of the time until an answer begins that does not depend on its work.
      * </pre>
      *
      * <code>float fixed_seconds = 4;</code>
@@ -2274,7 +2279,7 @@
     }
     /**
      * <pre>
-     * How fast the sender has found the engines of one service with one role; one that has just started goes by it.
+     * The sender's estimate of the speed of one service's engines with one role; an entry that has just started uses it.
      * </pre>
      *
      * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.Speed}
@@ -2523,7 +2528,7 @@
       private int role_ ;
       /**
        * <pre>
-       * The number of the role as the product's engine roles are counted.
+       * The ordinal of the role in EngineRole.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -2535,7 +2540,7 @@
       }
       /**
        * <pre>
-       * The number of the role as the product's engine roles are counted.
+       * The ordinal of the role in EngineRole.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -2551,7 +2556,7 @@
       }
       /**
        * <pre>
-       * The number of the role as the product's engine roles are counted.
+       * The ordinal of the role in EngineRole.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -2567,7 +2572,7 @@
       private float factor_ ;
       /**
        * <pre>
-       * How many times longer than the settings say work takes.
+       * Actual duration of the work, as a multiple of the duration according to the settings.
        * </pre>
        *
        * <code>float factor = 3;</code>
@@ -2579,7 +2584,7 @@
       }
       /**
        * <pre>
-       * How many times longer than the settings say work takes.
+       * Actual duration of the work, as a multiple of the duration according to the settings.
        * </pre>
        *
        * <code>float factor = 3;</code>
@@ -2595,7 +2600,7 @@
       }
       /**
        * <pre>
-       * How many times longer than the settings say work takes.
+       * Actual duration of the work, as a multiple of the duration according to the settings.
        * </pre>
        *
        * <code>float factor = 3;</code>
@@ -2611,7 +2616,7 @@
       private float fixedSeconds_ ;
       /**
        * <pre>
-       * What an answer takes beside its work.
+       * Part of the time until an answer begins that does not depend on its work.
        * </pre>
        *
        * <code>float fixed_seconds = 4;</code>
@@ -2623,7 +2628,7 @@
       }
       /**
        * <pre>
-       * What an answer takes beside its work.
+       * Part of the time until an answer begins that does not depend on its work.
        * </pre>
        *
        * <code>float fixed_seconds = 4;</code>
@@ -2639,7 +2644,7 @@
       }
       /**
        * <pre>
-       * What an answer takes beside its work.
+       * Part of the time until an answer begins that does not depend on its work.
        * </pre>
        *
        * <code>float fixed_seconds = 4;</code>
@@ -2721,7 +2726,7 @@
 
     /**
      * <pre>
-     * The number of the role that it will have, as in Speed.
+     * The ordinal in EngineRole of the new role.
      * </pre>
      *
      * <code>uint32 role = 2;</code>
@@ -2731,7 +2736,7 @@
   }
   /**
    * <pre>
-   * An engine that has accepted the sender's order to change its role and has not changed it yet.
+   * A role change that the sender has ordered and the engine has accepted but not completed.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.Change}
@@ -2819,7 +2824,7 @@
     private int role_ = 0;
     /**
      * <pre>
-     * The number of the role that it will have, as in Speed.
+     * The ordinal in EngineRole of the new role.
      * </pre>
      *
      * <code>uint32 role = 2;</code>
@@ -3003,7 +3008,7 @@
     }
     /**
      * <pre>
-     * An engine that has accepted the sender's order to change its role and has not changed it yet.
+     * A role change that the sender has ordered and the engine has accepted but not completed.
      * </pre>
      *
      * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.Change}
@@ -3228,7 +3233,7 @@
       private int role_ ;
       /**
        * <pre>
-       * The number of the role that it will have, as in Speed.
+       * The ordinal in EngineRole of the new role.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -3240,7 +3245,7 @@
       }
       /**
        * <pre>
-       * The number of the role that it will have, as in Speed.
+       * The ordinal in EngineRole of the new role.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -3256,7 +3261,7 @@
       }
       /**
        * <pre>
-       * The number of the role that it will have, as in Speed.
+       * The ordinal in EngineRole of the new role.
        * </pre>
        *
        * <code>uint32 role = 2;</code>
@@ -3344,7 +3349,8 @@
   }
   /**
    * <pre>
-   * How many tokens the sender has found an event of one service's answers to have; one that has just started goes by it.
+   * The sender's estimate of the number of tokens per event in one service's answers; an entry that has just started
+   * uses it.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.EventLength}
@@ -3614,7 +3620,8 @@
     }
     /**
      * <pre>
-     * How many tokens the sender has found an event of one service's answers to have; one that has just started goes by it.
+     * The sender's estimate of the number of tokens per event in one service's answers; an entry that has just started
+     * uses it.
      * </pre>
      *
      * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.EventLength}
@@ -3947,7 +3954,7 @@
 
     /**
      * <pre>
-     * When the server had started, in milliseconds since 1970.
+     * Start time of the server, in milliseconds since 1970.
      * </pre>
      *
      * <code>fixed64 started_at = 3;</code>
@@ -3957,7 +3964,7 @@
 
     /**
      * <pre>
-     * How long ago the server ended.
+     * Time since the termination.
      * </pre>
      *
      * <code>uint32 age_milliseconds = 4;</code>
@@ -3967,7 +3974,7 @@
 
     /**
      * <pre>
-     * The request has been answered since.
+     * Whether the request has been answered since then, so that it no longer counts as the cause.
      * </pre>
      *
      * <code>bool excused = 5;</code>
@@ -3977,7 +3984,7 @@
   }
   /**
    * <pre>
-   * A server that ended while it had a request.
+   * The termination of a server while it processed a request.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.End}
@@ -4081,7 +4088,7 @@
     private long startedAt_ = 0L;
     /**
      * <pre>
-     * When the server had started, in milliseconds since 1970.
+     * Start time of the server, in milliseconds since 1970.
      * </pre>
      *
      * <code>fixed64 started_at = 3;</code>
@@ -4096,7 +4103,7 @@
     private int ageMilliseconds_ = 0;
     /**
      * <pre>
-     * How long ago the server ended.
+     * Time since the termination.
      * </pre>
      *
      * <code>uint32 age_milliseconds = 4;</code>
@@ -4111,7 +4118,7 @@
     private boolean excused_ = false;
     /**
      * <pre>
-     * The request has been answered since.
+     * Whether the request has been answered since then, so that it no longer counts as the cause.
      * </pre>
      *
      * <code>bool excused = 5;</code>
@@ -4330,7 +4337,7 @@
     }
     /**
      * <pre>
-     * A server that ended while it had a request.
+     * The termination of a server while it processed a request.
      * </pre>
      *
      * Protobuf type {@code aspenmoor.wire.v1.PeerLoad.End}
@@ -4635,7 +4642,7 @@
       private long startedAt_ ;
       /**
        * <pre>
-       * When the server had started, in milliseconds since 1970.
+       * Start time of the server, in milliseconds since 1970.
        * </pre>
        *
        * <code>fixed64 started_at = 3;</code>
@@ -4647,7 +4654,7 @@
       }
       /**
        * <pre>
-       * When the server had started, in milliseconds since 1970.
+       * Start time of the server, in milliseconds since 1970.
        * </pre>
        *
        * <code>fixed64 started_at = 3;</code>
@@ -4663,7 +4670,7 @@
       }
       /**
        * <pre>
-       * When the server had started, in milliseconds since 1970.
+       * Start time of the server, in milliseconds since 1970.
        * </pre>
        *
        * <code>fixed64 started_at = 3;</code>
@@ -4679,7 +4686,7 @@
       private int ageMilliseconds_ ;
       /**
        * <pre>
-       * How long ago the server ended.
+       * Time since the termination.
        * </pre>
        *
        * <code>uint32 age_milliseconds = 4;</code>
@@ -4691,7 +4698,7 @@
       }
       /**
        * <pre>
-       * How long ago the server ended.
+       * Time since the termination.
        * </pre>
        *
        * <code>uint32 age_milliseconds = 4;</code>
@@ -4707,7 +4714,7 @@
       }
       /**
        * <pre>
-       * How long ago the server ended.
+       * Time since the termination.
        * </pre>
        *
        * <code>uint32 age_milliseconds = 4;</code>
@@ -4723,7 +4730,7 @@
       private boolean excused_ ;
       /**
        * <pre>
-       * The request has been answered since.
+       * Whether the request has been answered since then, so that it no longer counts as the cause.
        * </pre>
        *
        * <code>bool excused = 5;</code>
@@ -4735,7 +4742,7 @@
       }
       /**
        * <pre>
-       * The request has been answered since.
+       * Whether the request has been answered since then, so that it no longer counts as the cause.
        * </pre>
        *
        * <code>bool excused = 5;</code>
@@ -4751,7 +4758,7 @@
       }
       /**
        * <pre>
-       * The request has been answered since.
+       * Whether the request has been answered since then, so that it no longer counts as the cause.
        * </pre>
        *
        * <code>bool excused = 5;</code>
@@ -4858,7 +4865,8 @@
   private long start_ = 0L;
   /**
    * <pre>
-   * Tells the starts of one entry apart; the sequence begins anew with each.
+   * Identifies the incarnation of the entry's process: its start time in milliseconds since 1970. The sequence restarts
+   * with each incarnation.
    * </pre>
    *
    * <code>fixed64 start = 2;</code>
@@ -4926,7 +4934,8 @@
   private java.util.List<org.aspenmoor.internal.wire.v1.PeerLoad.Prompt> prompts_;
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -4937,7 +4946,8 @@
   }
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -4949,7 +4959,8 @@
   }
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -4960,7 +4971,8 @@
   }
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -4971,7 +4983,8 @@
   }
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -4986,7 +4999,7 @@
   private boolean leaving_ = false;
   /**
    * <pre>
-   * The entry is stopping; its part of shared budgets is free.
+   * The entry is stopping; the other entries divide its share of the common budgets among themselves.
    * </pre>
    *
    * <code>bool leaving = 5;</code>
@@ -5467,7 +5480,7 @@
   }
   /**
    * <pre>
-   * An entry's own part of the load on backend servers; servers without any of it are left out.
+   * The load that one entry's own requests put on backend servers; servers without such load are left out.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.PeerLoad}
@@ -6050,7 +6063,8 @@
     private long start_ ;
     /**
      * <pre>
-     * Tells the starts of one entry apart; the sequence begins anew with each.
+     * Identifies the incarnation of the entry's process: its start time in milliseconds since 1970. The sequence restarts
+     * with each incarnation.
      * </pre>
      *
      * <code>fixed64 start = 2;</code>
@@ -6062,7 +6076,8 @@
     }
     /**
      * <pre>
-     * Tells the starts of one entry apart; the sequence begins anew with each.
+     * Identifies the incarnation of the entry's process: its start time in milliseconds since 1970. The sequence restarts
+     * with each incarnation.
      * </pre>
      *
      * <code>fixed64 start = 2;</code>
@@ -6078,7 +6093,8 @@
     }
     /**
      * <pre>
-     * Tells the starts of one entry apart; the sequence begins anew with each.
+     * Identifies the incarnation of the entry's process: its start time in milliseconds since 1970. The sequence restarts
+     * with each incarnation.
      * </pre>
      *
      * <code>fixed64 start = 2;</code>
@@ -6371,7 +6387,8 @@
 
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6385,7 +6402,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6399,7 +6417,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6413,7 +6432,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6432,7 +6452,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6450,7 +6471,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6468,7 +6490,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6487,7 +6510,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6505,7 +6529,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6523,7 +6548,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6542,7 +6568,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6559,7 +6586,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6576,7 +6604,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6587,7 +6616,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6601,7 +6631,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6616,7 +6647,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6627,7 +6659,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6639,7 +6672,8 @@
     }
     /**
      * <pre>
-     * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+     * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+     * they are not reported again.
      * </pre>
      *
      * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -6666,7 +6700,7 @@
     private boolean leaving_ ;
     /**
      * <pre>
-     * The entry is stopping; its part of shared budgets is free.
+     * The entry is stopping; the other entries divide its share of the common budgets among themselves.
      * </pre>
      *
      * <code>bool leaving = 5;</code>
@@ -6678,7 +6712,7 @@
     }
     /**
      * <pre>
-     * The entry is stopping; its part of shared budgets is free.
+     * The entry is stopping; the other entries divide its share of the common budgets among themselves.
      * </pre>
      *
      * <code>bool leaving = 5;</code>
@@ -6694,7 +6728,7 @@
     }
     /**
      * <pre>
-     * The entry is stopping; its part of shared budgets is free.
+     * The entry is stopping; the other entries divide its share of the common budgets among themselves.
      * </pre>
      *
      * <code>bool leaving = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/PeerLoadOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/PeerLoadOrBuilder.java
@@ -24,7 +24,8 @@
 
   /**
    * <pre>
-   * Tells the starts of one entry apart; the sequence begins anew with each.
+   * Identifies the incarnation of the entry's process: its start time in milliseconds since 1970. The sequence restarts
+   * with each incarnation.
    * </pre>
    *
    * <code>fixed64 start = 2;</code>
@@ -64,7 +65,8 @@
 
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -73,7 +75,8 @@
       getPromptsList();
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -81,7 +84,8 @@
   org.aspenmoor.internal.wire.v1.PeerLoad.Prompt getPrompts(int index);
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -89,7 +93,8 @@
   int getPromptsCount();
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -98,7 +103,8 @@
       getPromptsOrBuilderList();
   /**
    * <pre>
-   * Prompts placed since the last report; a hint about what engines keep, lost with its datagram.
+   * Prompts assigned to servers since the last report. They indicate what engines have cached; if the datagram is lost,
+   * they are not reported again.
    * </pre>
    *
    * <code>repeated .aspenmoor.wire.v1.PeerLoad.Prompt prompts = 6;</code>
@@ -108,7 +114,7 @@
 
   /**
    * <pre>
-   * The entry is stopping; its part of shared budgets is free.
+   * The entry is stopping; the other entries divide its share of the common budgets among themselves.
    * </pre>
    *
    * <code>bool leaving = 5;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Refused.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Refused.java
@@ -135,7 +135,7 @@
   private long newerDocumentRevision_ = 0L;
   /**
    * <pre>
-   * The newest document revision the agent knows, where it is newer than the entry's.
+   * The newest document revision that the agent knows, if it is newer than the entry's.
    * </pre>
    *
    * <code>uint64 newer_document_revision = 4;</code>
@@ -827,7 +827,7 @@
     private long newerDocumentRevision_ ;
     /**
      * <pre>
-     * The newest document revision the agent knows, where it is newer than the entry's.
+     * The newest document revision that the agent knows, if it is newer than the entry's.
      * </pre>
      *
      * <code>uint64 newer_document_revision = 4;</code>
@@ -839,7 +839,7 @@
     }
     /**
      * <pre>
-     * The newest document revision the agent knows, where it is newer than the entry's.
+     * The newest document revision that the agent knows, if it is newer than the entry's.
      * </pre>
      *
      * <code>uint64 newer_document_revision = 4;</code>
@@ -855,7 +855,7 @@
     }
     /**
      * <pre>
-     * The newest document revision the agent knows, where it is newer than the entry's.
+     * The newest document revision that the agent knows, if it is newer than the entry's.
      * </pre>
      *
      * <code>uint64 newer_document_revision = 4;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/RefusedOrBuilder.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/RefusedOrBuilder.java
@@ -45,7 +45,7 @@
 
   /**
    * <pre>
-   * The newest document revision the agent knows, where it is newer than the entry's.
+   * The newest document revision that the agent knows, if it is newer than the entry's.
    * </pre>
    *
    * <code>uint64 newer_document_revision = 4;</code>
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/RequestCounts.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/RequestCounts.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to the entry that plans a service: what arrived since the last report.
+ * Entry to the entry that plans a service: the requests received since the last report.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.RequestCounts}
@@ -1244,7 +1244,7 @@
   }
   /**
    * <pre>
-   * Entry to the entry that plans a service: what arrived since the last report.
+   * Entry to the entry that plans a service: the requests received since the last report.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.RequestCounts}
--- a/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Started.java
+++ b/aspenmoor-wire/src/main/java/org/aspenmoor/internal/wire/v1/Started.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Agent to entry: the back end has begun to answer.
+ * Agent to entry: the backend server has begun to answer.
  * </pre>
  *
  * Protobuf type {@code aspenmoor.wire.v1.Started}
@@ -329,7 +329,7 @@
   }
   /**
    * <pre>
-   * Agent to entry: the back end has begun to answer.
+   * Agent to entry: the backend server has begun to answer.
    * </pre>
    *
    * Protobuf type {@code aspenmoor.wire.v1.Started}
